--- a/rooklug/gateway/load_collector.py
+++ b/rooklug/gateway/load_collector.py
@@ -19,6 +19,11 @@
 """In one answer; what is beyond is not told: it only saves reading."""
 
 
+def read_uses(told: list[ReplicaUse]) -> dict[str, Use]:
+    """Return what a message tells of each replica."""
+    return {use.replica_id: Use(use.running, use.waiting_tokens) for use in told}
+
+
 @attrs.frozen
 class _NumberedPrompt:
     number: int
@@ -36,8 +41,8 @@
 
     def take(self, message: FrontUse, now: float) -> FrontUseTaken:
         """Take a front's word and return what the others told."""
-        uses = {use.replica_id: Use(use.running, use.waiting_tokens) for use in message.uses}
         node_id = message.node_id
+        uses = read_uses(message.uses)
         if self.loads.take(node_id, message.incarnation, message.sequence, uses, now):
             for prompt in message.prompts:
                 self._newest += 1
--- a/rooklug/gateway/peer_exchange.py
+++ b/rooklug/gateway/peer_exchange.py
@@ -14,11 +14,10 @@
 from rooklug.engine.composite import PartDefaults
 from rooklug.engine.reducer import ProcessContext
 from rooklug.gateway.decision import Decision
-from rooklug.gateway.load_collector import LoadCollector
+from rooklug.gateway.load_collector import LoadCollector, read_uses
 from rooklug.gateway.notices import ViewChanged
 from rooklug.gateway.requests import PromptPart
 from rooklug.model.settings import NodeSettings
-from rooklug.routing.peer_loads import Use
 from rooklug.wire.generated.control.ttypes import NodeRecord
 from rooklug.wire.generated.peers.ttypes import (
     FrontUse,
@@ -178,7 +177,7 @@
         """Take what a collector answers; a peer's answer holds nothing."""
         if answer is None or answer.others is None:
             return
-        uses = {use.replica_id: Use(use.running, use.waiting_tokens) for use in answer.others}
+        uses = read_uses(answer.others)
         self._decision.peers.forget_except(frozenset({COLLECTED}))
         self._decision.peers.take(COLLECTED, self._context.incarnation, self._sequence, uses, now)
         self._prompts_seen = answer.prompts_seen or 0
@@ -188,7 +187,7 @@
         message: FrontUse = event.request
         if message.prompts_seen is not None:
             return [fx.Answer(event.call_id, self._collector.take(message, now))]
-        uses = {use.replica_id: Use(use.running, use.waiting_tokens) for use in message.uses}
+        uses = read_uses(message.uses)
         peers = self._decision.peers
         if peers.take(message.node_id, message.incarnation, message.sequence, uses, now):
             self._learn_prompts(message.prompts, now)
--- a/rooklug_lab/gateway/large_days.py
+++ b/rooklug_lab/gateway/large_days.py
@@ -10,8 +10,6 @@
 from rooklug_lab.gateway.replicas import Conduct
 from rooklug_lab.gateway.site import GatewaySite
 
-SLOW_EVENT_S = 0.004
-"""On a slow machine: about ten times what an event costs a front."""
 SLOW_SHARE = 0.15
 ADDED_A_ZONE = 6
 LOOK_S = 0.0005
@@ -22,73 +20,72 @@
     """A sixth of the machines turn slow, then others, with the primary's; then replicas leave."""
     for begin_s in (1.0, 8.0):
         names = random.sample(site.fronts, int(len(site.fronts) * SLOW_SHARE))
-        _at(site, begin_s, lambda n=names: site.slow([*n, site.primary()], SLOW_EVENT_S, 5.5))
-    _at(site, 2.0, lambda: site.change(["slow"]))
+        site.later(begin_s, lambda n=names: site.slow([*n, site.primary()], 5.5))
+    site.later(2.0, lambda: site.change(["slow"]))
     for entry in random.sample(site.replicas, 8):
-        _at(site, 14.0 + random.random(), partial(site.drain, entry))
+        site.later(14.0 + random.random(), partial(site.drain, entry))
 
 
 def machines_are_added(site: GatewaySite, random: Random) -> None:
     """Every zone gets more machines, while a change spreads and right after the primary's end."""
     for place, zone in enumerate(site.shape.zones):
         begin_s = 1.0 + 0.3 * place
-        _at(site, begin_s, lambda z=zone: site.add_machines(z, ADDED_A_ZONE))
-    _at(site, 1.5, lambda: site.change(["added"]))
-    _at(site, 2.0 + random.random(), lambda: site.kill([site.primary()], 1.5))
-    _at(site, 6.0, lambda: site.order_zone("south-b", "empty"))
-    _at(site, 14.0, lambda: site.order_zone("south-b", "restore"))
+        site.later(begin_s, lambda z=zone: site.add_machines(z, ADDED_A_ZONE))
+    site.later(1.5, lambda: site.change(["added"]))
+    site.later(2.0 + random.random(), lambda: site.kill([site.primary()], 1.5))
+    site.later(6.0, lambda: site.order_zone("south-b", "empty"))
+    site.later(14.0, lambda: site.order_zone("south-b", "restore"))
 
 
 def core_is_replaced(site: GatewaySite, random: Random) -> None:
     """Cores go for good, the first seed and then the primary; empty ones come elsewhere."""
-    _at(site, 0.5, lambda: site.change(["first"]))
-    _at(site, 1.0, lambda: site.replace_core(site.cores[0], 1.0))
-    _at(site, 4.0, lambda: site.change(["second"]))
-    _at(site, 7.5, lambda: site.replace_core(site.primary(), 1.0))
-    _at(site, 8.0 + random.random(), lambda: site.change(["third"]))
+    site.later(0.5, lambda: site.change(["first"]))
+    site.later(1.0, lambda: site.replace_core(site.cores[0], 1.0))
+    site.later(4.0, lambda: site.change(["second"]))
+    site.later(7.5, lambda: site.replace_core(site.primary(), 1.0))
+    site.later(8.0 + random.random(), lambda: site.change(["third"]))
 
 
 def zone_is_cut(site: GatewaySite, random: Random) -> None:
     """A zone is partitioned from the others, and then the zone of the primary."""
     zones = list(site.shape.zones)
-    _at(site, 1.0, lambda: site.cut_zone(random.choice(zones), 4.5))
-    _at(site, 2.0, lambda: site.change(["first"]))
-    _at(site, 9.0, lambda: site.cut_zone(site.process(site.primary()).place.zone, 3.5))
-    _at(site, 10.0, lambda: site.change(["second"]))
+    site.later(1.0, lambda: site.cut_zone(random.choice(zones), 4.5))
+    site.later(2.0, lambda: site.change(["first"]))
+    site.later(9.0, lambda: site.cut_zone(site.process(site.primary()).place.zone, 3.5))
+    site.later(10.0, lambda: site.change(["second"]))
 
 
 def packets_pass_one_way(site: GatewaySite, random: Random) -> None:
     """Nothing reaches some machines any more, though they are heard: fronts, then the primary."""
     names = random.sample(site.fronts, 12)
-    _at(site, 1.0, lambda: site.cut(names, 5.0, outbound=False))
-    _at(site, 2.0, lambda: site.change(["first"]))
-    _at(site, 8.0, lambda: site.cut([site.primary()], 4.0, outbound=False))
-    _at(site, 9.0, lambda: site.change(["second"]))
+    site.later(1.0, lambda: site.cut(names, 5.0, outbound=False))
+    site.later(2.0, lambda: site.change(["first"]))
+    site.later(8.0, lambda: site.cut([site.primary()], 4.0, outbound=False))
+    site.later(9.0, lambda: site.change(["second"]))
 
 
 def core_falls_apart(site: GatewaySite, random: Random) -> None:
     """Halves of the core don't hear each other; meanwhile machines of one of them end."""
-    half = random.sample(site.cores, len(site.cores) // 2)
-    others = [name for name in site.cores if name not in half]
-    _at(site, 1.0, lambda: site.cut_between(half, others, 4.0))
-    _at(site, 2.0, lambda: site.change(["first"]))
-    _at(site, 3.0, lambda: site.kill(half[:2], 3.0, power=True))
-    _at(site, 5.5, lambda: site.turn_cold("north-a"))
-    _at(site, 9.0, lambda: site.change(["second"]))
+    half, others = site.core_halves(random)
+    site.later(1.0, lambda: site.cut_between(half, others, 4.0))
+    site.later(2.0, lambda: site.change(["first"]))
+    site.later(3.0, lambda: site.kill(half[:2], 3.0, power=True))
+    site.later(5.5, lambda: site.turn_cold("north-a"))
+    site.later(9.0, lambda: site.change(["second"]))
 
 
 def clients_repeat_at_once(site: GatewaySite, random: Random) -> None:
     """Clients repeat at once and often, while replicas reject what they get and others end."""
     site.change(["again"])
-    _at(site, 3.5, lambda: site.add_path("/again/1"))
+    site.later(3.5, lambda: site.add_path("/again/1"))
     for region in site.shape.regions:
         site.set_impatience(region, 3)
     ledgers = [entry for entry in site.replicas if entry.service == "ledger"]
     for entry in random.sample(ledgers, len(ledgers) * 2 // 3):
-        _at(site, 4.0 + random.random(), partial(site.misbehave, entry, Conduct.REJECTS, 8.0))
+        site.later(4.0 + random.random(), partial(site.misbehave, entry, Conduct.REJECTS, 8.0))
     models = [entry for entry in site.replicas if entry.service == "model"]
     for entry in random.sample(models, len(models) // 5):
-        _at(site, 6.0 + random.random(), partial(site.crash_replica, entry, 2.0, dark=True))
+        site.later(6.0 + random.random(), partial(site.crash_replica, entry, 2.0, dark=True))
 
 
 def power_goes_with_disks(site: GatewaySite, random: Random) -> None:
@@ -113,9 +110,9 @@
         if order.taken_at:
             strike()
         else:
-            _at(site, LOOK_S, look)
+            site.later(LOOK_S, look)
 
-    _at(site, LOOK_S, look)
+    site.later(LOOK_S, look)
 
 
 LARGE_DAYS = (
@@ -128,7 +125,3 @@
     clients_repeat_at_once,
     power_goes_with_disks,
 )
-
-
-def _at(site: GatewaySite, delay_s: float, action) -> None:
-    site.world.scheduler.after(delay_s, action)
--- a/rooklug_lab/gateway/random_day.py
+++ b/rooklug_lab/gateway/random_day.py
@@ -20,8 +20,6 @@
 IN_USE_AFTER_S = 4.0
 FINAL_LOSS_AT_S = 12.0
 FINAL_LOSS_SHARE = 0.5
-SLOW_EVENT_S = 0.004
-"""On a slow machine: about ten times what an event costs a front."""
 
 
 @attrs.define
@@ -40,14 +38,14 @@
         homes = [f"home-{region}" for region in self.site.shape.regions]
         order = self.site.change(["again", *homes])
         for name in ("again", *homes):
-            self._later(IN_USE_AFTER_S, lambda path=f"/{name}/1": self._use(order, path))
+            self.site.later(IN_USE_AFTER_S, lambda path=f"/{name}/1": self._use(order, path))
         troubles = self._troubles()
         for _ in range(self.random.randint(FEWEST, MOST)):
-            self._later(self.random.uniform(0.0, LAST_MOMENT_S), self.random.choice(troubles))
+            self.site.later(self.random.uniform(0.0, LAST_MOMENT_S), self.random.choice(troubles))
         for _ in range(self.random.randint(1, 5)):
-            self._later(self.random.uniform(0.0, FINAL_LOSS_AT_S), self.change)
+            self.site.later(self.random.uniform(0.0, FINAL_LOSS_AT_S), self.change)
         if self.random.random() < FINAL_LOSS_SHARE:
-            self._later(FINAL_LOSS_AT_S, self.lose_everything)
+            self.site.later(FINAL_LOSS_AT_S, self.lose_everything)
 
     def _troubles(self) -> list[Callable[[], None]]:
         return [
@@ -82,7 +80,7 @@
         self.changes += 1
         name = f"drawn{self.changes}"
         order = self.site.change([name])
-        self._later(IN_USE_AFTER_S, lambda: self._use(order, f"/{name}/1"))
+        self.site.later(IN_USE_AFTER_S, lambda: self._use(order, f"/{name}/1"))
 
     def rivals(self) -> None:
         """Two changes on one base, and an invalid one."""
@@ -100,7 +98,7 @@
     def kill_after_change(self) -> None:
         """Kill the primary a moment after a change was sent."""
         self.change()
-        self._later(self.random.uniform(0.0, 0.2), self.kill_primary)
+        self.site.later(self.random.uniform(0.0, 0.2), self.kill_primary)
 
     def kill_all_cores(self) -> None:
         """Kill every core's process at one moment."""
@@ -113,10 +111,7 @@
 
     def cut_zone(self) -> None:
         """Cut all cores and fronts of a zone off."""
-        zone = self._zone()
-        names = [*self.site.cores, *self.site.fronts]
-        inside = [name for name in names if self.site.process(name).place.zone == zone]
-        self.site.cut(inside, self._pause())
+        self.site.cut(self.site.nodes_in(self._zone()), self._pause())
 
     def cut_region(self) -> None:
         """Cut all cores and fronts of a region off; a site of one region loses a zone instead."""
@@ -124,15 +119,11 @@
             self.cut_zone()
             return
         region = self.random.choice(self.site.shape.regions)
-        names = [*self.site.cores, *self.site.fronts]
-        inside = [name for name in names if self.site.process(name).place.region == region]
-        self.site.cut(inside, self._pause())
+        self.site.cut(self.site.nodes_in(region), self._pause())
 
     def cut_core_in_halves(self) -> None:
         """Cut half of the cores off from the other half; everybody else reaches both."""
-        cores = self.site.cores
-        half = self.random.sample(cores, len(cores) // 2)
-        others = [name for name in cores if name not in half]
+        half, others = self.site.core_halves(self.random)
         self.site.cut_between(half, others, self._pause())
 
     def replace_core(self) -> None:
@@ -160,13 +151,13 @@
         names = self.random.sample(self.site.fronts, max(len(self.site.fronts) // 3, 1))
         if self.random.random() < 0.5:
             names.append(self.site.primary())
-        self.site.slow(names, SLOW_EVENT_S, self._pause())
+        self.site.slow(names, self._pause())
 
     def impatient_clients(self) -> None:
         """Let the clients of a region repeat at once what isn't served."""
         region = self.random.choice(self.site.shape.regions)
         self.site.set_impatience(region, self.random.randint(1, 4))
-        self._later(5.0, lambda: self.site.set_impatience(region, 0))
+        self.site.later(5.0, lambda: self.site.set_impatience(region, 0))
 
     # Fronts and replicas ---------------------------------------------------------
 
@@ -204,14 +195,14 @@
         back_s = self.random.uniform(2.0, 8.0)
         self.site.order_zone(zone, "empty")
         if self.random.random() < 0.5:
-            self._later(back_s - 0.1, lambda: self.site.turn_cold(zone))
-        self._later(back_s, lambda: self.site.order_zone(zone, "restore"))
+            self.site.later(back_s - 0.1, lambda: self.site.turn_cold(zone))
+        self.site.later(back_s, lambda: self.site.order_zone(zone, "restore"))
 
     def burst(self) -> None:
         """Multiply the traffic of a region for a while."""
         region = self.random.choice(self.site.shape.regions)
         self.site.set_rate(region, self.random.uniform(2.0, 3.0))
-        self._later(4.0, lambda: self.site.set_rate(region, 1.0))
+        self.site.later(4.0, lambda: self.site.set_rate(region, 1.0))
 
     def lose_everything(self) -> None:
         """End all processes, or the machines, at one moment."""
@@ -225,10 +216,7 @@
         if order.taken_at:
             self.site.add_path(path)
         elif not order.refused:
-            self._later(IN_USE_AFTER_S, lambda: self._use(order, path))
-
-    def _later(self, delay_s: float, action: Callable[[], None]) -> None:
-        self.site.world.scheduler.after(delay_s, action)
+            self.site.later(IN_USE_AFTER_S, lambda: self._use(order, path))
 
     def _pause(self) -> float:
         return self.random.uniform(0.8, 4.0)
--- a/rooklug_lab/gateway/scenarios.py
+++ b/rooklug_lab/gateway/scenarios.py
@@ -28,7 +28,7 @@
 def calm(site: GatewaySite, random: Random) -> None:
     """Nothing goes wrong; a change adds a route that clients use three seconds later."""
     site.change(["late"])
-    site.world.scheduler.after(3.5, lambda: site.add_path("/late/1"))
+    site.later(3.5, lambda: site.add_path("/late/1"))
 
 
 def replicas_fail(site: GatewaySite, random: Random) -> None:
@@ -42,8 +42,8 @@
     _at(site, random, lambda: site.drain(second))
     zone = random.choice(list(site.shape.zones))
     site.order_zone(zone, "empty")
-    site.world.scheduler.after(9.0, lambda: site.turn_cold(zone))
-    site.world.scheduler.after(9.1, lambda: site.order_zone(zone, "restore"))
+    site.later(9.0, lambda: site.turn_cold(zone))
+    site.later(9.1, lambda: site.order_zone(zone, "restore"))
 
 
 def control_is_killed(site: GatewaySite, random: Random) -> None:
@@ -52,10 +52,10 @@
     site.world.run_for(random.uniform(0.005, 0.3))
     wiped = random.random() < 0.5
     site.kill([site.primary()], 2.0, power=True, wipe=wiped)
-    site.world.scheduler.after(8.0, lambda: site.change(["second"]))
-    site.world.scheduler.after(8.0 + random.uniform(0.005, 0.3), lambda: _kill_all_cores(site))
+    site.later(8.0, lambda: site.change(["second"]))
+    site.later(8.0 + random.uniform(0.005, 0.3), lambda: _kill_all_cores(site))
     leaving = random.choice(site.replicas)
-    site.world.scheduler.after(8.5, lambda: site.drain(leaving))
+    site.later(8.5, lambda: site.drain(leaving))
 
 
 def everything_is_killed(site: GatewaySite, random: Random) -> None:
@@ -71,53 +71,51 @@
     site.jump_clocks(random.choice([-20_000, 20_000]))
     primary = site.primary()
     site.cut([primary], random.uniform(3.0, 5.0))
-    site.world.scheduler.after(1.0, lambda: site.change(["first"]))
-    site.world.scheduler.after(1.2, lambda: site.order_zone("north-b", "empty"))
-    site.world.scheduler.after(6.0, lambda: site.order_zone("north-b", "restore"))
+    site.later(1.0, lambda: site.change(["first"]))
+    site.later(1.2, lambda: site.order_zone("north-b", "empty"))
+    site.later(6.0, lambda: site.order_zone("north-b", "restore"))
     other = random.choice([core for core in site.cores if core != primary])
-    site.world.scheduler.after(9.5, lambda: site.stall_disk(other, 3.0))
-    site.world.scheduler.after(10.0, lambda: site.change(["second"]))
+    site.later(9.5, lambda: site.stall_disk(other, 3.0))
+    site.later(10.0, lambda: site.change(["second"]))
     outbound = random.random() < 0.5
-    site.world.scheduler.after(
-        11.0, lambda: site.cut([random.choice(site.cores)], 3.0, outbound=outbound)
-    )
+    site.later(11.0, lambda: site.cut([random.choice(site.cores)], 3.0, outbound=outbound))
 
 
 def configurations_storm(site: GatewaySite, random: Random) -> None:
     """Changes in quick succession, races, invalid ones, and many routes at once."""
     for number in range(12):
         delay_s = 0.4 * number
-        site.world.scheduler.after(delay_s, lambda n=number: site.change([f"storm{n}"]))
+        site.later(delay_s, lambda n=number: site.change([f"storm{n}"]))
         if number % 3 == 0:
-            site.world.scheduler.after(delay_s, site.rival)
+            site.later(delay_s, site.rival)
         if number % 4 == 0:
-            site.world.scheduler.after(delay_s + 0.2, site.invalid)
+            site.later(delay_s + 0.2, site.invalid)
     many = [f"many{number}" for number in range(300)]
-    site.world.scheduler.after(7.0, lambda: site.change(many))
-    site.world.scheduler.after(10.5, lambda: site.add_path("/many299/1"))
-    site.world.scheduler.after(10.5, lambda: site.add_path("/storm11/1"))
+    site.later(7.0, lambda: site.change(many))
+    site.later(10.5, lambda: site.add_path("/many299/1"))
+    site.later(10.5, lambda: site.add_path("/storm11/1"))
 
 
 def traffic_moves(site: GatewaySite, random: Random) -> None:
     """A burst in one region while the other's replicas turn cold, then the other way round."""
     site.set_rate("south", 3.0)
     site.turn_cold("south-a")
-    site.world.scheduler.after(5.0, lambda: site.set_rate("south", 0.5))
-    site.world.scheduler.after(5.0, lambda: site.set_rate("north", 3.0))
-    site.world.scheduler.after(6.0, lambda: site.turn_cold("north-a"))
-    site.world.scheduler.after(6.2, lambda: site.turn_cold("north-b"))
-    site.world.scheduler.after(10.0, lambda: site.set_rate("north", 1.0))
+    site.later(5.0, lambda: site.set_rate("south", 0.5))
+    site.later(5.0, lambda: site.set_rate("north", 3.0))
+    site.later(6.0, lambda: site.turn_cold("north-a"))
+    site.later(6.2, lambda: site.turn_cold("north-b"))
+    site.later(10.0, lambda: site.set_rate("north", 1.0))
 
 
 def zone_returns_cold(site: GatewaySite, random: Random) -> None:
     """A zone is taken back in a burst, a moment after its replicas have turned cold."""
     zone = "south-a"
     site.order_zone(zone, "empty")
-    site.world.scheduler.after(5.0, lambda: site.set_rate("south", 4.0))
+    site.later(5.0, lambda: site.set_rate("south", 4.0))
     moment_s = random.uniform(7.0, 9.0)
-    site.world.scheduler.after(moment_s, lambda: site.turn_cold(zone))
-    site.world.scheduler.after(moment_s + 0.05, lambda: site.order_zone(zone, "restore"))
-    site.world.scheduler.after(14.0, lambda: site.set_rate("south", 1.0))
+    site.later(moment_s, lambda: site.turn_cold(zone))
+    site.later(moment_s + 0.05, lambda: site.order_zone(zone, "restore"))
+    site.later(14.0, lambda: site.set_rate("south", 1.0))
 
 
 def region_is_lost(site: GatewaySite, random: Random) -> None:
@@ -128,11 +126,11 @@
     region = random.choice(site.shape.regions)
     for other in site.shape.regions:
         site.set_rate(other, 4.0)
-    site.world.scheduler.after(1.0, lambda: site.lose_region(region, random.uniform(1.5, 5.5)))
-    site.world.scheduler.after(9.0, lambda: site.cut([site.primary()], 3.0))
-    site.world.scheduler.after(9.5, lambda: site.lose_region(region, random.uniform(1.5, 3.5)))
+    site.later(1.0, lambda: site.lose_region(region, random.uniform(1.5, 5.5)))
+    site.later(9.0, lambda: site.cut([site.primary()], 3.0))
+    site.later(9.5, lambda: site.lose_region(region, random.uniform(1.5, 3.5)))
     for other in site.shape.regions:
-        site.world.scheduler.after(15.0, lambda place=other: site.set_rate(place, 1.0))
+        site.later(15.0, lambda place=other: site.set_rate(place, 1.0))
 
 
 def control_falls_apart(site: GatewaySite, random: Random) -> None:
@@ -140,21 +138,19 @@
     for region in site.shape.regions:
         site.set_rate(region, 3.0)
     first, second = random.sample(list(site.shape.zones), 2)
-    half = random.sample(site.cores, len(site.cores) // 2)
-    others = [name for name in site.cores if name not in half]
+    half, others = site.core_halves(random)
     site.order_zone(first, "empty")
     site.order_zone(second, "empty")
-    _later(site, 1.0, lambda: site.cut_between(half, others, random.uniform(2.0, 4.0)))
+    site.later(1.0, lambda: site.cut_between(half, others, random.uniform(2.0, 4.0)))
     moment_s = random.uniform(1.5, 4.5)
-    _later(site, moment_s, lambda: site.turn_cold(first))
-    _later(site, moment_s + 0.05, lambda: site.order_zone(first, "restore"))
+    site.later(moment_s, lambda: site.turn_cold(first))
+    site.later(moment_s + 0.05, lambda: site.order_zone(first, "restore"))
     region = random.choice(site.shape.regions)
-    names = [*site.cores, *site.fronts]
-    inside = [name for name in names if site.process(name).place.region == region]
-    _later(site, 6.0, lambda: site.cut(inside, random.uniform(2.0, 4.0)))
+    inside = site.nodes_in(region)
+    site.later(6.0, lambda: site.cut(inside, random.uniform(2.0, 4.0)))
     moment_s = random.uniform(6.5, 9.5)
-    _later(site, moment_s, lambda: site.turn_cold(second))
-    _later(site, moment_s + 0.05, lambda: site.order_zone(second, "restore"))
+    site.later(moment_s, lambda: site.turn_cold(second))
+    site.later(moment_s + 0.05, lambda: site.order_zone(second, "restore"))
 
 
 def replicas_lie(site: GatewaySite, random: Random) -> None:
@@ -165,7 +161,7 @@
     homes = [f"home-{region}" for region in site.shape.regions]
     site.change(["again", *homes])
     for name in ("again", *homes):
-        site.world.scheduler.after(3.5, lambda path=f"/{name}/1": site.add_path(path))
+        site.later(3.5, lambda path=f"/{name}/1": site.add_path(path))
     models = [entry for entry in site.replicas if entry.service == "model"]
     ledgers = [entry for entry in site.replicas if entry.service == "ledger"]
     liars = [*random.sample(models, 2), *random.sample(ledgers, 2)]
@@ -174,7 +170,7 @@
             conduct = random.choice([Conduct.FAILS, Conduct.REJECTS, Conduct.SILENT])
             begin_s += random.uniform(0.0, 1.5)
             action = partial(site.misbehave, entry, conduct, random.uniform(0.5, 2.5))
-            site.world.scheduler.after(begin_s, action)
+            site.later(begin_s, action)
 
 
 SCENARIOS: dict[str, Scenario] = {
@@ -235,12 +231,8 @@
     return WIDE_SHAPE if name in WIDE else FIXED_SHAPE
 
 
-def _later(site: GatewaySite, delay_s: float, action: Callable[[], object]) -> None:
-    site.world.scheduler.after(delay_s, action)
-
-
 def _at(site: GatewaySite, random: Random, action: Callable[[], None]) -> None:
-    site.world.scheduler.after(random.uniform(0.5, TROUBLE_S / 2), action)
+    site.later(random.uniform(0.5, TROUBLE_S / 2), action)
 
 
 def _kill_all_cores(site: GatewaySite) -> None:
--- a/rooklug_lab/gateway/shape.py
+++ b/rooklug_lab/gateway/shape.py
@@ -38,13 +38,16 @@
         return self.minimum_copies - 1
 
 
+def zones_of(regions: tuple[str, ...], letters: str) -> dict[str, str]:
+    """Return as many zones for each region as there are letters; regions take turns."""
+    return {f"{region}-{letter}": region for letter in letters for region in regions}
+
+
 FIXED_ZONES = {"north-a": "north", "north-b": "north", "south-a": "south"}
 FIXED_SHAPE = SiteShape(zones=FIXED_ZONES, core_zones=tuple(FIXED_ZONES))
 """Three cores, nine fronts, two regions: what most scenarios run on."""
 
-WIDE_ZONES = {
-    f"{region}-{letter}": region for letter in "ab" for region in ("north", "south", "west")
-}
+WIDE_ZONES = zones_of(("north", "south", "west"), "ab")
 WIDE_SHAPE = SiteShape(
     zones=WIDE_ZONES,
     core_zones=tuple(WIDE_ZONES),
@@ -57,7 +60,7 @@
 """Six cores, thirty fronts, three regions, one of which may be lost."""
 
 
-LARGE_ZONES = {f"{region}-{letter}": region for letter in "abc" for region in ("north", "south")}
+LARGE_ZONES = zones_of(("north", "south"), "abc")
 LARGE_SHAPE = SiteShape(
     zones=LARGE_ZONES,
     core_zones=tuple(LARGE_ZONES),
--- a/rooklug_lab/gateway/site.py
+++ b/rooklug_lab/gateway/site.py
@@ -2,21 +2,22 @@
 
 import json
 from collections.abc import Callable, Iterable
+from random import Random
 
 from rooklug.gateway.build import GatewayLimits, compose_gateway_core, compose_gateway_front
 from rooklug.gateway.replica_pace import ColdBound
 from rooklug.model.settings import CoreSettings, NodeSettings
-from rooklug_lab.gateway.clients import HOST, ClientStandIn, OperatorStandIn
+from rooklug_lab.gateway.clients import ClientStandIn, OperatorStandIn
 from rooklug_lab.gateway.dialect import control_dialect, edge_dialect
 from rooklug_lab.gateway.journal import Disturbance, Journal, Order
 from rooklug_lab.gateway.oracles import (
     BUDGET,
     COLD_OVERSHOOT,
     COLD_SLACK,
-    REPEATABLE_REPLICAS,
 )
 from rooklug_lab.gateway.replicas import Conduct, PlatformStandIn, ReplicaEntry, ReplicaStandIn
 from rooklug_lab.gateway.shape import FIXED_SHAPE, SiteShape
+from rooklug_lab.gateway.site_document import site_document
 from rooklug_lab.sim.network import Place
 from rooklug_lab.sim.process import SimulatedProcess
 from rooklug_lab.sim.world import World
@@ -24,6 +25,8 @@
 SEEDS = 3
 """The first view is formed of so many cores; the others join it."""
 MODEL_COLD_S = 3.0
+SLOW_EVENT_S = 0.004
+"""On a slow machine: about ten times what an event costs a front."""
 LIST_ADDRESS = "10.200.0.1:80"
 
 
@@ -65,6 +68,10 @@
         self._first_start = False
         self.change(["s", "once"])
 
+    def later(self, delay_s: float, action: Callable[[], object]) -> None:
+        """Do something after a while."""
+        self.world.scheduler.after(delay_s, action)
+
     # Orders ---------------------------------------------------------------
 
     def change(self, routes: Iterable[str] = (), version_step: int = 1) -> Order:
@@ -119,6 +126,16 @@
         """Return a process by name."""
         return self.world.processes[name]
 
+    def nodes_in(self, place: str) -> list[str]:
+        """Return the cores and fronts of a zone or of a region."""
+        nodes = [*self.cores, *self.fronts]
+        return [name for name in nodes if self._is_in(place, self.process(name).place)]
+
+    def core_halves(self, random: Random) -> tuple[list[str], list[str]]:
+        """Part the cores by lot; the second half is the larger one of an odd number."""
+        half = random.sample(self.cores, len(self.cores) // 2)
+        return half, [name for name in self.cores if name not in half]
+
     def kill(self, names: Iterable[str], for_s: float, power: bool = False, wipe: bool = False):
         """Kill processes; they come back after ``for_s``, with ``wipe`` on empty disks."""
         names = list(names)
@@ -128,16 +145,11 @@
             if wipe and process.disk is not None:
                 process.disk.lose()
         self._disturb("kill", for_s)
-        self._later(for_s, lambda: [self._restart(name) for name in names])
+        self.later(for_s, lambda: [self._restart(name) for name in names])
 
     def lose_region(self, region: str, for_s: float) -> None:
         """Let all machines and replicas of a region lose power; they come back together."""
-        inside = [
-            name
-            for name in (*self.cores, *self.fronts)
-            if self.process(name).place.region == region
-        ]
-        self.kill(inside, for_s, power=True)
+        self.kill(self.nodes_in(region), for_s, power=True)
         for entry in self.replicas:
             if entry.region == region:
                 self.crash_replica(entry, for_s, dark=True)
@@ -145,17 +157,17 @@
     def crash_replica(self, entry: ReplicaEntry, for_s: float, dark: bool = False) -> None:
         """End a replica; it comes back cold under a new id."""
         (self.world.machine_fails if dark else self.world.kill)(entry.process)
-        self._later(for_s, lambda: self._restart_replica(entry))
+        self.later(for_s, lambda: self._restart_replica(entry))
 
     def misbehave(self, entry: ReplicaEntry, conduct: Conduct, for_s: float) -> None:
         """Let a replica lie for a while: it is listed as sound and doesn't serve."""
         entry.conduct = conduct
-        self._later(for_s, lambda: setattr(entry, "conduct", Conduct.SOUND))
+        self.later(for_s, lambda: setattr(entry, "conduct", Conduct.SOUND))
 
     def drain(self, entry: ReplicaEntry, after_s: float = 6.0, for_s: float = 1.0) -> None:
         """Announce that a replica leaves, then end it."""
         entry.leaving = True
-        self._later(after_s, lambda: self.crash_replica(entry, for_s))
+        self.later(after_s, lambda: self.crash_replica(entry, for_s))
 
     def turn_cold(self, zone: str) -> None:
         """Let the replicas of a zone turn cold without a restart."""
@@ -170,16 +182,16 @@
         outside = [p.place for p in self.world.processes.values() if p.place.ip not in ips]
         network = self.world.network
         network.cut(outside, inside)
-        self._later(for_s, lambda: network.heal(outside, inside))
+        self.later(for_s, lambda: network.heal(outside, inside))
         if outbound:
             network.cut(inside, outside)
-            self._later(for_s, lambda: network.heal(inside, outside))
+            self.later(for_s, lambda: network.heal(inside, outside))
         self._disturb("cut", for_s)
 
     def cut_zone(self, zone: str, for_s: float) -> None:
         """Partition a zone's cores, fronts and replicas from all others; clients reach them."""
         names = [*self.cores, *self.fronts, *(entry.name for entry in self.replicas)]
-        inside = [name for name in names if self.process(name).place.zone == zone]
+        inside = [name for name in names if self._is_in(zone, self.process(name).place)]
         self.cut_between(inside, [name for name in names if name not in inside], for_s)
 
     def cut_between(self, some: Iterable[str], others: Iterable[str], for_s: float) -> None:
@@ -189,15 +201,15 @@
         network = self.world.network
         for source, target in ((one, two), (two, one)):
             network.cut(source, target)
-            self._later(for_s, lambda s=source, t=target: network.heal(s, t))
+            self.later(for_s, lambda s=source, t=target: network.heal(s, t))
         self._disturb("cut", for_s)
 
-    def slow(self, names: Iterable[str], event_s: float, for_s: float) -> None:
-        """Let machines take so long for each event of their processes."""
+    def slow(self, names: Iterable[str], for_s: float) -> None:
+        """Let machines take ``SLOW_EVENT_S`` for each event of their processes."""
         slowed = [self.process(name) for name in names]
         for process in slowed:
-            process.event_s = event_s
-        self._later(for_s, lambda: [setattr(process, "event_s", 0.0) for process in slowed])
+            process.event_s = SLOW_EVENT_S
+        self.later(for_s, lambda: [setattr(process, "event_s", 0.0) for process in slowed])
         self._disturb("slow", for_s)
 
     def add_machines(self, zone: str, count: int) -> list[str]:
@@ -223,7 +235,7 @@
         )
         self._add_core(place, self.shape.core_zones[place])
         self.process("operator").reducer.cores = self._operator_addresses()
-        self._later(after_s, lambda: self.process(successor).start())
+        self.later(after_s, lambda: self.process(successor).start())
         return successor
 
     def stall_disk(self, name: str, for_s: float) -> None:
@@ -252,8 +264,9 @@
 
     # Inside ---------------------------------------------------------------
 
-    def _later(self, delay_s: float, action: Callable[[], object]) -> None:
-        self.world.scheduler.after(delay_s, action)
+    @staticmethod
+    def _is_in(place: str, where: Place) -> bool:
+        return place in (where.zone, where.region)
 
     def _disturb(self, kind: str, for_s: float) -> None:
         now = self.world.now
@@ -275,7 +288,7 @@
             self._version -= 1
 
     def _document(self, version: int, routes: list[str]) -> bytes:
-        return _document(version, routes, self.shape.cold_rate_per_s)
+        return site_document(version, routes, self.shape.cold_rate_per_s)
 
     def _operate(self, action: Callable[[OperatorStandIn, float], list]) -> None:
         self.process("operator").act(action)
@@ -417,37 +430,3 @@
         bind_ip=ip,
         platform_address=LIST_ADDRESS,
     )
-
-
-def _route(name: str) -> dict:
-    """Return a route: "s" streams, "again" may be repeated, "home-R" is bound to region R."""
-    execution = {"s": "event_stream", "again": "repeatable"}.get(name, "at_most_once")
-    home = name.removeprefix("home-") if name.startswith("home-") else ""
-    return {
-        "name": name,
-        "host": HOST,
-        "prefix": f"/{name}/",
-        "execution": execution,
-        "timeout_ms": 4000,
-        "latency_objective_ms": 800,
-        "priority": 1,
-        "service": "model" if name == "s" else "ledger",
-        "max_replicas": REPEATABLE_REPLICAS if name == "again" else 1,
-        "affinity": name == "s",
-        "home_regions": [home] if home else [],
-    }
-
-
-def _document(version: int, routes: list[str], cold_rate_per_s: float) -> bytes:
-    items = [_route(name) for name in routes]
-    services = [
-        {
-            "name": "model",
-            "health_path": "/health",
-            "max_connections": 100,
-            "cold_requests_per_s": cold_rate_per_s,
-            "engine": {"slots": 40, "key_value_tokens": 200000},
-        },
-        {"name": "ledger", "health_path": "/health", "max_connections": 100},
-    ]
-    return json.dumps({"version": version, "routes": items, "services": services}).encode()
--- a/tests/gateway_support.py
+++ b/tests/gateway_support.py
@@ -151,3 +151,8 @@
         "content-type": "text/plain",
         **fields,
     }
+
+
+def every_replica(view: GatewayView, service: str, homes: tuple[str, ...]) -> list[Any]:
+    """Stand in for ``GatewayView.usable`` without its guards."""
+    return list(view.replicas.get(service, ()))
--- a/tests/test_gateway_large.py
+++ b/tests/test_gateway_large.py
@@ -11,6 +11,7 @@
 from rooklug_lab.gateway.large_days import LARGE_DAYS
 from rooklug_lab.gateway.scenarios import LARGE, run_gateway_scenario
 from rooklug_lab.gateway.shape import LARGE_SHAPE
+from tests.gateway_support import every_replica
 
 LEAST_SERVED = 0.85
 LEAST_SERVED_WHERE_REPLICAS_REJECT = 0.65
@@ -77,10 +78,6 @@
         self.assertEqual(8, len(LARGE_DAYS))
 
 
-def _every_replica(view: GatewayView, service: str, homes: tuple[str, ...]) -> list[Any]:
-    return list(view.replicas.get(service, ()))
-
-
 def _always(*_: Any) -> bool:
     return True
 
@@ -96,11 +93,11 @@
         self.assertIn(oracle, run_gateway_scenario(scenario, seed).broken)
 
     def test_leaving_replicas_are_left_out_by_slow_machines(self) -> None:
-        with mock.patch.object(GatewayView, "usable", _every_replica):
+        with mock.patch.object(GatewayView, "usable", every_replica):
             self.caught("leaving_get_nothing", "machines_turn_slow")
 
     def test_emptied_zones_are_left_out_by_added_machines(self) -> None:
-        with mock.patch.object(GatewayView, "usable", _every_replica):
+        with mock.patch.object(GatewayView, "usable", every_replica):
             self.caught("emptied_get_nothing", "machines_are_added")
 
     def test_repeats_have_a_budget_whatever_clients_do(self) -> None:
--- a/tests/test_gateway_replica_pool.py
+++ b/tests/test_gateway_replica_pool.py
@@ -6,22 +6,16 @@
 
 from rooklug.gateway.prefix_table import PrefixTable
 from rooklug.gateway.replica_pool import DRAWN, SMALL_POOL, RegionPool
-from rooklug.gateway.replicas import GatewayReplica
 from rooklug.gateway.requests import PromptPart
 from rooklug.routing.hash_ring import HashRing
 from rooklug_lab.policy.decision_cost import measure_decision
+from tests.gateway_support import replica
 
 SEEDS = range(20)
 
 
-def replica(number: int, region: str = "north") -> GatewayReplica:
-    return GatewayReplica(
-        f"replica-{number}", f"10.0.0.{number}:80", "model", region, "zone", 64, False
-    )
-
-
 def pool_of(size: int) -> RegionPool:
-    return RegionPool(tuple(replica(number) for number in range(size)))
+    return RegionPool(tuple(replica(number, "replica") for number in range(size)))
 
 
 class Rings(unittest.TestCase):
--- a/tests/test_gateway_site.py
+++ b/tests/test_gateway_site.py
@@ -23,6 +23,7 @@
 from rooklug_lab.gateway.oracles import ORACLES, judge
 from rooklug_lab.gateway.scenarios import LARGE, SCENARIOS, run_gateway_scenario
 from rooklug_lab.gateway.site import GatewaySite
+from tests.gateway_support import every_replica
 
 SEEDS = (1, 2)
 LEAST_SERVED = 0.85
@@ -119,10 +120,6 @@
     return site.process(name).reducer.parts[GatewayExecutor.name]._decision
 
 
-def _every_replica(view: GatewayView, service: str, homes: tuple[str, ...]) -> list[Any]:
-    return list(view.replicas.get(service, ()))
-
-
 def _end_as_if_whole(executor: GatewayExecutor, passage: Passage) -> list[fx.Effect]:
     executor._forget(passage)
     return [fx.HttpStreamEnd(passage.request.http_id)]
@@ -173,13 +170,13 @@
         self.caught("answers_are_whole", "replicas_fail", *replaced)
 
     def test_leaving_replicas_are_left_out(self) -> None:
-        self.caught("leaving_get_nothing", "replicas_fail", GatewayView, "usable", _every_replica)
+        self.caught("leaving_get_nothing", "replicas_fail", GatewayView, "usable", every_replica)
 
     def test_emptied_zones_are_left_out(self) -> None:
-        self.caught("emptied_get_nothing", "replicas_fail", GatewayView, "usable", _every_replica)
+        self.caught("emptied_get_nothing", "replicas_fail", GatewayView, "usable", every_replica)
 
     def test_home_regions_are_kept(self) -> None:
-        self.caught("stays_home", "replicas_lie", GatewayView, "usable", _every_replica)
+        self.caught("stays_home", "replicas_lie", GatewayView, "usable", every_replica)
 
     def test_cold_replicas_are_spared(self) -> None:
         always = lambda *_: True  # noqa: E731
