--- a/rooklug/api/build.py
+++ b/rooklug/api/build.py
@@ -8,13 +8,13 @@
 from rooklug.api.status import StatusCollector
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
-from rooklug.engine.composite import Part, PartDefaults
+from rooklug.engine.component import BaseComponent, Component
 from rooklug.engine.reducer import MetricSample, ProcessContext
 from rooklug.model import topics
 from rooklug.model.settings import NodeSettings
 
 
-class OperatorApi(PartDefaults):
+class OperatorApi(BaseComponent):
     """Serves ``/v1/config``, ``/v1/zones``, ``/v1/status`` and ``/v1/decisions``."""
 
     name = "operator-api"
@@ -77,6 +77,8 @@
         return configuration_answer(request_id, body.version, body.digest, body.document)
 
 
-def build_operator_parts(settings: NodeSettings, context: ProcessContext, core_link) -> list[Part]:
+def build_operator_components(
+    settings: NodeSettings, context: ProcessContext, core_link
+) -> list[Component]:
     """Return the parts of the operators' API."""
     return [OperatorApi(settings, context, core_link)]
--- a/rooklug/api/status.py
+++ b/rooklug/api/status.py
@@ -10,7 +10,7 @@
 from rooklug.engine.reducer import Identifiers
 from rooklug.model import topics
 from rooklug.model.constants import CALL_DEADLINE_S
-from rooklug.model.marks import mark_key
+from rooklug.model.versions import version_key
 from rooklug.wire.generated.control.ttypes import (
     CoreStatus,
     NodeRecord,
@@ -137,5 +137,5 @@
     return {
         "role_key": owner.role_key,
         "node_id": owner.node_id,
-        "token": list(mark_key(owner.token)),
+        "token": list(version_key(owner.token)),
     }
--- a/rooklug/cli/compose.py
+++ b/rooklug/cli/compose.py
@@ -11,48 +11,48 @@
 
 def compose_core(settings: CoreSettings, context: ProcessContext) -> CompositeReducer:
     """Return the reducer of a core."""
-    from rooklug.core.build import build_core_parts
-    from rooklug.front.once_only.claim_store import build_claim_store_parts
-    from rooklug.membership.build import build_membership_parts
+    from rooklug.core.build import build_core_components
+    from rooklug.front.once_only.claim_store import build_claim_store_components
+    from rooklug.membership.build import build_membership_components
 
     return CompositeReducer(
         [
-            *build_core_parts(settings, context),
-            *build_membership_parts(settings, context),
-            *build_claim_store_parts(context),
+            *build_core_components(settings, context),
+            *build_membership_components(settings, context),
+            *build_claim_store_components(context),
         ]
     )
 
 
 def compose_front(settings: NodeSettings, context: ProcessContext) -> CompositeReducer:
     """Return the reducer of a front."""
-    from rooklug.api.build import build_operator_parts
+    from rooklug.api.build import build_operator_components
     from rooklug.distribution.core_link import CoreLink
-    from rooklug.front.build import build_front_parts
-    from rooklug.front.once_only.build import build_once_only_parts
+    from rooklug.front.build import build_front_components
+    from rooklug.front.once_only.build import build_once_only_components
     from rooklug.front.readiness import Readiness
 
     core_link = CoreLink(settings, context)
-    front_parts = build_front_parts(settings, context, core_link)
-    once_only_parts = build_once_only_parts(settings, context, core_link)
-    readiness = next(part for part in front_parts if isinstance(part, Readiness))
+    front_components = build_front_components(settings, context, core_link)
+    once_only_parts = build_once_only_components(settings, context, core_link)
+    readiness = next(part for part in front_components if isinstance(part, Readiness))
     readiness.watch(once_only_parts[0].active_requests)
     return CompositeReducer(
         [
             core_link,
-            *front_parts,
+            *front_components,
             *once_only_parts,
-            *build_operator_parts(settings, context, core_link),
+            *build_operator_components(settings, context, core_link),
         ]
     )
 
 
 def compose_controller(settings: NodeSettings, context: ProcessContext) -> CompositeReducer:
     """Return the reducer of a controller."""
-    from rooklug.controller.build import build_controller_parts
+    from rooklug.controller.build import build_controller_components
     from rooklug.distribution.core_link import CoreLink
 
     core_link = CoreLink(settings, context)
     return CompositeReducer(
-        [core_link, *build_controller_parts(settings, context, core_link), GracefulStop()]
+        [core_link, *build_controller_components(settings, context, core_link), GracefulStop()]
     )
--- a/rooklug/cli/graceful_stop.py
+++ b/rooklug/cli/graceful_stop.py
@@ -2,14 +2,14 @@
 
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
-from rooklug.engine.composite import PartDefaults
+from rooklug.engine.component import BaseComponent
 
 # Long enough for the last lease renewal ("leaving") to be answered.
 STOP_DELAY_S = 1.0
 _TIMER = "stop"
 
 
-class GracefulStop(PartDefaults):
+class GracefulStop(BaseComponent):
     """Stops the process a moment after it was asked to."""
 
     name = "graceful-stop"
--- a/rooklug/controller/build.py
+++ b/rooklug/controller/build.py
@@ -11,7 +11,7 @@
 from rooklug.controller.platform_watcher import PlatformWatcher
 from rooklug.controller.prober import Prober
 from rooklug.controller.reach import Reach
-from rooklug.engine.composite import Part
+from rooklug.engine.component import Component
 from rooklug.engine.reducer import ProcessContext
 from rooklug.model.settings import NodeSettings
 from rooklug.model.topics import PROBER_SHARDS
@@ -32,12 +32,12 @@
     return read_configuration(document)
 
 
-def build_controller_parts(
+def build_controller_components(
     settings: NodeSettings,
     context: ProcessContext,
     core_link: Link,
     solve: Solve = solve_placement,
-) -> list[Part]:
+) -> list[Component]:
     """Return the parts of a controller beside its core link."""
     reach = Reach()
     tools = PlacerTools(context, core_link, solve, read_document)
--- a/rooklug/controller/notices.py
+++ b/rooklug/controller/controller_events.py
@@ -2,19 +2,19 @@
 
 import attrs
 
-from rooklug.engine.composite import Notice
+from rooklug.engine.component import InternalEvent
 from rooklug.wire.generated.control.ttypes import ProbeReport
 
 
 @attrs.frozen
-class ProbesReported(Notice):
+class ProbesReported(InternalEvent):
     """Probe results for the placer when it lives in this process."""
 
     report: ProbeReport
 
 
 @attrs.frozen
-class ProbeHints(Notice):
+class ProbeHints(InternalEvent):
     """The placer's answer to ``ProbesReported``: what to probe at once, what seldom."""
 
     shard_role: str
--- a/rooklug/controller/link.py
+++ b/rooklug/controller/link.py
@@ -15,8 +15,8 @@
 class Link(Protocol):
     """The part of ``rooklug.distribution.core_link.CoreLink`` that controllers use."""
 
-    def mark(self, topic: str) -> VersionMark:
-        """Return the mark of the held body of ``topic``."""
+    def version(self, topic: str) -> VersionMark:
+        """Return the version of the held body of ``topic``."""
         ...
 
     def body(self, topic: str) -> Any:
--- a/rooklug/controller/placer.py
+++ b/rooklug/controller/placer.py
@@ -2,17 +2,17 @@
 
 from collections.abc import Iterable
 
-from rooklug.controller.notices import ProbeHints, ProbesReported
+from rooklug.controller.controller_events import ProbeHints, ProbesReported
 from rooklug.controller.placer_term import PlacerTerm, PlacerTools
 from rooklug.controller.role import RoleChange, RoleFollower
 from rooklug.controller.sharding import shard_of, shard_role
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
-from rooklug.engine.composite import Notify, PartDefaults
+from rooklug.engine.component import BaseComponent, EmitEvent
 from rooklug.engine.reducer import MetricSample
-from rooklug.model.marks import mark_key
-from rooklug.model.notices import GrantsChanged, TopicChanged
+from rooklug.model.internal_events import GrantsChanged, TopicChanged
 from rooklug.model.topics import PROBER_SHARDS, ROLE_PLACER
+from rooklug.model.versions import version_key
 from rooklug.wire.generated.control.ttypes import (
     DemandAnswer,
     DemandReport,
@@ -26,12 +26,12 @@
 _SHARD_ROLES = {shard_role(shard): shard for shard in range(PROBER_SHARDS)}
 
 
-class PlacerHost(PartDefaults):
+class PlacerHost(BaseComponent):
     """Follows the role, answers fronts and probers, and lets the term act."""
 
     name = "placer"
     call_types = (DemandReport, ProbeReport)
-    notice_types = (GrantsChanged, TopicChanged, ProbesReported)
+    subscribes_to = (GrantsChanged, TopicChanged, ProbesReported)
 
     def __init__(self, tools: PlacerTools) -> None:
         self._tools = tools
@@ -109,11 +109,11 @@
         hints = self._take_probes(report, now)
         if hints is None:
             return []
-        return [Notify(ProbeHints(report.grant.role_key, hints.probe_soon, hints.steady))]
+        return [EmitEvent(ProbeHints(report.grant.role_key, hints.probe_soon, hints.steady))]
 
     def _take_probes(self, report: ProbeReport, now: float):
         """Take results unless they come under an older token of the shard."""
-        role_key, token = report.grant.role_key, mark_key(report.grant.token)
+        role_key, token = report.grant.role_key, version_key(report.grant.token)
         if self.term is None or role_key not in _SHARD_ROLES:
             return None
         if token < self._prober_tokens.get(role_key, (0, 0)):
--- a/rooklug/controller/platform_watcher.py
+++ b/rooklug/controller/platform_watcher.py
@@ -10,10 +10,10 @@
 from rooklug.controller.role import RoleChange, RoleFollower
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
-from rooklug.engine.composite import PartDefaults
+from rooklug.engine.component import BaseComponent
 from rooklug.engine.reducer import MetricSample, ProcessContext
 from rooklug.model.constants import PLATFORM_POLL_S
-from rooklug.model.notices import GrantsChanged
+from rooklug.model.internal_events import GrantsChanged
 from rooklug.model.settings import NodeSettings
 from rooklug.model.topics import REPLICAS, ROLE_PLATFORM_WATCHER
 from rooklug.wire.generated.control.ttypes import ListedReplica, ReplicasBody
@@ -28,11 +28,11 @@
 _POLL = "poll"
 
 
-class PlatformWatcher(PartDefaults):
+class PlatformWatcher(BaseComponent):
     """Long-polls the platform while it holds the role, and publishes each changed list."""
 
     name = "platform-watcher"
-    notice_types = (GrantsChanged,)
+    subscribes_to = (GrantsChanged,)
 
     def __init__(self, settings: NodeSettings, context: ProcessContext, core_link: Link) -> None:
         self._platform_address = settings.platform_address
--- a/rooklug/controller/prober.py
+++ b/rooklug/controller/prober.py
@@ -4,8 +4,8 @@
 
 import attrs
 
+from rooklug.controller.controller_events import ProbeHints, ProbesReported
 from rooklug.controller.link import Link
-from rooklug.controller.notices import ProbeHints, ProbesReported
 from rooklug.controller.probe_outbox import ProbeOutbox, ProbeOutcome
 from rooklug.controller.probe_schedule import ProbeBudget, ProbeTarget
 from rooklug.controller.reach import Reach
@@ -14,13 +14,13 @@
 from rooklug.controller.sharding import shard_of, shard_role
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
-from rooklug.engine.composite import Notify, PartDefaults
+from rooklug.engine.component import BaseComponent, EmitEvent
 from rooklug.engine.reducer import MetricSample, ProcessContext
 from rooklug.model.constants import CALL_DEADLINE_S
-from rooklug.model.marks import mark_key
-from rooklug.model.notices import GrantsChanged, TopicChanged
+from rooklug.model.internal_events import GrantsChanged, TopicChanged
 from rooklug.model.settings import NodeSettings
 from rooklug.model.topics import REPLICAS, ROLE_PLACER
+from rooklug.model.versions import version_key
 from rooklug.wire.generated.control.ttypes import (
     ListedReplica,
     ProbeReport,
@@ -48,10 +48,10 @@
     own: bool
 
 
-class Prober(PartDefaults):
+class Prober(BaseComponent):
     """One prober shard. Every replica has one prober in the whole fleet."""
 
-    notice_types = (GrantsChanged, TopicChanged, ProbeHints)
+    subscribes_to = (GrantsChanged, TopicChanged, ProbeHints)
 
     def __init__(
         self,
@@ -225,12 +225,12 @@
         if owner is None or not self._role.held or self._report_call is not None:
             return []
         self._outbox.settle(accepted=False)
-        if mark_key(owner.token) != self._placer_token:
-            self._placer_token = mark_key(owner.token)
+        if version_key(owner.token) != self._placer_token:
+            self._placer_token = version_key(owner.token)
             self._outbox.send_everything_again()
         report = self._report(self._outbox.take_batch(now, self._reach.in_doubt))
         if owner.internal_address == self._settings.internal_address:
-            return [Notify(ProbesReported(report))]
+            return [EmitEvent(ProbesReported(report))]
         self._report_call = self._context.identifiers.next()
         return [
             fx.Call(
--- a/rooklug/controller/role.py
+++ b/rooklug/controller/role.py
@@ -6,7 +6,7 @@
 
 from rooklug.controller.link import Link
 from rooklug.model.constants import ROLE_LEASE_S
-from rooklug.model.marks import mark_key
+from rooklug.model.versions import version_key
 from rooklug.wire.generated.control.ttypes import RoleGrant, VersionMark
 
 FENCE_REVIEW_S = 2 * ROLE_LEASE_S
@@ -44,7 +44,7 @@
     @property
     def token_key(self) -> tuple[int, int]:
         """The sort key of the current token; (0, 0) without the role."""
-        return mark_key(self.grant.token) if self.grant is not None else (0, 0)
+        return version_key(self.grant.token) if self.grant is not None else (0, 0)
 
     def refresh(self, now: float) -> RoleChange:
         """Look at the grant; call it first in every ``handle``."""
@@ -55,7 +55,7 @@
         if self.grant is None:
             return RoleChange.LOST if previous is not None else RoleChange.NONE
         self.until = self.link.grant_until(self.role_key, now)
-        same = previous is not None and mark_key(previous.token) == mark_key(self.grant.token)
+        same = previous is not None and version_key(previous.token) == version_key(self.grant.token)
         return RoleChange.NONE if same and not frozen else RoleChange.TAKEN
 
     def fence(self) -> None:
@@ -76,7 +76,7 @@
         if grant is None:
             self._fenced_at = now
             return None
-        if self._fenced is None or mark_key(grant.token) > mark_key(self._fenced):
+        if self._fenced is None or version_key(grant.token) > version_key(self._fenced):
             return grant
         if now - self._fenced_at < FENCE_REVIEW_S:
             return None
--- a/rooklug/core/announcer.py
+++ b/rooklug/core/announcer.py
@@ -3,25 +3,25 @@
 from rooklug.core.outbox import Outbox
 from rooklug.core.store import CopyStore
 from rooklug.core.types import START
-from rooklug.model.marks import ZERO_MARK, is_newer
-from rooklug.model.notices import (
+from rooklug.model.internal_events import (
     ConfigurationCommitted,
     CoresChanged,
     CoreStatusChanged,
     PrimaryKnown,
     ZonesCommitted,
 )
+from rooklug.model.versions import ZERO_VERSION, is_newer
 from rooklug.wire.generated.control.ttypes import CoreStatus
 
 
 class Announcer:
-    """Sends a notice for each change, never an older one after a newer."""
+    """Emits an event for each change, never an older one after a newer."""
 
     def __init__(self, outbox: Outbox, store: CopyStore) -> None:
         self._outbox = outbox
         self._store = store
-        self._configuration = ZERO_MARK
-        self._zones = ZERO_MARK
+        self._configuration = ZERO_VERSION
+        self._zones = ZERO_VERSION
         self._status: CoreStatus | None = None
         self._addresses: tuple[str, ...] = ()
         self.primary_epoch = 0
@@ -31,14 +31,14 @@
     def committed(self) -> None:
         """Announce the committed configuration and zones, where they are newer."""
         state = self._store.state
-        mark = state.configuration_mark()
-        if is_newer(mark, self._configuration):
-            self._configuration = mark
-            self._outbox.notify(ConfigurationCommitted(mark, state.configuration_body()))
-        zones_mark = state.zones_mark()
-        if state.zones_position != START and is_newer(zones_mark, self._zones):
-            self._zones = zones_mark
-            self._outbox.notify(ZonesCommitted(zones_mark, state.zones_body()))
+        version = state.configuration_version()
+        if is_newer(version, self._configuration):
+            self._configuration = version
+            self._outbox.notify(ConfigurationCommitted(version, state.configuration_body()))
+        zones_version = state.zones_version()
+        if state.zones_position != START and is_newer(zones_version, self._zones):
+            self._zones = zones_version
+            self._outbox.notify(ZonesCommitted(zones_version, state.zones_body()))
 
     def primary(self, epoch: int, core_id: str, address: str) -> None:
         """Announce where the primary is, "" while that is unknown."""
--- a/rooklug/core/build.py
+++ b/rooklug/core/build.py
@@ -1,17 +1,17 @@
 """Builds the parts of the core role that keep the control state."""
 
 from rooklug.core.documents import DocumentChecker
-from rooklug.core.node import ControlStatePart
-from rooklug.engine.composite import Part
+from rooklug.core.node import ControlStateComponent
+from rooklug.engine.component import Component
 from rooklug.engine.reducer import ProcessContext
 from rooklug.model.settings import CoreSettings
 
 
-def build_core_parts(
+def build_core_components(
     settings: CoreSettings, context: ProcessContext, checker: DocumentChecker | None = None
-) -> list[Part]:
+) -> list[Component]:
     """Return the parts; ``checker`` replaces the functions of ``rooklug.config`` in tests."""
-    return [ControlStatePart(settings, context, checker or _default_checker())]
+    return [ControlStateComponent(settings, context, checker or _default_checker())]
 
 
 def _default_checker() -> DocumentChecker:
--- a/rooklug/core/changes.py
+++ b/rooklug/core/changes.py
@@ -17,7 +17,7 @@
 from rooklug.core.store import CopyStore
 from rooklug.engine import effects as fx
 from rooklug.model.constants import MAX_SAFE_INTEGER
-from rooklug.model.marks import is_newer
+from rooklug.model.versions import is_newer
 from rooklug.wire.generated.control.ttypes import (
     SetZoneAnswer,
     SetZoneRequest,
@@ -152,7 +152,7 @@
         """
         if not isinstance(request, SetZoneRequest) or request.known_zones is None:
             return False
-        return is_newer(self._store.state.zones_mark(), request.known_zones)
+        return is_newer(self._store.state.zones_version(), request.known_zones)
 
     def _judge(self, submission: Submission) -> Judgement:
         if self._ledger is None:
--- a/rooklug/core/control_state.py
+++ b/rooklug/core/control_state.py
@@ -8,7 +8,7 @@
 from rooklug.core.constants import CHANGES_PER_PART, OPERATIONS_PER_PART
 from rooklug.core.records import position_from_wire, position_to_wire
 from rooklug.core.types import START, Position
-from rooklug.model.marks import ZERO_MARK
+from rooklug.model.versions import ZERO_VERSION
 from rooklug.wire.generated.control.ttypes import ConfigurationBody, VersionMark, ZonesBody
 from rooklug.wire.generated.core.ttypes import (
     ConfigurationChange,
@@ -54,10 +54,10 @@
         if entry.zone is not None:
             self._set_zone(entry.zone)
 
-    def configuration_mark(self) -> VersionMark:
+    def configuration_version(self) -> VersionMark:
         """Return (epoch of the commit, version)."""
         if self.configuration is None:
-            return ZERO_MARK
+            return ZERO_VERSION
         return VersionMark(epoch=self.configuration_epoch, counter=self.version)
 
     def configuration_body(self) -> ConfigurationBody:
@@ -67,7 +67,7 @@
             version=self.version, digest=self.document_digest, document=document
         )
 
-    def zones_mark(self) -> VersionMark:
+    def zones_version(self) -> VersionMark:
         """Return (epoch, sequence) of the newest zone order."""
         return VersionMark(epoch=self.zones_position.epoch, counter=self.zones_position.sequence)
 
--- a/rooklug/core/leader.py
+++ b/rooklug/core/leader.py
@@ -27,7 +27,7 @@
 from rooklug.core.views import ViewChanger
 from rooklug.core.witness import NEVER, Witness
 from rooklug.core.witness_rules import MemberChange
-from rooklug.model.notices import PrimaryLeaseExtended, PrimaryStarted, PrimaryStopped
+from rooklug.model.internal_events import PrimaryLeaseExtended, PrimaryStarted, PrimaryStopped
 from rooklug.wire.generated.core import ttypes as wire
 
 
--- a/rooklug/core/node.py
+++ b/rooklug/core/node.py
@@ -41,7 +41,7 @@
 from rooklug.core.witness import NEVER, Witness, blank_state
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
-from rooklug.engine.composite import PartDefaults
+from rooklug.engine.component import BaseComponent
 from rooklug.engine.reducer import MetricSample, ProcessContext
 from rooklug.model.settings import CoreSettings
 from rooklug.wire.generated.control import ttypes as control
@@ -52,7 +52,7 @@
 EXIT_FAILED = 1
 
 
-class ControlStatePart(PartDefaults):
+class ControlStateComponent(BaseComponent):
     """One of the three cores: stores the control state, and elects its primary."""
 
     name = "control-state"
--- a/rooklug/core/outbox.py
+++ b/rooklug/core/outbox.py
@@ -7,7 +7,7 @@
 
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
-from rooklug.engine.composite import Notice, Notify
+from rooklug.engine.component import EmitEvent, InternalEvent
 from rooklug.engine.reducer import Identifiers
 
 
@@ -31,9 +31,9 @@
         """Append one effect."""
         self._effects.append(effect)
 
-    def notify(self, notice: Notice) -> None:
+    def notify(self, event: InternalEvent) -> None:
         """Tell the other parts of this process."""
-        self.add(Notify(notice))
+        self.add(EmitEvent(event))
 
     def log(self, level: str, message: str, **fields: Any) -> None:
         """Write one log line."""
--- a/rooklug/distribution/core_link.py
+++ b/rooklug/distribution/core_link.py
@@ -8,19 +8,19 @@
 from typing import Any
 
 from rooklug.distribution.core_finder import CoreFinder
+from rooklug.distribution.link_events import PublicationQueued, RenewSoon
 from rooklug.distribution.link_state import (
     POLL_TIMER,
     PUBLISH_TIMER,
     RENEW_TIMER,
     LinkState,
 )
-from rooklug.distribution.notices import PublicationQueued, RenewSoon
 from rooklug.distribution.polling import Polling
 from rooklug.distribution.publishing import Publishing
 from rooklug.distribution.renewing import LeaseRenewing
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
-from rooklug.engine.composite import Notify, PartDefaults
+from rooklug.engine.component import BaseComponent, EmitEvent
 from rooklug.engine.reducer import MetricSample, ProcessContext
 from rooklug.model.settings import NodeSettings
 from rooklug.model.topics import CONFIGURATION, MEMBERS
@@ -36,11 +36,11 @@
 _FRONT = "front"
 
 
-class CoreLink(PartDefaults):
+class CoreLink(BaseComponent):
     """Renews this node's lease, follows the topics, and publishes under grants."""
 
     name = "core-link"
-    notice_types = (RenewSoon, PublicationQueued)
+    subscribes_to = (RenewSoon, PublicationQueued)
 
     def __init__(self, settings: NodeSettings, context: ProcessContext) -> None:
         finder = CoreFinder(settings.seeds, context.random, starting=True)
@@ -68,9 +68,9 @@
         """Tell whether the node's lease is valid at ``now`` by its own clock."""
         return self._state.lease.valid(now)
 
-    def mark(self, topic: str) -> VersionMark:
-        """Return the mark of the body that is held of a topic, or the zero mark."""
-        return self._state.topics.mark(topic)
+    def version(self, topic: str) -> VersionMark:
+        """Return the version of the body that is held of a topic, or the zero version."""
+        return self._state.topics.version(topic)
 
     def body(self, topic: str) -> Any | None:
         """Return the body that is held of a topic, decoded, or None."""
@@ -104,13 +104,13 @@
         """
         changed = ready != self._renewing.ready
         self._renewing.ready = ready
-        return [Notify(RenewSoon())] if changed else []
+        return [EmitEvent(RenewSoon())] if changed else []
 
     def set_draining(self, draining: bool) -> list[fx.Effect]:
         """Say whether this node is about to go; the effects are as those of ``set_ready``."""
         changed = draining != self._renewing.draining
         self._renewing.draining = draining
-        return [Notify(RenewSoon())] if changed else []
+        return [EmitEvent(RenewSoon())] if changed else []
 
     def publish(
         self, topic: str, role_key: str, body: Any, decisions: list[DecisionRecord], now: float
@@ -125,7 +125,7 @@
         if grant is None:
             return [fx.Log("warning", "nothing published: no grant", {"role_key": role_key})]
         self._publishing.outbox.put(topic, grant, encode_packed(body), decisions)
-        return [Notify(PublicationQueued())]
+        return [EmitEvent(PublicationQueued())]
 
     def published_sequence(self, topic: str) -> int:
         """Return the sequence of what this node published of a topic last; 0: nothing.
@@ -217,7 +217,7 @@
             "rooklug_core_epoch": (lease.epoch, "Highest epoch that answered"),
             "rooklug_roles_held": (len(lease.grants(now)), "Valid role grants"),
             "rooklug_configuration_version": (
-                self.mark(CONFIGURATION).counter,
+                self.version(CONFIGURATION).counter,
                 "Configuration version held",
             ),
         }
--- a/rooklug/distribution/held_lease.py
+++ b/rooklug/distribution/held_lease.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from rooklug.model.marks import is_newer
+from rooklug.model.versions import is_newer
 from rooklug.wire.generated.control.ttypes import (
     NodeRecord,
     RenewLeaseAnswer,
--- a/rooklug/distribution/held_topics.py
+++ b/rooklug/distribution/held_topics.py
@@ -6,9 +6,9 @@
 
 from rooklug.distribution.document_delta import ApplyTask
 from rooklug.distribution.members_delta import apply_members_delta
-from rooklug.model.marks import ZERO_MARK, is_newer
-from rooklug.model.notices import TopicChanged
+from rooklug.model.internal_events import TopicChanged
 from rooklug.model.topics import ALL_TOPICS, CONFIGURATION, MEMBERS, PLAN, REPLICAS, ZONES
+from rooklug.model.versions import ZERO_VERSION, is_newer
 from rooklug.wire.codec import decode
 from rooklug.wire.generated.control.ttypes import (
     ConfigurationBody,
@@ -47,8 +47,8 @@
 class PendingDelta:
     """A delta of the configuration that has to be applied first, outside the event loop."""
 
-    mark: VersionMark
-    version: int
+    version: VersionMark
+    document_version: int
     task: ApplyTask
 
 
@@ -57,7 +57,7 @@
 
 @attrs.frozen
 class _HeldTopic:
-    mark: VersionMark
+    version: VersionMark
     body: Any
 
 
@@ -68,27 +68,27 @@
     ask_whole: set[str] = attrs.field(factory=set)
     _held: dict[str, _HeldTopic] = attrs.field(factory=dict)
 
-    def mark(self, topic: str) -> VersionMark:
-        """Return the mark of the held body, or the zero mark."""
+    def version(self, topic: str) -> VersionMark:
+        """Return the version of the held body, or the zero version."""
         held = self._held.get(topic)
-        return held.mark if held else ZERO_MARK
+        return held.version if held else ZERO_VERSION
 
     def body(self, topic: str) -> Any | None:
         """Return the held body as a decoded struct, or None."""
         held = self._held.get(topic)
         return held.body if held else None
 
-    def poll_marks(self) -> list[TopicMark]:
+    def poll_versions(self) -> list[TopicMark]:
         """Return what a poll names as held."""
-        return [TopicMark(topic=topic, version=self._poll_mark(topic)) for topic in ALL_TOPICS]
+        return [TopicMark(topic=topic, version=self._poll_version(topic)) for topic in ALL_TOPICS]
 
-    def _poll_mark(self, topic: str) -> VersionMark:
-        return ZERO_MARK if topic in self.ask_whole else self.mark(topic)
+    def _poll_version(self, topic: str) -> VersionMark:
+        return ZERO_VERSION if topic in self.ask_whole else self.version(topic)
 
     def behind(self, newest: list[TopicMark]) -> bool:
         """Tell whether any of ``newest`` is newer than what is held."""
         return any(
-            entry.topic in BODY_TYPES and is_newer(entry.version, self.mark(entry.topic))
+            entry.topic in BODY_TYPES and is_newer(entry.version, self.version(entry.topic))
             for entry in newest
         )
 
@@ -96,7 +96,7 @@
         """Take an update; None when it isn't newer than what is held."""
         if update.topic not in BODY_TYPES:
             return TopicProblem(update.topic, "unknown topic")
-        if not is_newer(update.version, self.mark(update.topic)):
+        if not is_newer(update.version, self.version(update.topic)):
             return None
         if update.patch_base is not None:
             return self._delta(update)
@@ -107,7 +107,7 @@
 
     def _delta(self, update: TopicUpdate) -> TakenUpdate:
         topic, held = update.topic, self.body(update.topic)
-        if held is None or topic not in DELTA_TYPES or update.patch_base != self.mark(topic):
+        if held is None or topic not in DELTA_TYPES or update.patch_base != self.version(topic):
             return self._want_whole(topic, "a delta against a body that isn't held")
         decoded = decode(DELTA_TYPES[topic], update.body)
         if decoded.is_error():
@@ -126,12 +126,14 @@
         """Take the document that a delta gave, or ask for the whole one if it gave none."""
         if document is None:
             return self._want_whole(CONFIGURATION, "the delta gives another document")
-        if not is_newer(delta.mark, self.mark(CONFIGURATION)):
+        if not is_newer(delta.version, self.version(CONFIGURATION)):
             return None
-        body = ConfigurationBody(version=delta.version, digest=delta.task.digest, document=document)
-        return self._hold(CONFIGURATION, delta.mark, body)
+        body = ConfigurationBody(
+            version=delta.document_version, digest=delta.task.digest, document=document
+        )
+        return self._hold(CONFIGURATION, delta.version, body)
 
-    def _hold(self, topic: str, mark: VersionMark, body: Any) -> TopicChanged:
+    def _hold(self, topic: str, version: VersionMark, body: Any) -> TopicChanged:
         self.ask_whole.discard(topic)
-        self._held[topic] = _HeldTopic(mark, body)
-        return TopicChanged(topic, mark, body)
+        self._held[topic] = _HeldTopic(version, body)
+        return TopicChanged(topic, version, body)
--- a/rooklug/distribution/notices.py
+++ b/rooklug/distribution/link_events.py
@@ -1,12 +1,12 @@
-"""Notices from and to the core link."""
+"""Events from and to the core link."""
 
 import attrs
 
-from rooklug.engine.composite import Notice
+from rooklug.engine.component import InternalEvent
 
 
 @attrs.frozen
-class LeaseGivenBack(Notice):
+class LeaseGivenBack(InternalEvent):
     """After ``StopRequested``: the lease and all grants are given back, or nobody answers.
 
     ``confirmed``: the primary has said so; else it learns by the end of the lease.
@@ -16,10 +16,10 @@
 
 
 @attrs.frozen
-class RenewSoon(Notice):
+class RenewSoon(InternalEvent):
     """What the node says of itself has changed; the core link renews its lease at once."""
 
 
 @attrs.frozen
-class PublicationQueued(Notice):
+class PublicationQueued(InternalEvent):
     """A publication waits in the core link's outbox."""
--- a/rooklug/distribution/polling.py
+++ b/rooklug/distribution/polling.py
@@ -4,14 +4,14 @@
 
 from rooklug.distribution.document_delta import apply_delta
 from rooklug.distribution.held_topics import PendingDelta, TakenUpdate, TopicProblem
+from rooklug.distribution.link_events import RenewSoon
 from rooklug.distribution.link_state import POLL_TIMER, LinkState, SentCall
-from rooklug.distribution.notices import RenewSoon
 from rooklug.distribution.timing import POLL_OVERDUE_S
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
-from rooklug.engine.composite import Notify
+from rooklug.engine.component import EmitEvent
 from rooklug.model.constants import POLL_ANSWER_DEADLINE_S, POLL_WAIT_S
-from rooklug.model.notices import TopicChanged
+from rooklug.model.internal_events import TopicChanged
 from rooklug.model.topics import MEMBERS
 from rooklug.wire.generated.control.ttypes import PollAnswer, PollRequest, TopicMark
 
@@ -35,7 +35,7 @@
         """Send a poll; one that is under way counts no more."""
         request = PollRequest(
             node_id=self.state.settings.node_id,
-            held=self.state.topics.poll_marks(),
+            held=self.state.topics.poll_versions(),
             wait_ms=_POLL_WAIT_MS,
         )
         self._sent, call = self.state.call(request, POLL_ANSWER_DEADLINE_S, now)
@@ -79,7 +79,7 @@
             # Not in a hot loop: a body that can't be read, or a second process of this name.
             effects.append(fx.StartTimer(POLL_TIMER, self._pause()))
             # An early end without updates asks for a renewal: a role can move.
-            return effects if answer.updates else [*effects, Notify(RenewSoon())]
+            return effects if answer.updates else [*effects, EmitEvent(RenewSoon())]
         return effects + self.poll(now)
 
     def computed(self, event: ev.Computed, now: float) -> list[fx.Effect]:
@@ -96,7 +96,7 @@
         if isinstance(taken, TopicChanged):
             if taken.topic == MEMBERS:
                 self.state.finder.learn(tuple(taken.body.core_addresses or ()))
-            return [Notify(taken)]
+            return [EmitEvent(taken)]
         if isinstance(taken, PendingDelta):
             ticket = self.state.context.identifiers.next()
             self._deltas[ticket] = taken
--- a/rooklug/distribution/renewing.py
+++ b/rooklug/distribution/renewing.py
@@ -2,8 +2,8 @@
 
 import attrs
 
+from rooklug.distribution.link_events import LeaseGivenBack
 from rooklug.distribution.link_state import EXPIRY_TIMER, RENEW_TIMER, LinkState, SentCall
-from rooklug.distribution.notices import LeaseGivenBack
 from rooklug.distribution.timing import (
     LEAVE_ATTEMPTS,
     RENEW_SOON_S,
@@ -12,9 +12,9 @@
     ROLE_RENEWAL_S,
 )
 from rooklug.engine import effects as fx
-from rooklug.engine.composite import Notify
+from rooklug.engine.component import EmitEvent
 from rooklug.model.constants import LEASE_RENEWAL_S, ROLE_LEASE_S
-from rooklug.model.notices import GrantsChanged
+from rooklug.model.internal_events import GrantsChanged
 from rooklug.model.topics import CONFIGURATION
 from rooklug.wire.generated.control.ttypes import NodeRecord, RenewLeaseAnswer
 
@@ -49,7 +49,7 @@
             incarnation=self.state.context.incarnation,
             ready=self.ready and not self.state.leaving,
             draining=self.draining or self.state.leaving,
-            configuration=self.state.topics.mark(CONFIGURATION),
+            configuration=self.state.topics.version(CONFIGURATION),
         )
 
     def renew(self, now: float) -> list[fx.Effect]:
@@ -76,7 +76,7 @@
             return self._unsuccessful(finder.redirected(sent.address, address))
         finder.answered_as_primary(sent.address)
         if self.state.leaving:
-            return [Notify(LeaseGivenBack(confirmed=True))]
+            return [EmitEvent(LeaseGivenBack(confirmed=True))]
         before = {grant.role_key for grant in lease.grants(now)}
         changed = lease.take(answer, now)
         after = {grant.role_key for grant in lease.grants(now)}
@@ -96,7 +96,7 @@
             return [fx.StartTimer(RENEW_TIMER, pause_s)]
         self._leave_attempts += 1
         if self._leave_attempts >= LEAVE_ATTEMPTS:
-            return [Notify(LeaseGivenBack(confirmed=False))]
+            return [EmitEvent(LeaseGivenBack(confirmed=False))]
         return [fx.StartTimer(RENEW_TIMER, self.state.soon())]
 
     def _next_renewal(self, at_once: bool, now: float) -> float:
@@ -129,8 +129,8 @@
         return [fx.StartTimer(EXPIRY_TIMER, max(0.0, end - now))]
 
     def grants_changed(self, now: float) -> fx.Effect:
-        """Return the notice of the grants that are valid now."""
-        return Notify(GrantsChanged(self.state.lease.grants(now)))
+        """Return the event of the grants that are valid now."""
+        return EmitEvent(GrantsChanged(self.state.lease.grants(now)))
 
 
 def _not_extended(answer: RenewLeaseAnswer) -> bool:
--- a/rooklug/distribution/timing.py
+++ b/rooklug/distribution/timing.py
@@ -20,7 +20,7 @@
 """A node that holds no topic yet serves nobody, so it asks this often."""
 
 POLL_OVERDUE_S = 0.3
-"""A poll older than this, when a renewal's answer names newer marks, counts as lost."""
+"""A poll older than this, when a renewal's answer names newer versions, counts as lost."""
 
 PUBLISH_DEADLINE_S = 1.0
 
--- a/rooklug/engine/composite.py
+++ b/rooklug/engine/composite.py
@@ -1,204 +1,173 @@
-"""A reducer made of parts: each part has one job, its own state, and its own timers.
+"""A reducer made of components, and the routing of events to them.
 
-The composite routes events: HTTP requests by path prefix, peers' calls by type, results
-by the id that the part issued, timers by the part that set them, notices by type.
+HTTP requests go by listener or path prefix, peers' calls by request type, results by the id
+that the component issued, timers by the component that set them, internal events by
+subscription. All other events go to every component, in the order of the components.
 """
 
 from collections import deque
 from collections.abc import Callable, Iterable
-from typing import Any, Protocol
-
-import attrs
+from typing import Any
 
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
+from rooklug.engine.component import Component, EmitEvent, InternalEvent
 from rooklug.engine.reducer import MetricSample
 
+Delivery = tuple[Component, ev.Event]
 
-@attrs.frozen
-class Notice(ev.Event):
-    """Base of messages between the parts of one process."""
-
-
-@attrs.frozen
-class Notify(fx.Effect):
-    """Deliver ``notice`` to every part that listens for its type. Never leaves the composite."""
-
-    notice: Notice
-
-
-class Part(Protocol):
-    """One job inside a role.
-
-    ``name`` is unique in the process. ``http_prefixes`` are the HTTP paths it serves on the
-    main listener, ``http_listeners`` the named listeners whose every request it serves,
-    ``head_first_paths`` those of them announced from the head alone, ``call_types`` the
-    thrift requests it answers, ``notice_types`` the notices it listens for.
-    Every part gets ``Started`` and ``StopRequested``.
-    """
-
-    name: str
-    http_prefixes: tuple[str, ...]
-    http_listeners: tuple[str, ...]
-    head_first_paths: tuple[str, ...]
-    call_types: tuple[type, ...]
-    notice_types: tuple[type, ...]
-
-    def handle(self, event: ev.Event, now: float) -> list[fx.Effect]:
-        """Take one event, return effects in order."""
-        ...
-
-    def metrics(self, now: float) -> Iterable[MetricSample]:
-        """Figures of this moment."""
-        ...
-
-
-class PartDefaults:
-    """A part that serves nothing; subclasses override what they need."""
-
-    name = ""
-    http_prefixes: tuple[str, ...] = ()
-    http_listeners: tuple[str, ...] = ()
-    head_first_paths: tuple[str, ...] = ()
-    call_types: tuple[type, ...] = ()
-    notice_types: tuple[type, ...] = ()
-
-    def handle(self, event: ev.Event, now: float) -> list[fx.Effect]:
-        """Ignore the event."""
-        return []
-
-    def metrics(self, now: float) -> Iterable[MetricSample]:
-        """Return no figures."""
-        return ()
-
-
-_TIMER_SEPARATOR = "/"
+HTTP_NOT_FOUND = 404
 _NOT_FOUND_BODY = b'{"error":{"code":"unknown_path","message":"no such path"}}'
+_TIMER_SEPARATOR = "/"
 
 
 class CompositeReducer:
-    """Runs parts as one reducer. Identifiers must come from one shared source."""
+    """Runs components as one reducer.
+
+    Call ids and tickets are routed back by number, so all components must draw them from the
+    one ``Identifiers`` of their ``ProcessContext``.
+    """
 
-    def __init__(self, parts: Iterable[Part]) -> None:
-        self.parts = {part.name: part for part in parts}
+    def __init__(self, components: Iterable[Component]) -> None:
+        self.components = {component.name: component for component in components}
+        members = tuple(self.components.values())
         self.head_first_paths = tuple(
-            path for part in self.parts.values() for path in part.head_first_paths
-        )
-        self._prefixes = sorted(
-            ((prefix, part) for part in self.parts.values() for prefix in part.http_prefixes),
-            key=lambda entry: -len(entry[0]),
+            path for component in members for path in component.head_first_paths
         )
+        prefixes = [
+            (prefix, component) for component in members for prefix in component.http_prefixes
+        ]
+        self._prefixes = sorted(prefixes, key=lambda entry: -len(entry[0]))
         self._by_listener = {
-            listener: part for part in self.parts.values() for listener in part.http_listeners
+            listener: component for component in members for listener in component.http_listeners
         }
         self._by_call_type = {
-            call_type: part for part in self.parts.values() for call_type in part.call_types
+            call_type: component for component in members for call_type in component.call_types
         }
-        self._by_call_id: dict[int, Part] = {}
-        self._by_ticket: dict[int, Part] = {}
-        self._by_request_id: dict[int, Part] = {}
-        self._target_of = self._result_routes()
-        self._claim_of = self._claims()
+        self._by_call_id: dict[int, Component] = {}
+        self._by_ticket: dict[int, Component] = {}
+        self._by_request_id: dict[int, Component] = {}
+        self._receiver_by_type = self._result_receivers()
+        self._register_by_type = self._effect_registrations()
 
     def handle(self, event: ev.Event, now: float) -> list[fx.Effect]:
-        """Route the event, then the notices it causes, until none is left."""
+        """Route the event, then the internal events it causes, until none is left.
+
+        Returns
+        -------
+        The effects for the runtime, in the order in which the components returned them.
+        """
         outward: list[fx.Effect] = []
-        pending: deque[tuple[Part, ev.Event]] = deque(self._targets(event, outward))
+        pending: deque[Delivery] = deque(self._receivers(event, outward))
         while pending:
-            part, part_event = pending.popleft()
-            for effect in part.handle(part_event, now):
-                if type(effect) is Notify:
-                    pending.extend(self._listeners(effect.notice))
+            component, delivered = pending.popleft()
+            for effect in component.handle(delivered, now):
+                if type(effect) is EmitEvent:
+                    pending.extend(self._subscribers(effect.event))
                     continue
-                claim = self._claim_of.get(type(effect))
-                outward.append(claim(part, effect) if claim else effect)
+                register = self._register_by_type.get(type(effect))
+                outward.append(register(component, effect) if register else effect)
         return outward
 
     def metrics(self, now: float) -> Iterable[MetricSample]:
-        """Return the figures of all parts."""
-        return [sample for part in self.parts.values() for sample in part.metrics(now)]
+        """Return the samples of all components."""
+        return [
+            sample for component in self.components.values() for sample in component.metrics(now)
+        ]
 
-    def _listeners(self, notice: Notice) -> list[tuple[Part, ev.Event]]:
+    def _subscribers(self, event: InternalEvent) -> list[Delivery]:
         return [
-            (part, notice) for part in self.parts.values() if isinstance(notice, part.notice_types)
+            (component, event)
+            for component in self.components.values()
+            if isinstance(event, component.subscribes_to)
         ]
 
-    def _targets(self, event: ev.Event, outward: list[fx.Effect]) -> list[tuple[Part, ev.Event]]:
+    def _receivers(self, event: ev.Event, outward: list[fx.Effect]) -> list[Delivery]:
         if type(event) is ev.HttpRequestArrived:
-            return self._http_target(event, outward)
+            return self._http_receiver(event, outward)
         if type(event) is ev.TimerFired:
-            part_name, _, timer = event.name.partition(_TIMER_SEPARATOR)
-            return [(self.parts[part_name], ev.TimerFired(timer))]
-        target_of = self._target_of.get(type(event))
-        if target_of is None:
-            return [(part, event) for part in self.parts.values()]
-        part = target_of(event)
-        return [(part, event)] if part is not None else []
-
-    def _http_target(
+            component_name, _, timer = event.name.partition(_TIMER_SEPARATOR)
+            return [(self.components[component_name], ev.TimerFired(timer))]
+        receiver_of = self._receiver_by_type.get(type(event))
+        if receiver_of is None:
+            return [(component, event) for component in self.components.values()]
+        component = receiver_of(event)
+        return [(component, event)] if component is not None else []
+
+    def _http_receiver(
         self, event: ev.HttpRequestArrived, outward: list[fx.Effect]
-    ) -> list[tuple[Part, ev.Event]]:
-        if event.listener in self._by_listener:
-            part = self._by_listener[event.listener]
-            self._by_request_id[event.request_id] = part
-            return [(part, event)]
-        for prefix, part in self._prefixes:
-            if event.path.startswith(prefix):
-                self._by_request_id[event.request_id] = part
-                return [(part, event)]
-        outward.append(fx.HttpRespond(event.request_id, 404, _NOT_FOUND_BODY))
-        return []
-
-    def _result_routes(self) -> dict[type, Callable[[Any], Part | None]]:
-        """Return who gets an event, by its type; types that aren't here go to every part."""
-        running = self._by_call_id
+    ) -> list[Delivery]:
+        component = self._by_listener.get(event.listener)
+        if component is None:
+            component = self._by_prefix(event.path)
+        if component is None:
+            outward.append(fx.HttpRespond(event.request_id, HTTP_NOT_FOUND, _NOT_FOUND_BODY))
+            return []
+        self._by_request_id[event.request_id] = component
+        return [(component, event)]
+
+    def _by_prefix(self, path: str) -> Component | None:
+        """Return the component with the longest prefix of ``path``."""
+        return next(
+            (component for prefix, component in self._prefixes if path.startswith(prefix)), None
+        )
+
+    def _result_receivers(self) -> dict[type, Callable[[Any], Component | None]]:
+        """Return who receives an event, by its type; types that aren't here go to everyone."""
+        calls = self._by_call_id
         tickets = self._by_ticket
         requests = self._by_request_id
 
-        def keep_call(event: Any) -> Part | None:
-            return running.get(event.call_id)
+        def caller(event: Any) -> Component | None:
+            return calls.get(event.call_id)
 
-        def end_call(event: Any) -> Part | None:
-            return running.pop(event.call_id, None)
+        def caller_at_end(event: Any) -> Component | None:
+            return calls.pop(event.call_id, None)
 
-        def end_ticket(event: Any) -> Part | None:
+        def ticket_owner_at_end(event: Any) -> Component | None:
             return tickets.pop(event.ticket, None)
 
         return {
-            ev.HttpResponseStarted: keep_call,
-            ev.HttpBodyPiece: keep_call,
-            ev.CallAnswered: end_call,
-            ev.CallFailed: end_call,
-            ev.HttpAnswered: end_call,
-            ev.HttpResponseEnded: end_call,
-            ev.HttpFailed: end_call,
-            ev.WriteFinished: end_ticket,
-            ev.WriteFailed: end_ticket,
-            ev.Computed: end_ticket,
+            ev.HttpResponseStarted: caller,
+            ev.HttpBodyChunk: caller,
+            ev.CallAnswered: caller_at_end,
+            ev.CallFailed: caller_at_end,
+            ev.HttpAnswered: caller_at_end,
+            ev.HttpResponseCompleted: caller_at_end,
+            ev.HttpFailed: caller_at_end,
+            ev.WriteFinished: ticket_owner_at_end,
+            ev.WriteFailed: ticket_owner_at_end,
+            ev.Computed: ticket_owner_at_end,
             ev.HttpRequestBody: lambda event: requests.get(event.request_id),
             ev.HttpRequestClosed: lambda event: requests.pop(event.request_id, None),
             ev.CallArrived: lambda event: self._by_call_type.get(type(event.request)),
         }
 
-    def _claims(self) -> dict[type, Callable[[Part, Any], fx.Effect]]:
-        """Return what to note of an effect on its way out, by its type."""
+    def _effect_registrations(self) -> dict[type, Callable[[Component, Any], fx.Effect]]:
+        """Return what to register of an effect on its way out, by its type."""
 
-        def begin_call(part: Part, effect: Any) -> fx.Effect:
-            self._by_call_id[effect.call_id] = part
+        def begin_call(component: Component, effect: Any) -> fx.Effect:
+            self._by_call_id[effect.call_id] = component
             return effect
 
-        def cancel_call(part: Part, effect: Any) -> fx.Effect:
+        def cancel_call(component: Component, effect: Any) -> fx.Effect:
             self._by_call_id.pop(effect.call_id, None)
             return effect
 
-        def begin_ticket(part: Part, effect: Any) -> fx.Effect:
-            self._by_ticket[effect.ticket] = part
+        def begin_ticket(component: Component, effect: Any) -> fx.Effect:
+            self._by_ticket[effect.ticket] = component
             return effect
 
-        def end_request(part: Part, effect: Any) -> fx.Effect:
+        def end_request(component: Component, effect: Any) -> fx.Effect:
             self._by_request_id.pop(effect.request_id, None)
             return effect
 
+        def start_timer(component: Component, effect: Any) -> fx.Effect:
+            return fx.StartTimer(_timer_name(component, effect.name), effect.delay_s)
+
+        def cancel_timer(component: Component, effect: Any) -> fx.Effect:
+            return fx.CancelTimer(_timer_name(component, effect.name))
+
         return {
             fx.Call: begin_call,
             fx.HttpCall: begin_call,
@@ -209,12 +178,11 @@
             fx.HttpRespond: end_request,
             fx.HttpStreamEnd: end_request,
             fx.HttpStreamAbort: end_request,
-            fx.StartTimer: lambda part, effect: fx.StartTimer(
-                _timer_name(part, effect.name), effect.delay_s
-            ),
-            fx.CancelTimer: lambda part, effect: fx.CancelTimer(_timer_name(part, effect.name)),
+            fx.StartTimer: start_timer,
+            fx.CancelTimer: cancel_timer,
         }
 
 
-def _timer_name(part: Part, name: str) -> str:
-    return f"{part.name}{_TIMER_SEPARATOR}{name}"
+def _timer_name(component: Component, name: str) -> str:
+    """Return the name under which the runtime knows a component's timer."""
+    return f"{component.name}{_TIMER_SEPARATOR}{name}"
--- a/rooklug/engine/effects.py
+++ b/rooklug/engine/effects.py
@@ -107,7 +107,7 @@
 
 
 @attrs.frozen
-class HttpStreamPiece(Effect):
+class HttpStreamChunk(Effect):
     """Send one piece of a chunked response."""
 
     request_id: int
@@ -133,7 +133,7 @@
     """Make an HTTP request to ``address`` ("ip:port").
 
     Not streaming: one ``HttpAnswered`` or ``HttpFailed``. Streaming: ``HttpResponseStarted``,
-    pieces, then ``HttpResponseEnded``; or ``HttpFailed`` at any point.
+    pieces, then ``HttpResponseCompleted``; or ``HttpFailed`` at any point.
     ``connect_deadline_s`` bounds the connection; ``deadline_s`` the whole call;
     ``first_byte_deadline_s`` the wait for the head (0: no bound of its own).
     ``not_after`` as in ``Call``.
--- a/rooklug/engine/events.py
+++ b/rooklug/engine/events.py
@@ -153,7 +153,7 @@
 
 
 @attrs.frozen
-class HttpBodyPiece(Event):
+class HttpBodyChunk(Event):
     """Bytes of a streaming answer, as they came (not cut at lines)."""
 
     call_id: int
@@ -161,7 +161,7 @@
 
 
 @attrs.frozen
-class HttpResponseEnded(Event):
+class HttpResponseCompleted(Event):
     """A streaming answer ended properly (its final chunk came)."""
 
     call_id: int
--- a/rooklug/front/attempt_runner.py
+++ b/rooklug/front/attempt_runner.py
@@ -109,7 +109,7 @@
             return Progress([])
         if attempt.status != 200:
             return self._take_refusal(request, event, now)
-        if isinstance(event, ev.HttpBodyPiece):
+        if isinstance(event, ev.HttpBodyChunk):
             return self._take_pieces(request, event.data, now)
         return self._take_end(request, now)
 
@@ -148,7 +148,7 @@
                 return self._fail(request, outcome, "answer too long", True, now, cancel=True)
             return Progress([])
         effects: list[fx.Effect] = self._begin_answer(request)
-        effects.append(fx.HttpStreamPiece(request.http_id, checked.lines))
+        effects.append(fx.HttpStreamChunk(request.http_id, checked.lines))
         return Progress(effects)
 
     def _take_end(self, request: ActiveRequest, now: float) -> Finished | Failed:
@@ -162,7 +162,7 @@
             whole = answers.whole_answer(request.http_id, head.request_id, request.pieces)
             return Finished(report, [whole])
         effects = self._begin_answer(request)
-        effects.append(fx.HttpStreamPiece(request.http_id, end_line.ok))
+        effects.append(fx.HttpStreamChunk(request.http_id, end_line.ok))
         effects.append(fx.HttpStreamEnd(request.http_id))
         return Finished(report, effects)
 
@@ -177,7 +177,7 @@
     ) -> Progress | Failed:
         """Collect an answer other than 200; it counts as not run only if it says so."""
         attempt = request.attempt
-        if isinstance(event, ev.HttpBodyPiece):
+        if isinstance(event, ev.HttpBodyChunk):
             attempt.refusal_body = (attempt.refusal_body + event.data)[:MAX_REFUSAL_BYTES]
             return Progress([])
         outcome = _refusal_outcome(attempt.status, attempt.refusal_body)
--- a/rooklug/front/demand.py
+++ b/rooklug/front/demand.py
@@ -7,7 +7,7 @@
 
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
-from rooklug.engine.composite import PartDefaults
+from rooklug.engine.component import BaseComponent
 from rooklug.engine.reducer import MetricSample, ProcessContext
 from rooklug.front.attempts import AttemptOutcome, AttemptReport
 from rooklug.front.requests import RequestHead
@@ -136,7 +136,7 @@
         return entry
 
 
-class DemandPart(PartDefaults):
+class DemandComponent(BaseComponent):
     """Sends the counts to the placer; a lost report is not sent again, its time is over."""
 
     name = "demand"
--- a/rooklug/front/directory.py
+++ b/rooklug/front/directory.py
@@ -5,7 +5,7 @@
 from rooklug.config.document import Route, RouteKind
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
-from rooklug.engine.composite import PartDefaults
+from rooklug.engine.component import BaseComponent
 from rooklug.front.answers import front_document, json_answer, not_run_answer, problem_answer
 from rooklug.front.requests import RequestProblem, read_json_object, read_prompt_parts
 from rooklug.front.routing_view import FrontNode, RoutingView
@@ -35,7 +35,7 @@
     return groups
 
 
-class Directory(PartDefaults):
+class Directory(BaseComponent):
     """The directory. It names ready fronts only, at random within the best region."""
 
     name = "directory"
--- a/rooklug/front/executor.py
+++ b/rooklug/front/executor.py
@@ -8,7 +8,7 @@
 
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
-from rooklug.engine.composite import PartDefaults
+from rooklug.engine.component import BaseComponent
 from rooklug.engine.reducer import MetricSample, ProcessContext
 from rooklug.front import answers
 from rooklug.front.active import ActiveRequest, Stage
@@ -29,13 +29,13 @@
 ALREADY_QUEUED = QueueOutlook(ahead=0, has_room=True)
 
 
-class GeneratePart(PartDefaults):
+class GenerateComponent(BaseComponent):
     """Serves ``POST /v1/generate``."""
 
     name = "generate"
     http_prefixes = (answers.GENERATE_PATH,)
     head_first_paths = (answers.GENERATE_PATH,)
-    notice_types = (RoutingViewChanged, DrainingStarted)
+    subscribes_to = (RoutingViewChanged, DrainingStarted)
 
     def __init__(
         self,
@@ -66,7 +66,7 @@
     def handle(self, event: ev.Event, now: float) -> list[fx.Effect]:
         """Take one event of a request, a timer, or a new view."""
         match event:
-            case ev.HttpBodyPiece() | ev.HttpResponseStarted() | ev.HttpResponseEnded():
+            case ev.HttpBodyChunk() | ev.HttpResponseStarted() | ev.HttpResponseCompleted():
                 return self._on_attempt(event, now)
             case ev.HttpFailed():
                 return self._on_attempt(event, now)
--- a/rooklug/front/once_only/claim_parts.py
+++ b/rooklug/front/once_only/claim_components.py
@@ -4,14 +4,14 @@
 
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
-from rooklug.engine.composite import PartDefaults
+from rooklug.engine.component import BaseComponent
 from rooklug.engine.reducer import MetricSample, ProcessContext
 from rooklug.front.once_only.attempt import AttemptState
 from rooklug.front.once_only.attempt_book import AttemptBook
 from rooklug.front.once_only.call_book import CallBook
 from rooklug.front.once_only.outcome_memory import Outcome
 from rooklug.front.once_only.shard_owner import Phase, ShardOwner
-from rooklug.model.notices import GrantsChanged
+from rooklug.model.internal_events import GrantsChanged
 from rooklug.model.topics import CLAIM_SHARDS, ROLE_CLAIMS_PREFIX
 from rooklug.wire.codec import encode
 from rooklug.wire.generated.claims.ttypes import (
@@ -24,12 +24,12 @@
 )
 
 
-class ClaimOwner(PartDefaults):
+class ClaimOwner(BaseComponent):
     """Owns the claim shards that this front is granted."""
 
     name = "claim-owner"
     call_types = (ClaimRequest,)
-    notice_types = (GrantsChanged,)
+    subscribes_to = (GrantsChanged,)
 
     def __init__(self, context: ProcessContext, core_link, stores: tuple[str, ...]) -> None:
         self._calls = CallBook(context.identifiers)
@@ -78,7 +78,7 @@
         return effects
 
 
-class OutcomeService(PartDefaults):
+class OutcomeService(BaseComponent):
     """Tells other fronts what became of attempts, and keeps copies of their results."""
 
     name = "claim-outcomes"
--- a/rooklug/front/once_only/claim_store.py
+++ b/rooklug/front/once_only/claim_store.py
@@ -15,7 +15,7 @@
 
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
-from rooklug.engine.composite import Part, PartDefaults
+from rooklug.engine.component import BaseComponent, Component
 from rooklug.engine.reducer import MetricSample, ProcessContext
 from rooklug.front.once_only.claims import decode_claims
 from rooklug.front.once_only.store_state import (
@@ -25,8 +25,8 @@
     intact_entry,
     load_shard,
 )
-from rooklug.model.marks import mark_key
 from rooklug.model.topics import CLAIM_SHARDS
+from rooklug.model.versions import version_key
 from rooklug.wire.codec import encode
 from rooklug.wire.generated.claims.ttypes import (
     ReadClaimsAnswer,
@@ -56,7 +56,7 @@
     make_answer: MakeAnswer
 
 
-class ClaimStore(PartDefaults):
+class ClaimStore(BaseComponent):
     """One of the three stores."""
 
     name = "claim-store"
@@ -104,7 +104,7 @@
 
     def _arrived(self, event: ev.CallArrived) -> list[fx.Effect]:
         request = event.request
-        if mark_key(request.token) < self._shards[request.shard].fence or self._failed:
+        if version_key(request.token) < self._shards[request.shard].fence or self._failed:
             return [fx.Answer(event.call_id, self._refusal(request))]
         if isinstance(request, ReadClaimsRequest):
             return self._write(event.call_id, [], request, lambda: self._read_answer(request))
@@ -116,7 +116,7 @@
         shard = self._shards[request.shard]
         if not shard.intact or not _all_readable(request.claims):
             return [fx.Answer(call_id, self._record_answer(request, False))]
-        if not request.claims and mark_key(request.token) == shard.fence:
+        if not request.claims and version_key(request.token) == shard.fence:
             return [fx.Answer(call_id, self._record_answer(request, True))]
         self._confirmed += len(request.claims)
         entries = [claim_entry(request.shard, claim) for claim in request.claims]
@@ -188,7 +188,7 @@
 
     def _read_answer(self, request: ReadClaimsRequest) -> ReadClaimsAnswer:
         shard = self._shards[request.shard]
-        accepted = mark_key(request.token) >= shard.fence
+        accepted = version_key(request.token) >= shard.fence
         claims = list(shard.claims.values())
         return ReadClaimsAnswer(accepted, shard.intact, self._context.incarnation, claims)
 
@@ -196,7 +196,7 @@
         self, request: RecordClaimsRequest | RestoreClaimsRequest, recorded: bool
     ) -> RecordClaimsAnswer:
         shard = self._shards[request.shard]
-        accepted = mark_key(request.token) >= shard.fence
+        accepted = version_key(request.token) >= shard.fence
         recorded = recorded and accepted
         return RecordClaimsAnswer(accepted, recorded, shard.intact, self._context.incarnation)
 
@@ -205,6 +205,6 @@
     return len(decode_claims(claims)) == len(claims)
 
 
-def build_claim_store_parts(context: ProcessContext) -> list[Part]:
+def build_claim_store_components(context: ProcessContext) -> list[Component]:
     """Return the parts that a core needs for once-only requests."""
     return [ClaimStore(context)]
--- a/rooklug/front/once_only/once_part.py
+++ b/rooklug/front/once_only/once_only_component.py
@@ -9,7 +9,7 @@
 
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
-from rooklug.engine.composite import PartDefaults
+from rooklug.engine.component import BaseComponent
 from rooklug.engine.reducer import MetricSample, ProcessContext
 from rooklug.front.once_only import answers
 from rooklug.front.once_only.attempt import Attempt, AttemptState
@@ -43,13 +43,13 @@
 _EARLIER_MAY_HAVE_RUN = Refuse("unknown", "an earlier sending may have run", RETRY_AFTER_S)
 
 
-class OncePart(PartDefaults):
+class OnceOnlyComponent(BaseComponent):
     """Serves once-only requests at this front."""
 
     name = "once-only"
     http_prefixes = (answers.ONCE_PATH,)
     head_first_paths = (answers.ONCE_PATH,)
-    notice_types = (RoutingViewChanged, DrainingStarted)
+    subscribes_to = (RoutingViewChanged, DrainingStarted)
 
     def __init__(self, context: ProcessContext, core_link, book: AttemptBook) -> None:
         self._context = context
--- a/rooklug/front/once_only/store_state.py
+++ b/rooklug/front/once_only/store_state.py
@@ -4,7 +4,7 @@
 
 from rooklug.front.once_only.claims import claim_order
 from rooklug.front.once_only.limits import MAX_CLAIMS_PER_SHARD
-from rooklug.model.marks import mark_key
+from rooklug.model.versions import version_key
 from rooklug.wire.codec import decode, encode
 from rooklug.wire.generated.claims.ttypes import ClaimRecord, StoredEntry
 from rooklug.wire.generated.control.ttypes import VersionMark
@@ -36,7 +36,7 @@
     def apply(self, entry: StoredEntry) -> None:
         """Take one entry of the shard's file."""
         if entry.fence is not None:
-            self.fence = max(self.fence, mark_key(entry.fence))
+            self.fence = max(self.fence, version_key(entry.fence))
         elif entry.claim is not None:
             self.take_claim(entry.claim)
         elif entry.intact:
--- a/rooklug/front/readiness.py
+++ b/rooklug/front/readiness.py
@@ -6,7 +6,7 @@
 
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
-from rooklug.engine.composite import Notice, Notify, PartDefaults
+from rooklug.engine.component import BaseComponent, EmitEvent, InternalEvent
 from rooklug.front.answers import json_answer
 from rooklug.front.view_keeper import RoutingViewChanged, ViewKeeper
 
@@ -19,21 +19,21 @@
 
 
 @attrs.frozen
-class DrainingStarted(Notice):
+class DrainingStarted(InternalEvent):
     """This front takes no new requests any more and ends when the running ones are done."""
 
 
-class Readiness(PartDefaults):
+class Readiness(BaseComponent):
     """Tells the platform and the core whether this front takes requests.
 
     At ``StopRequested`` it waits until nothing is active, at least ``DRAIN_NOTICE_S`` (so that
-    others see it drain) and at most ``DRAIN_LIMIT_S``, then stops the process. Parts with
+    others see it drain) and at most ``DRAIN_LIMIT_S``, then stops the process. Components with
     requests of their own register a counter with ``watch``.
     """
 
     name = "readiness"
     http_prefixes = (READY_PATH,)
-    notice_types = (RoutingViewChanged,)
+    subscribes_to = (RoutingViewChanged,)
 
     def __init__(self, keeper: ViewKeeper, core_link) -> None:
         self._keeper = keeper
@@ -87,7 +87,7 @@
         return [
             *self._core_link.set_ready(False),
             *self._core_link.set_draining(True),
-            Notify(DrainingStarted()),
+            EmitEvent(DrainingStarted()),
             fx.Log("info", "draining", {"active": self._active()}),
             fx.StartTimer(DRAIN_TIMER, DRAIN_CHECK_S),
         ]
--- a/rooklug/front/view_keeper.py
+++ b/rooklug/front/view_keeper.py
@@ -9,35 +9,35 @@
 from rooklug.config.document import Configuration
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
-from rooklug.engine.composite import Notice, Notify, PartDefaults
+from rooklug.engine.component import BaseComponent, EmitEvent, InternalEvent
 from rooklug.front.routing_view import RoutingView, ViewSources
 from rooklug.front.view_building import build_routing_view
 from rooklug.model import topics
-from rooklug.model.marks import ZERO_MARK, is_newer
-from rooklug.model.notices import TopicChanged
+from rooklug.model.internal_events import TopicChanged
 from rooklug.model.settings import NodeSettings
+from rooklug.model.versions import ZERO_VERSION, is_newer
 from rooklug.wire.generated.control.ttypes import ConfigurationBody, VersionMark
 
 ConfigurationReader = Callable[[bytes], Result[Configuration, Any]]
 
 
 @attrs.frozen
-class RoutingViewChanged(Notice):
+class RoutingViewChanged(InternalEvent):
     """The front has a new routing view."""
 
     view: RoutingView
 
 
-class ViewKeeper(PartDefaults):
+class ViewKeeper(BaseComponent):
     """Holds ``view``, the newest snapshot; never takes an older body of a topic."""
 
     name = "routing-view"
-    notice_types = (TopicChanged,)
+    subscribes_to = (TopicChanged,)
 
     def __init__(self, settings: NodeSettings, read_configuration: ConfigurationReader) -> None:
         self._settings = settings
         self._read = read_configuration
-        self._marks: dict[str, VersionMark] = {}
+        self._versions: dict[str, VersionMark] = {}
         self._sources = ViewSources()
         self.view = self._build(None)
 
@@ -45,12 +45,12 @@
         """Take a topic's new body."""
         if not isinstance(event, TopicChanged):
             return []
-        if not is_newer(event.mark, self._marks.get(event.topic, ZERO_MARK)):
+        if not is_newer(event.version, self._versions.get(event.topic, ZERO_VERSION)):
             return []
-        self._marks[event.topic] = event.mark
+        self._versions[event.topic] = event.version
         logs = self._take(event.topic, event.body)
         self.view = self._build(self.view)
-        return [*logs, Notify(RoutingViewChanged(self.view))]
+        return [*logs, EmitEvent(RoutingViewChanged(self.view))]
 
     def _build(self, previous: RoutingView | None) -> RoutingView:
         own = self._settings
--- a/rooklug/gateway/build.py
+++ b/rooklug/gateway/build.py
@@ -86,20 +86,20 @@
     settings: CoreSettings, context: ProcessContext, dialect: ControlDialect
 ) -> CompositeReducer:
     """Return the reducer of a core that keeps a gateway's configuration."""
-    from rooklug.core.build import build_core_parts
+    from rooklug.core.build import build_core_components
     from rooklug.core.documents import DocumentChecker
     from rooklug.gateway.document import read_gateway_configuration
     from rooklug.gateway.listing import ListingWatcher
     from rooklug.gateway.operators import OperatorCalls
     from rooklug.gateway.patching import apply_named_patch
     from rooklug.gateway.region_planner import RegionPlanner
-    from rooklug.membership.build import build_membership_parts
+    from rooklug.membership.build import build_membership_components
 
     checker = DocumentChecker(read_gateway_configuration, apply_named_patch)
     return CompositeReducer(
         [
-            *build_core_parts(settings, context, checker),
-            *build_membership_parts(settings, context),
+            *build_core_components(settings, context, checker),
+            *build_membership_components(settings, context),
             ListingWatcher(dialect, settings.node.platform_address, context.identifiers),
             OperatorCalls(dialect, context),
             RegionPlanner(context.identifiers),
--- a/rooklug/gateway/cold_gate.py
+++ b/rooklug/gateway/cold_gate.py
@@ -13,7 +13,7 @@
 
 DEFAULT_BURST_SLACK = 5
 RATE_SHARE = 1.0
-"""Part of the rate that all fronts together send at. The bound allows half as much again and a few
+"""Share of the rate that all fronts together send at. The bound allows half as much again and a few
 requests more, which covers delays that bunch up and lists of fronts that differ for a moment."""
 
 
--- a/rooklug/gateway/demand.py
+++ b/rooklug/gateway/demand.py
@@ -10,10 +10,10 @@
 
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
-from rooklug.engine.composite import PartDefaults
+from rooklug.engine.component import BaseComponent
 from rooklug.engine.reducer import ProcessContext
 from rooklug.gateway.decision import Decision
-from rooklug.gateway.notices import RequestCounted
+from rooklug.gateway.gateway_events import RequestCounted
 from rooklug.model.settings import NodeSettings
 from rooklug.wire.generated.control.ttypes import DemandEntry, DemandReport
 
@@ -29,11 +29,11 @@
     answer_tokens: int = 0
 
 
-class DemandReporter(PartDefaults):
+class DemandReporter(BaseComponent):
     """Sends the rates of each service every few seconds; a quiet front sends nothing."""
 
     name = "demand"
-    notice_types = (RequestCounted,)
+    subscribes_to = (RequestCounted,)
 
     def __init__(
         self, settings: NodeSettings, context: ProcessContext, core_link, decision: Decision
--- a/rooklug/gateway/directory.py
+++ b/rooklug/gateway/directory.py
@@ -4,7 +4,7 @@
 
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
-from rooklug.engine.composite import PartDefaults
+from rooklug.engine.component import BaseComponent
 from rooklug.gateway.dialect import EdgeDialect, WhereQuestion
 from rooklug.gateway.lifecycle import Lifecycle
 from rooklug.gateway.serving_fronts import serving_fronts
@@ -27,7 +27,7 @@
 _JSON = {"content-type": "application/json"}
 
 
-class Directory(PartDefaults):
+class Directory(BaseComponent):
     """Answers on the directory's and the readiness check's listeners."""
 
     name = "directory"
--- a/rooklug/gateway/executor.py
+++ b/rooklug/gateway/executor.py
@@ -11,7 +11,7 @@
 
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
-from rooklug.engine.composite import Notify, PartDefaults
+from rooklug.engine.component import BaseComponent, EmitEvent
 from rooklug.engine.reducer import Identifiers, MetricSample
 from rooklug.front.outcomes import AttemptOutcome
 from rooklug.gateway.answers import GatewayError
@@ -20,7 +20,7 @@
 from rooklug.gateway.dialect import HeaderNames
 from rooklug.gateway.document import Route
 from rooklug.gateway.event_stream import complete_length, last_event_id
-from rooklug.gateway.notices import RequestCounted, ViewChanged
+from rooklug.gateway.gateway_events import RequestCounted, ViewChanged
 from rooklug.gateway.passage import Passage, Stage
 from rooklug.gateway.replica_call import (
     REPLACED_STATUS,
@@ -62,12 +62,12 @@
     broken: int = 0
 
 
-class GatewayExecutor(PartDefaults):
+class GatewayExecutor(BaseComponent):
     """Serves the clients' listener."""
 
     name = "gateway"
     http_listeners = (LISTENER,)
-    notice_types = (ViewChanged,)
+    subscribes_to = (ViewChanged,)
 
     def __init__(
         self,
@@ -104,13 +104,13 @@
         match event:
             case ev.HttpRequestArrived():
                 return self._arrived(event, now)
-            case ev.HttpBodyPiece():
+            case ev.HttpBodyChunk():
                 return self._piece(event, now)
             case ev.HttpResponseStarted():
                 return self._started(event, now)
             case ev.HttpAnswered():
                 return self._answered(event, now)
-            case ev.HttpResponseEnded():
+            case ev.HttpResponseCompleted():
                 return self._ended(event, now)
             case ev.HttpFailed():
                 return self._failed(event, now)
@@ -153,7 +153,7 @@
         self._by_http[request.http_id] = passage
         self._budgets.of(passage.service.name).count_request(now)
         return [
-            Notify(RequestCounted(request, passage.service.name, route.name)),
+            EmitEvent(RequestCounted(request, passage.service.name, route.name)),
             *self._send(passage, now),
             *self._start_watch(),
         ]
@@ -253,7 +253,7 @@
         headers = self._answers.headers(event.headers)
         return [fx.HttpStreamStart(passage.request.http_id, event.status, headers)]
 
-    def _piece(self, event: ev.HttpBodyPiece, now: float) -> list[fx.Effect]:
+    def _piece(self, event: ev.HttpBodyChunk, now: float) -> list[fx.Effect]:
         passage = self._by_call.get(event.call_id)
         if passage is None:
             return []
@@ -267,10 +267,10 @@
         if not whole:
             return []
         passage.last_event_id = last_event_id(data[:whole]) or passage.last_event_id
-        return [fx.HttpStreamPiece(passage.request.http_id, data[:whole])]
+        return [fx.HttpStreamChunk(passage.request.http_id, data[:whole])]
 
     def _failure_piece(
-        self, passage: Passage, event: ev.HttpBodyPiece, now: float
+        self, passage: Passage, event: ev.HttpBodyChunk, now: float
     ) -> list[fx.Effect]:
         passage.failure_body.append(event.data)
         if sum(len(piece) for piece in passage.failure_body) <= MAX_FAILURE_BYTES:
@@ -279,7 +279,7 @@
         self._ended_at_replica(passage, AttemptOutcome.BROKEN, now)
         return [fx.CancelHttpCall(event.call_id), *self._stream_broke(passage, now)]
 
-    def _ended(self, event: ev.HttpResponseEnded, now: float) -> list[fx.Effect]:
+    def _ended(self, event: ev.HttpResponseCompleted, now: float) -> list[fx.Effect]:
         passage = self._by_call.pop(event.call_id, None)
         if passage is None:
             return []
--- a/rooklug/gateway/notices.py
+++ b/rooklug/gateway/gateway_events.py
@@ -2,21 +2,21 @@
 
 import attrs
 
-from rooklug.engine.composite import Notice
+from rooklug.engine.component import InternalEvent
 from rooklug.gateway.requests import PassedRequest
 from rooklug.gateway.view import GatewayView
 from rooklug.wire.generated.control.ttypes import ReplicasBody
 
 
 @attrs.frozen
-class ViewChanged(Notice):
+class ViewChanged(InternalEvent):
     """This front goes on under a newer snapshot."""
 
     view: GatewayView
 
 
 @attrs.frozen
-class RequestCounted(Notice):
+class RequestCounted(InternalEvent):
     """A client's request for a service has arrived on a route."""
 
     request: PassedRequest
@@ -25,7 +25,7 @@
 
 
 @attrs.frozen
-class ReplicasListed(Notice):
+class ReplicasListed(InternalEvent):
     """At the primary: the platform's list has changed."""
 
     body: ReplicasBody
--- a/rooklug/gateway/lifecycle.py
+++ b/rooklug/gateway/lifecycle.py
@@ -4,8 +4,8 @@
 
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
-from rooklug.engine.composite import PartDefaults
-from rooklug.gateway.notices import ViewChanged
+from rooklug.engine.component import BaseComponent
+from rooklug.gateway.gateway_events import ViewChanged
 from rooklug.gateway.view import GatewayView
 
 _TIMER = "drain"
@@ -16,11 +16,11 @@
 """The process ends this long before its grace is over."""
 
 
-class Lifecycle(PartDefaults):
+class Lifecycle(BaseComponent):
     """Says whether this front takes traffic; at ``StopRequested`` waits for what runs."""
 
     name = "lifecycle"
-    notice_types = (ViewChanged,)
+    subscribes_to = (ViewChanged,)
 
     def __init__(self, core_link, active: Callable[[], int], grace_s: float) -> None:
         self._core_link = core_link
--- a/rooklug/gateway/listing.py
+++ b/rooklug/gateway/listing.py
@@ -9,11 +9,11 @@
 
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
-from rooklug.engine.composite import Notify, PartDefaults
+from rooklug.engine.component import BaseComponent, EmitEvent
 from rooklug.engine.reducer import Identifiers
 from rooklug.gateway.dialect import ControlDialect
-from rooklug.gateway.notices import ReplicasListed
-from rooklug.model.notices import PrimaryStarted, PrimaryStopped, TopicOffered
+from rooklug.gateway.gateway_events import ReplicasListed
+from rooklug.model.internal_events import PrimaryStarted, PrimaryStopped, TopicOffered
 from rooklug.model.topics import REPLICAS
 from rooklug.wire.generated.control.ttypes import ListedReplica, ReplicasBody
 
@@ -31,11 +31,11 @@
     call_id: int = 0
 
 
-class ListingWatcher(PartDefaults):
+class ListingWatcher(BaseComponent):
     """Reads the list while this core is the primary."""
 
     name = "listing"
-    notice_types = (PrimaryStarted, PrimaryStopped)
+    subscribes_to = (PrimaryStarted, PrimaryStopped)
 
     def __init__(self, dialect: ControlDialect, address: str, identifiers: Identifiers) -> None:
         self._dialect = dialect
@@ -114,8 +114,8 @@
         self._sequence += 1
         body = ReplicasBody(replicas=replicas)
         return [
-            Notify(TopicOffered(REPLICAS, self._epoch, self._sequence, body)),
-            Notify(ReplicasListed(body)),
+            EmitEvent(TopicOffered(REPLICAS, self._epoch, self._sequence, body)),
+            EmitEvent(ReplicasListed(body)),
         ]
 
 
--- a/rooklug/gateway/operators.py
+++ b/rooklug/gateway/operators.py
@@ -12,7 +12,7 @@
 
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
-from rooklug.engine.composite import PartDefaults
+from rooklug.engine.component import BaseComponent
 from rooklug.engine.reducer import ProcessContext
 from rooklug.gateway.dialect import (
     BadOrder,
@@ -22,8 +22,8 @@
     SubmitOrder,
     ZoneOrder,
 )
-from rooklug.model.marks import ZERO_MARK
-from rooklug.model.notices import PrimaryKnown, ZonesCommitted
+from rooklug.model.internal_events import PrimaryKnown, ZonesCommitted
+from rooklug.model.versions import ZERO_VERSION
 from rooklug.wire.generated.control.ttypes import (
     ReadConfigurationAnswer,
     ReadConfigurationRequest,
@@ -55,18 +55,18 @@
     call_id: int = 0
 
 
-class OperatorCalls(PartDefaults):
+class OperatorCalls(BaseComponent):
     """Serves the operators' listener of a core."""
 
     name = "operators"
     http_listeners = (LISTENER,)
-    notice_types = (PrimaryKnown, ZonesCommitted)
+    subscribes_to = (PrimaryKnown, ZonesCommitted)
 
     def __init__(self, dialect: ControlDialect, context: ProcessContext) -> None:
         self._dialect = dialect
         self._context = context
         self._primary = ""
-        self._known_zones = ZERO_MARK
+        self._known_zones = ZERO_VERSION
         self._by_http: dict[int, _Forward] = {}
         self._by_call: dict[int, _Forward] = {}
 
@@ -76,7 +76,7 @@
             case PrimaryKnown():
                 self._primary = event.address
             case ZonesCommitted():
-                self._known_zones = event.mark
+                self._known_zones = event.version
             case ev.HttpRequestArrived():
                 return self._arrived(event, now)
             case ev.CallAnswered():
--- a/rooklug/gateway/peer_exchange.py
+++ b/rooklug/gateway/peer_exchange.py
@@ -11,11 +11,11 @@
 
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
-from rooklug.engine.composite import PartDefaults
+from rooklug.engine.component import BaseComponent
 from rooklug.engine.reducer import ProcessContext
 from rooklug.gateway.decision import Decision
+from rooklug.gateway.gateway_events import ViewChanged
 from rooklug.gateway.load_collector import LoadCollector, read_uses
-from rooklug.gateway.notices import ViewChanged
 from rooklug.gateway.requests import PromptPart
 from rooklug.model.settings import NodeSettings
 from rooklug.wire.generated.control.ttypes import NodeRecord
@@ -55,12 +55,12 @@
     address: str
 
 
-class PeerExchange(PartDefaults):
+class PeerExchange(BaseComponent):
     """Tells the peers, or the collector, while there is something under way."""
 
     name = "peer-exchange"
     call_types = (FrontUse,)
-    notice_types = (ViewChanged,)
+    subscribes_to = (ViewChanged,)
 
     def __init__(self, settings: NodeSettings, context: ProcessContext, decision: Decision) -> None:
         self._settings = settings
--- a/rooklug/gateway/region_planner.py
+++ b/rooklug/gateway/region_planner.py
@@ -11,12 +11,12 @@
 
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
-from rooklug.engine.composite import Notify, PartDefaults
+from rooklug.engine.component import BaseComponent, EmitEvent
 from rooklug.engine.reducer import Identifiers
 from rooklug.gateway.document import GatewayConfiguration, read_gateway_configuration
-from rooklug.gateway.notices import ReplicasListed
+from rooklug.gateway.gateway_events import ReplicasListed
 from rooklug.gateway.view import MatrixKey
-from rooklug.model.notices import (
+from rooklug.model.internal_events import (
     ConfigurationCommitted,
     PrimaryStarted,
     PrimaryStopped,
@@ -58,12 +58,12 @@
     read_tokens_per_s: float | None
 
 
-class RegionPlanner(PartDefaults):
+class RegionPlanner(BaseComponent):
     """Solves every few seconds while this core is the primary, and offers the matrix."""
 
     name = "region-planner"
     call_types = (DemandReport,)
-    notice_types = (
+    subscribes_to = (
         PrimaryStarted,
         PrimaryStopped,
         ReplicasListed,
@@ -182,7 +182,7 @@
         self._published = weights
         self._sequence += 1
         body = PlanBody(self._configuration_version, [], cells, "demand and replicas")
-        return [Notify(TopicOffered(PLAN, self._epoch, self._sequence, body))]
+        return [EmitEvent(TopicOffered(PLAN, self._epoch, self._sequence, body))]
 
     def _has_moved(self, weights: dict[tuple, float]) -> bool:
         if weights.keys() != self._published.keys():
--- a/rooklug/gateway/region_problem.py
+++ b/rooklug/gateway/region_problem.py
@@ -24,7 +24,7 @@
 ASSUMED_ROUND_TRIP_MS = 50.0
 """Between regions: beyond "zonal", so that a plan keeps traffic near while it can."""
 TARGET_UTILIZATION = 0.4
-"""Part of its reading that a model replica is planned to use: prompts come in clumps, and streams
+"""Share of its reading that a model replica is planned to use: prompts come in clumps, and streams
 pause while a backlog is read. The rest is the reserve for a lost zone."""
 USUAL_READ_TOKENS_PER_S = 30_000.0
 """Taken before any front has observed how fast replicas read."""
--- a/rooklug/gateway/serving_fronts.py
+++ b/rooklug/gateway/serving_fronts.py
@@ -9,7 +9,7 @@
 MOST_COLLECTORS = 3
 """The second is asked when the first doesn't answer, and so on."""
 FRONTS_SHARE = 1 / 8
-"""Part of a region's fronts that its clients are sent to: fewer fronts know more of the load of
+"""Share of a region's fronts that its clients are sent to: fewer fronts know more of the load of
 each replica and of what it holds, and keep fewer connections; the rest stand by. With half as
 many a burst of long prompts filled the links of the fronts that served."""
 
--- a/rooklug/gateway/view_keeper.py
+++ b/rooklug/gateway/view_keeper.py
@@ -4,12 +4,12 @@
 
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
-from rooklug.engine.composite import Notify, PartDefaults
+from rooklug.engine.component import BaseComponent, EmitEvent
 from rooklug.gateway.document import read_gateway_configuration
-from rooklug.gateway.notices import ViewChanged
+from rooklug.gateway.gateway_events import ViewChanged
 from rooklug.gateway.serving_fronts import machine_of
 from rooklug.gateway.view import FRONT_ROLE, GatewayReplica, GatewayView, matrix_of
-from rooklug.model.notices import TopicChanged
+from rooklug.model.internal_events import TopicChanged
 from rooklug.model.topics import CONFIGURATION, MEMBERS, PLAN, REPLICAS, ZONES
 from rooklug.wire.generated.control.ttypes import (
     ConfigurationBody,
@@ -25,11 +25,11 @@
 only after its lag, one reading and the way to the fronts. Until then they count as cold."""
 
 
-class GatewayViewKeeper(PartDefaults):
+class GatewayViewKeeper(BaseComponent):
     """Holds the newest view and tells the other parts of each change."""
 
     name = "gateway-view"
-    notice_types = (TopicChanged,)
+    subscribes_to = (TopicChanged,)
 
     def __init__(self) -> None:
         self.view = GatewayView()
@@ -48,7 +48,7 @@
         if not isinstance(event, TopicChanged):
             return []
         effects = self._takers[event.topic](event.body, now)
-        return [*effects, Notify(ViewChanged(self.view))]
+        return [*effects, EmitEvent(ViewChanged(self.view))]
 
     def _take_configuration(self, body: ConfigurationBody, now: float) -> list[fx.Effect]:
         read = read_gateway_configuration(body.document)
--- a/rooklug/membership/build.py
+++ b/rooklug/membership/build.py
@@ -1,14 +1,14 @@
 """Composition of the core's membership parts."""
 
-from rooklug.engine.composite import Part
+from rooklug.engine.component import Component
 from rooklug.engine.reducer import ProcessContext
-from rooklug.membership.membership_part import MembershipPart
+from rooklug.membership.membership_component import MembershipComponent
 from rooklug.model.settings import CoreSettings
 
 
-def build_membership_parts(settings: CoreSettings, context: ProcessContext) -> list[Part]:
+def build_membership_components(settings: CoreSettings, context: ProcessContext) -> list[Component]:
     """Return the parts that keep leases and roles and distribute the topics.
 
-    They run in one ``CompositeReducer`` with the replication parts, whose notices they hear.
+    They run in one ``CompositeReducer`` with the replication parts, whose events they hear.
     """
-    return [MembershipPart(settings, context)]
+    return [MembershipComponent(settings, context)]
--- a/rooklug/membership/configuration_topic.py
+++ b/rooklug/membership/configuration_topic.py
@@ -11,9 +11,9 @@
 from rooklug.engine.reducer import Identifiers
 from rooklug.membership.timing import CONFIGURATION_BATCH_S
 from rooklug.membership.topic_store import TopicStore
-from rooklug.model.marks import is_newer
-from rooklug.model.notices import ConfigurationCommitted
+from rooklug.model.internal_events import ConfigurationCommitted
 from rooklug.model.topics import CONFIGURATION
+from rooklug.model.versions import is_newer
 from rooklug.wire.codec import encode
 from rooklug.wire.generated.control.ttypes import ConfigurationBody, TopicUpdate
 from rooklug.wire.packing import encode_packed
@@ -48,12 +48,12 @@
         factory=lambda: deque(maxlen=DELTA_BASES)
     )
 
-    def take(self, notice: ConfigurationCommitted, now: float) -> list[fx.Effect]:
+    def take(self, event: ConfigurationCommitted, now: float) -> list[fx.Effect]:
         """Take a committed configuration; an older one than known is ignored."""
-        if not is_newer(notice.mark, self.store.mark(CONFIGURATION)):
+        if not is_newer(event.version, self.store.version(CONFIGURATION)):
             return []
-        if self._waiting is None or is_newer(notice.mark, self._waiting.mark):
-            self._waiting = notice
+        if self._waiting is None or is_newer(event.version, self._waiting.version):
+            self._waiting = event
         return self.advance(now) if self._stage is _Stage.NOTHING else []
 
     def advance(self, now: float) -> list[fx.Effect]:
@@ -85,20 +85,20 @@
         return self.advance(now)
 
     def _publish(self, patches: tuple[bytes | None, ...]) -> None:
-        notice, self._in_work = self._in_work, None
+        event, self._in_work = self._in_work, None
         deltas = tuple(
-            _delta(base, notice, patch)
+            _delta(base, event, patch)
             for base, patch in zip(self._bases, patches, strict=False)
             if patch is not None
         )
-        self.store.offer(CONFIGURATION, notice.mark, encode_packed(notice.body), deltas)
-        self._published.append(notice)
+        self.store.offer(CONFIGURATION, event.version, encode_packed(event.body), deltas)
+        self._published.append(event)
 
 
 def _delta(
-    base: ConfigurationCommitted, notice: ConfigurationCommitted, patch: bytes
+    base: ConfigurationCommitted, event: ConfigurationCommitted, patch: bytes
 ) -> TopicUpdate:
-    body = ConfigurationBody(version=notice.body.version, digest=notice.body.digest, document=patch)
+    body = ConfigurationBody(version=event.body.version, digest=event.body.digest, document=patch)
     return TopicUpdate(
-        topic=CONFIGURATION, version=notice.mark, patch_base=base.mark, body=encode(body)
+        topic=CONFIGURATION, version=event.version, patch_base=base.version, body=encode(body)
     )
--- a/rooklug/membership/core_view.py
+++ b/rooklug/membership/core_view.py
@@ -53,7 +53,7 @@
             grants=grants,
             epoch=self.primacy.epoch,
             primary_address=self.primacy.address(now),
-            newest=self.store.marks(),
+            newest=self.store.versions(),
         )
 
     def poll_answers(self, replies: list[PollReply], now: float) -> list[fx.Effect]:
--- a/rooklug/membership/members_topic.py
+++ b/rooklug/membership/members_topic.py
@@ -49,7 +49,7 @@
 
 @attrs.frozen
 class _Publication:
-    mark: VersionMark
+    version: VersionMark
     body: MembersBody
     facts: tuple
 
@@ -95,9 +95,9 @@
         started hold none, and until they know their peers they don't know their shares.
         """
         self._counter += 1
-        mark = VersionMark(epoch=roles.epoch, counter=self._counter)
+        version = VersionMark(epoch=roles.epoch, counter=self._counter)
         body = members_body(leases, roles, self.core_addresses)
-        store.offer_early(MEMBERS, mark, encode_packed(body))
+        store.offer_early(MEMBERS, version, encode_packed(body))
 
     def publish(
         self, store: TopicStore, leases: LeaseTable, roles: RoleTable, polls: int, now: float
@@ -109,17 +109,17 @@
         if self._published and self._published[-1].facts == facts:
             return False
         self._counter += 1
-        mark = VersionMark(epoch=roles.epoch, counter=self._counter)
+        version = VersionMark(epoch=roles.epoch, counter=self._counter)
         whole = encode_packed(body)
-        deltas = tuple(_delta(base, mark, body) for base in self._published)
-        store.offer(MEMBERS, mark, whole, deltas)
-        self._published.append(_Publication(mark, body, facts))
+        deltas = tuple(_delta(base, version, body) for base in self._published)
+        store.offer(MEMBERS, version, whole, deltas)
+        self._published.append(_Publication(version, body, facts))
         usual = deltas[-1].body if deltas else whole
         pause_s = len(usual) * polls / MEMBERS_BYTES_PER_S
         self._next_at = now + min(pause_s, MEMBERS_PAUSE_LIMIT_S)
         return True
 
 
-def _delta(base: _Publication, mark: VersionMark, body: MembersBody) -> TopicUpdate:
+def _delta(base: _Publication, version: VersionMark, body: MembersBody) -> TopicUpdate:
     delta = encode(make_members_delta(base.body, body))
-    return TopicUpdate(topic=MEMBERS, version=mark, patch_base=base.mark, body=delta)
+    return TopicUpdate(topic=MEMBERS, version=version, patch_base=base.version, body=delta)
--- a/rooklug/membership/membership_part.py
+++ b/rooklug/membership/membership_component.py
@@ -4,7 +4,7 @@
 
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
-from rooklug.engine.composite import PartDefaults
+from rooklug.engine.component import BaseComponent
 from rooklug.engine.reducer import MetricSample, ProcessContext
 from rooklug.membership.configuration_topic import PUBLISH_CONFIGURATION, ConfigurationTopic
 from rooklug.membership.core_view import CoreView
@@ -14,7 +14,7 @@
 from rooklug.membership.primacy import Primacy
 from rooklug.membership.publications import Publications, PublishRefusal
 from rooklug.membership.timing import TICK_S
-from rooklug.model import notices
+from rooklug.model import internal_events as internal
 from rooklug.model.settings import CoreSettings
 from rooklug.model.topics import MEMBERS, PLAN, REPLICAS, ZONES
 from rooklug.wire.codec import encode
@@ -25,7 +25,7 @@
 _BODIES_OF_A_TERM = (MEMBERS, REPLICAS, PLAN)
 
 
-class MembershipPart(PartDefaults):
+class MembershipComponent(BaseComponent):
     """Answers renewals, polls, publications and reads; acts only as the primary."""
 
     name = "membership"
@@ -36,16 +36,16 @@
         ttypes.ReadDecisionsRequest,
         ttypes.ReadStatusRequest,
     )
-    notice_types = (
-        notices.PrimaryStarted,
-        notices.PrimaryLeaseExtended,
-        notices.PrimaryStopped,
-        notices.PrimaryKnown,
-        notices.ConfigurationCommitted,
-        notices.ZonesCommitted,
-        notices.CoreStatusChanged,
-        notices.TopicOffered,
-        notices.CoresChanged,
+    subscribes_to = (
+        internal.PrimaryStarted,
+        internal.PrimaryLeaseExtended,
+        internal.PrimaryStopped,
+        internal.PrimaryKnown,
+        internal.ConfigurationCommitted,
+        internal.ZonesCommitted,
+        internal.CoreStatusChanged,
+        internal.TopicOffered,
+        internal.CoresChanged,
     )
 
     def __init__(self, settings: CoreSettings, context: ProcessContext) -> None:
@@ -60,15 +60,15 @@
             ttypes.PublishRequest: self._publish,
             ttypes.ReadDecisionsRequest: self._read_decisions,
             ttypes.ReadStatusRequest: self._read_status,
-            notices.PrimaryStarted: self._start_term,
-            notices.PrimaryLeaseExtended: self._extend_term,
-            notices.PrimaryStopped: self._stop_term,
-            notices.PrimaryKnown: self._learn_primary,
-            notices.ConfigurationCommitted: self._take_configuration,
-            notices.ZonesCommitted: self._take_zones,
-            notices.CoreStatusChanged: self._take_status,
-            notices.TopicOffered: self._take_offer,
-            notices.CoresChanged: self._take_cores,
+            internal.PrimaryStarted: self._start_term,
+            internal.PrimaryLeaseExtended: self._extend_term,
+            internal.PrimaryStopped: self._stop_term,
+            internal.PrimaryKnown: self._learn_primary,
+            internal.ConfigurationCommitted: self._take_configuration,
+            internal.ZonesCommitted: self._take_zones,
+            internal.CoreStatusChanged: self._take_status,
+            internal.TopicOffered: self._take_offer,
+            internal.CoresChanged: self._take_cores,
             ev.Computed: self._computed,
         }
         self._timers = {
@@ -103,13 +103,13 @@
 
     # Terms -----------------------------------------------------------------------------
 
-    def _start_term(self, notice: notices.PrimaryStarted, now: float) -> list[fx.Effect]:
+    def _start_term(self, event: internal.PrimaryStarted, now: float) -> list[fx.Effect]:
         view = self.view
         if view.primacy.is_primary:
-            return self._continue_term(notice)
-        view.primacy.start(notice)
+            return self._continue_term(event)
+        view.primacy.start(event)
         view.leases.start(now)
-        view.roles.start(notice.epoch, now)
+        view.roles.start(event.epoch, now)
         view.members.start()
         view.decisions.start(view.roles.announced_until)
         for topic in _BODIES_OF_A_TERM:
@@ -119,28 +119,28 @@
             fx.StartTimer(PUBLISH_MEMBERS, view.leases.grace_until - now),
         ]
 
-    def _continue_term(self, notice: notices.PrimaryStarted) -> list[fx.Effect]:
+    def _continue_term(self, event: internal.PrimaryStarted) -> list[fx.Effect]:
         """A new view of the same primary, without a pause: nothing is lost."""
-        self.view.primacy.start(notice)
-        self.view.roles.raise_epoch(notice.epoch)
+        self.view.primacy.start(event)
+        self.view.roles.raise_epoch(event.epoch)
         return []
 
-    def _extend_term(self, notice: notices.PrimaryLeaseExtended, now: float) -> list[fx.Effect]:
+    def _extend_term(self, event: internal.PrimaryLeaseExtended, now: float) -> list[fx.Effect]:
         lapsed = 0.0 < self.view.primacy.until <= now
-        self.view.primacy.extend(notice)
+        self.view.primacy.extend(event)
         if not lapsed:
             return []
         # Renewals found no primary meanwhile, so nobody is late.
         self.view.leases.extend_grace(now)
         return self.view.wake(now)
 
-    def _stop_term(self, _notice: notices.PrimaryStopped, now: float) -> list[fx.Effect]:
+    def _stop_term(self, _notice: internal.PrimaryStopped, now: float) -> list[fx.Effect]:
         self.view.primacy.stop()
         timers = [fx.CancelTimer(_TICK), fx.CancelTimer(PUBLISH_MEMBERS)]
         return self.view.release_all(now) + timers
 
-    def _learn_primary(self, notice: notices.PrimaryKnown, _now: float) -> list[fx.Effect]:
-        self.view.primacy.learn(notice)
+    def _learn_primary(self, event: internal.PrimaryKnown, _now: float) -> list[fx.Effect]:
+        self.view.primacy.learn(event)
         return []
 
     def _tick(self, now: float) -> list[fx.Effect]:
@@ -161,9 +161,9 @@
         return view.poll_answers(view.hub.poll(event.call_id, event.request, now), now)
 
     def _take_configuration(
-        self, notice: notices.ConfigurationCommitted, now: float
+        self, event: internal.ConfigurationCommitted, now: float
     ) -> list[fx.Effect]:
-        return [*self.configuration.take(notice, now), *self.view.wake(now)]
+        return [*self.configuration.take(event, now), *self.view.wake(now)]
 
     def _publish_configuration(self, now: float) -> list[fx.Effect]:
         return [*self.configuration.advance(now), *self.view.wake(now)]
@@ -171,21 +171,21 @@
     def _computed(self, event: ev.Computed, now: float) -> list[fx.Effect]:
         return [*self.configuration.computed(event, now), *self.view.wake(now)]
 
-    def _take_zones(self, notice: notices.ZonesCommitted, now: float) -> list[fx.Effect]:
+    def _take_zones(self, event: internal.ZonesCommitted, now: float) -> list[fx.Effect]:
         view = self.view
-        if view.store.offer(ZONES, notice.mark, encode(notice.body)):
-            view.emptied_zones = frozenset(notice.body.emptied_zones)
+        if view.store.offer(ZONES, event.version, encode(event.body)):
+            view.emptied_zones = frozenset(event.body.emptied_zones)
         if not view.acts(now):
             return []
         return view.wake(now) + view.move_roles(now)
 
-    def _take_offer(self, notice: notices.TopicOffered, now: float) -> list[fx.Effect]:
+    def _take_offer(self, event: internal.TopicOffered, now: float) -> list[fx.Effect]:
         """Distribute what a part of this primary has made."""
         view = self.view
         if not view.acts(now):
             return []
-        mark = ttypes.VersionMark(notice.epoch, notice.sequence)
-        if not view.store.offer(notice.topic, mark, encode_packed(notice.body)):
+        version = ttypes.VersionMark(event.epoch, event.sequence)
+        if not view.store.offer(event.topic, version, encode_packed(event.body)):
             return []
         return view.wake(now)
 
@@ -223,16 +223,16 @@
         answer = ttypes.ReadStatusAnswer(self._status, body.nodes, body.role_owners, zones)
         return [fx.Answer(event.call_id, answer)]
 
-    def _take_cores(self, notice: notices.CoresChanged, now: float) -> list[fx.Effect]:
+    def _take_cores(self, event: internal.CoresChanged, now: float) -> list[fx.Effect]:
         view = self.view
-        view.members.core_addresses = notice.addresses
+        view.members.core_addresses = event.addresses
         if not view.acts(now) or not view.members.published:
             return []
         view.members.dirty = True
         return [fx.StartTimer(PUBLISH_MEMBERS, view.members.delay(now))]
 
-    def _take_status(self, notice: notices.CoreStatusChanged, _now: float) -> list[fx.Effect]:
-        self._status = notice.status
+    def _take_status(self, event: internal.CoreStatusChanged, _now: float) -> list[fx.Effect]:
+        self._status = event.status
         return []
 
 
--- a/rooklug/membership/primacy.py
+++ b/rooklug/membership/primacy.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from rooklug.model.notices import (
+from rooklug.model.internal_events import (
     PrimaryKnown,
     PrimaryLeaseExtended,
     PrimaryStarted,
@@ -11,7 +11,7 @@
 
 @attrs.define
 class Primacy:
-    """This core's view of who is primary, fed by the notices of replication.
+    """This core's view of who is primary, fed by the events of replication.
 
     ``epoch`` is that of this core's own term, and stays so until its next one: nodes take
     it as the proof that a core answered within that term. ``until`` is the monotonic time
@@ -35,17 +35,17 @@
             return self.own_address if self.acts(now) else ""
         return "" if self.known_address == self.own_address else self.known_address
 
-    def start(self, notice: PrimaryStarted) -> None:
+    def start(self, event: PrimaryStarted) -> None:
         """Begin a term, which may act once its lease is announced, or go on in a new view."""
         if not self.is_primary:
             self.until = 0.0
-        self.epoch = notice.epoch
+        self.epoch = event.epoch
         self.is_primary = True
 
-    def extend(self, notice: PrimaryLeaseExtended) -> None:
+    def extend(self, event: PrimaryLeaseExtended) -> None:
         """Take a longer lease of the present term; one of another epoch is ignored."""
-        if self.is_primary and notice.epoch == self.epoch:
-            self.until = max(self.until, notice.until)
+        if self.is_primary and event.epoch == self.epoch:
+            self.until = max(self.until, event.until)
 
     def stop(self) -> None:
         """End the term; what was learned of a later primary stays."""
@@ -54,9 +54,9 @@
         if self.known_epoch < self.epoch:
             self.known_address = ""
 
-    def learn(self, notice: PrimaryKnown) -> None:
+    def learn(self, event: PrimaryKnown) -> None:
         """Remember where the primary is; an older epoch's news is ignored."""
-        if notice.epoch < max(self.epoch, self.known_epoch):
+        if event.epoch < max(self.epoch, self.known_epoch):
             return
-        self.known_epoch = notice.epoch
-        self.known_address = notice.address
+        self.known_epoch = event.epoch
+        self.known_address = event.address
--- a/rooklug/membership/publications.py
+++ b/rooklug/membership/publications.py
@@ -1,4 +1,4 @@
-"""Publications of role holders: who may publish what, and under which mark it goes out."""
+"""Publications of role holders: who may publish what, and under which version it goes out."""
 
 from enum import Enum
 
@@ -6,12 +6,12 @@
 
 from rooklug.membership.roles import RoleTable
 from rooklug.membership.topic_store import TopicStore
-from rooklug.model.marks import mark_key
 from rooklug.model.topics import PUBLISHERS
+from rooklug.model.versions import version_key
 from rooklug.wire.generated.control.ttypes import PublishRequest, VersionMark
 
 SEQUENCE_BITS = 32
-"""A publication's mark is (token epoch, token counter << 32 | sequence).
+"""A publication's version is (token epoch, token counter << 32 | sequence).
 
 It is the same at every primary, so a body that is announced again after a failover wakes
 nobody who holds it, and a late older one never passes for a newer one.
@@ -31,8 +31,8 @@
     OLD_SEQUENCE = "a later sequence was published under this token"
 
 
-def publication_mark(token: VersionMark, sequence: int) -> VersionMark:
-    """Return the mark of a publication."""
+def publication_version(token: VersionMark, sequence: int) -> VersionMark:
+    """Return the version of a publication."""
     return VersionMark(epoch=token.epoch, counter=(token.counter << SEQUENCE_BITS) | sequence)
 
 
@@ -48,11 +48,11 @@
         refusal = self._check(request, now)
         if refusal is not None:
             return refusal
-        mark = publication_mark(request.token, request.sequence)
-        held = self.store.mark(request.topic)
-        if mark_key(mark) < mark_key(held):
+        version = publication_version(request.token, request.sequence)
+        held = self.store.version(request.topic)
+        if version_key(version) < version_key(held):
             return PublishRefusal.OLD_SEQUENCE
-        self.store.offer(request.topic, mark, request.body)
+        self.store.offer(request.topic, version, request.body)
         return None
 
     def _check(self, request: PublishRequest, now: float) -> PublishRefusal | None:
--- a/rooklug/membership/roles.py
+++ b/rooklug/membership/roles.py
@@ -16,7 +16,6 @@
     surely_over,
 )
 from rooklug.model.constants import ROLE_LEASE_S
-from rooklug.model.marks import is_newer
 from rooklug.model.topics import (
     CLAIM_SHARDS,
     PROBER_SHARDS,
@@ -25,6 +24,7 @@
     ROLE_PLATFORM_WATCHER,
     ROLE_PROBER_PREFIX,
 )
+from rooklug.model.versions import is_newer
 from rooklug.wire.generated.control.ttypes import (
     NodeRecord,
     RenewLeaseRequest,
--- a/rooklug/membership/topic_store.py
+++ b/rooklug/membership/topic_store.py
@@ -2,14 +2,14 @@
 
 import attrs
 
-from rooklug.model.marks import ZERO_MARK, is_newer, mark_key
 from rooklug.model.topics import ALL_TOPICS
+from rooklug.model.versions import ZERO_VERSION, is_newer, version_key
 from rooklug.wire.generated.control.ttypes import TopicMark, TopicUpdate, VersionMark
 
 
 @attrs.frozen
 class StoredTopic:
-    """One topic: the whole body, and deltas by the key of the mark that they start from."""
+    """One topic: the whole body, and deltas by the key of the version that they start from."""
 
     whole: TopicUpdate
     deltas: dict[tuple[int, int], TopicUpdate] = attrs.field(factory=dict)
@@ -17,27 +17,27 @@
 
 @attrs.define
 class TopicStore:
-    """Bodies by topic; an older mark never replaces a newer one."""
+    """Bodies by topic; an older version never replaces a newer one."""
 
     _topics: dict[str, StoredTopic] = attrs.field(factory=dict)
     _early: dict[str, TopicUpdate] = attrs.field(factory=dict)
 
-    def offer_early(self, topic: str, mark: VersionMark, body: bytes) -> None:
+    def offer_early(self, topic: str, version: VersionMark, body: bytes) -> None:
         """Keep an incomplete body for those that hold nothing of the topic, until ``offer``."""
-        self._early[topic] = TopicUpdate(topic=topic, version=mark, body=body)
+        self._early[topic] = TopicUpdate(topic=topic, version=version, body=body)
 
     def offer(
         self,
         topic: str,
-        mark: VersionMark,
+        version: VersionMark,
         body: bytes,
         deltas: tuple[TopicUpdate, ...] = (),
     ) -> bool:
-        """Take a body if its mark is newer than the one held; tell whether it was."""
-        if not is_newer(mark, self.mark(topic)):
+        """Take a body if its version is newer than the one held; tell whether it was."""
+        if not is_newer(version, self.version(topic)):
             return False
-        whole = TopicUpdate(topic=topic, version=mark, body=body)
-        by_base = {mark_key(delta.patch_base): delta for delta in deltas}
+        whole = TopicUpdate(topic=topic, version=version, body=body)
+        by_base = {version_key(delta.patch_base): delta for delta in deltas}
         self._topics[topic] = StoredTopic(whole, by_base)
         self._early.pop(topic, None)
         return True
@@ -47,13 +47,13 @@
         self._topics.pop(topic, None)
         self._early.pop(topic, None)
 
-    def mark(self, topic: str) -> VersionMark:
-        """Return the newest mark of a topic, or the zero mark."""
+    def version(self, topic: str) -> VersionMark:
+        """Return the newest version of a topic, or the zero version."""
         stored = self._topics.get(topic)
-        return stored.whole.version if stored else ZERO_MARK
+        return stored.whole.version if stored else ZERO_VERSION
 
-    def marks(self) -> list[TopicMark]:
-        """Return the newest marks of the topics that have a body."""
+    def versions(self) -> list[TopicMark]:
+        """Return the newest versions of the topics that have a body."""
         return [
             TopicMark(topic=topic, version=self._topics[topic].whole.version)
             for topic in ALL_TOPICS
@@ -65,7 +65,7 @@
         newer = [
             self._update_for(entry)
             for entry in held
-            if entry.topic in self._topics and is_newer(self.mark(entry.topic), entry.version)
+            if entry.topic in self._topics and is_newer(self.version(entry.topic), entry.version)
         ]
         return newer + [self._early[entry.topic] for entry in held if self._helps(entry)]
 
@@ -74,8 +74,8 @@
         early = self._early.get(held.topic)
         if early is None or not is_newer(early.version, held.version):
             return False
-        return held.version.epoch in (ZERO_MARK.epoch, early.version.epoch)
+        return held.version.epoch in (ZERO_VERSION.epoch, early.version.epoch)
 
     def _update_for(self, held: TopicMark) -> TopicUpdate:
         stored = self._topics[held.topic]
-        return stored.deltas.get(mark_key(held.version), stored.whole)
+        return stored.deltas.get(version_key(held.version), stored.whole)
--- a/rooklug/model/notices.py
+++ b/rooklug/model/internal_events.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from rooklug.engine.composite import Notice
+from rooklug.engine.component import InternalEvent
 from rooklug.wire.generated.control.ttypes import (
     ConfigurationBody,
     CoreStatus,
@@ -15,14 +15,14 @@
 
 
 @attrs.frozen
-class PrimaryStarted(Notice):
+class PrimaryStarted(InternalEvent):
     """This core has become the primary of ``epoch`` and has committed what it found."""
 
     epoch: int
 
 
 @attrs.frozen
-class PrimaryLeaseExtended(Notice):
+class PrimaryLeaseExtended(InternalEvent):
     """This primary may act until monotonic time ``until`` (counted from the send)."""
 
     epoch: int
@@ -30,14 +30,14 @@
 
 
 @attrs.frozen
-class PrimaryStopped(Notice):
+class PrimaryStopped(InternalEvent):
     """This core is the primary no more."""
 
     reason: str
 
 
 @attrs.frozen
-class PrimaryKnown(Notice):
+class PrimaryKnown(InternalEvent):
     """Where the primary is, as far as this core knows ("" while unknown)."""
 
     epoch: int
@@ -45,23 +45,23 @@
 
 
 @attrs.frozen
-class ConfigurationCommitted(Notice):
-    """A configuration is committed; ``mark`` is (epoch of commit, version)."""
+class ConfigurationCommitted(InternalEvent):
+    """A configuration is committed; ``version`` is (epoch of commit, version)."""
 
-    mark: VersionMark
+    version: VersionMark
     body: ConfigurationBody
 
 
 @attrs.frozen
-class ZonesCommitted(Notice):
-    """The set of emptied zones changed; ``mark`` is (epoch, sequence)."""
+class ZonesCommitted(InternalEvent):
+    """The set of emptied zones changed; ``version`` is (epoch, sequence)."""
 
-    mark: VersionMark
+    version: VersionMark
     body: ZonesBody
 
 
 @attrs.frozen
-class TopicOffered(Notice):
+class TopicOffered(InternalEvent):
     """A part of the primary itself has made a topic; ``body`` is a thrift struct.
 
     ``sequence`` grows with each offer of the part in this process. The primary's lease is
@@ -75,30 +75,30 @@
 
 
 @attrs.frozen
-class CoresChanged(Notice):
+class CoresChanged(InternalEvent):
     """The cores that vote are at these internal addresses now."""
 
     addresses: tuple[str, ...]
 
 
 @attrs.frozen
-class CoreStatusChanged(Notice):
+class CoreStatusChanged(InternalEvent):
     """This core's replication status, for ``ctl status``."""
 
     status: CoreStatus
 
 
 @attrs.frozen
-class TopicChanged(Notice):
+class TopicChanged(InternalEvent):
     """A node holds a newer body of a topic. ``body`` is the decoded thrift struct."""
 
     topic: str
-    mark: VersionMark
+    version: VersionMark
     body: Any
 
 
 @attrs.frozen
-class GrantsChanged(Notice):
+class GrantsChanged(InternalEvent):
     """The set of roles this node holds changed. Check ``CoreLink.grant`` before acting."""
 
     grants: tuple[RoleGrant, ...]
--- a/rooklug/runtime/addresses.py
+++ b/rooklug/runtime/addresses.py
@@ -10,7 +10,7 @@
 _LARGEST_PORT = 65535
 
 
-class ConnectFailed(Exception):
+class ConnectError(Exception):
     """The connection was never established: not one byte was written."""
 
 
@@ -47,7 +47,7 @@
 
     Raises
     ------
-    ConnectFailed
+    ConnectError
         Refused, unreachable, not in time, or not an address.
     """
     connecting = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -58,7 +58,7 @@
             connecting.bind((bind_ip, 0))
     except (ValueError, OSError) as problem:
         connecting.close()
-        raise ConnectFailed(f"{address}: {problem}") from problem
+        raise ConnectError(f"{address}: {problem}") from problem
     connecting.setblocking(False)
     stream = stream_class(connecting)
     return await _connected(stream, ip, port, timeout_s)
@@ -68,13 +68,13 @@
     try:
         await asyncio.wait_for(stream.connect((ip, port)), timeout_s)
         if stream.closed():
-            raise ConnectFailed(f"{ip}:{port}: closed at once")
+            raise ConnectError(f"{ip}:{port}: closed at once")
         if _is_connected_to_itself(stream):
-            raise ConnectFailed(f"{ip}:{port}: refused")
+            raise ConnectError(f"{ip}:{port}: refused")
     except (OSError, StreamClosedError) as problem:
         stream.close()
         reason = getattr(problem, "real_error", None) or problem
-        raise ConnectFailed(f"{ip}:{port}: {reason or 'connect timed out'}") from problem
+        raise ConnectError(f"{ip}:{port}: {reason or 'connect timed out'}") from problem
     except BaseException:
         stream.close()
         raise
--- a/rooklug/runtime/connect_deadlines.py
+++ b/rooklug/runtime/connect_timeouts.py
@@ -13,7 +13,7 @@
 
 
 @attrs.define
-class ConnectDeadlines:
+class ConnectTimeouts:
     """The deadline of the next try, by address."""
 
     _longer: dict[str, float] = attrs.field(factory=dict)
--- a/rooklug/runtime/host.py
+++ b/rooklug/runtime/host.py
@@ -17,18 +17,18 @@
 from rooklug.engine import events as ev
 from rooklug.engine.reducer import Reducer
 from rooklug.runtime.addresses import bound_address, split_address
-from rooklug.runtime.calls_in import CallServer
-from rooklug.runtime.calls_out import CallClient
 from rooklug.runtime.disk import Disk
 from rooklug.runtime.event_queue import EventQueue
 from rooklug.runtime.http_client import HttpClient
 from rooklug.runtime.http_server import SERVER_EFFECTS, HttpPort
 from rooklug.runtime.log import NodeLog
 from rooklug.runtime.metrics import render_metrics
-from rooklug.runtime.process_figures import ProcessFigures
+from rooklug.runtime.process_metrics import ProcessMetrics
+from rooklug.runtime.rpc_client import RpcClient
+from rooklug.runtime.rpc_server import RpcServer
 from rooklug.runtime.timers import Timers
 from rooklug.storage.folder import FolderContents, FolderError, open_folder
-from rooklug.wire.channel import ChannelFigures
+from rooklug.wire.channel import ChannelMetrics
 
 EXIT_OK = 0
 EXIT_BROKEN_INVARIANT = 70
@@ -42,7 +42,7 @@
 _LISTEN_BACKLOG = 1024
 
 
-class DataFolderRefused(Exception):
+class DataFolderRefusedError(Exception):
     """The data folder is foreign, in use or unusable; ``error`` says which."""
 
     def __init__(self, error: FolderError) -> None:
@@ -89,10 +89,10 @@
         self._stop_grace_s = stop_grace_s
         self._running = False
         self._stop_requested = False
-        self._figures = ProcessFigures()
+        self._figures = ProcessMetrics()
 
     @property
-    def channel(self) -> ChannelFigures:
+    def channel(self) -> ChannelMetrics:
         """The bytes on this host's internal channel."""
         return self._figures.channel
 
@@ -101,7 +101,7 @@
 
         Raises
         ------
-        DataFolderRefused
+        DataFolderRefusedError
             The data folder is not this node's to use.
         OSError
             A port is in use, or an address is not this machine's.
@@ -114,10 +114,10 @@
         write_log = self.log.write
         channel = self._figures.channel
         self._timers = Timers(self._loop, self._timer_due)
-        self._calls_out = CallClient(
+        self._calls_out = RpcClient(
             self._loop, self._node_id, self._bind_ip, self._deliver, write_log, channel
         )
-        self._calls_in = CallServer(self._node_id, arrivals, self._deliver, write_log, channel)
+        self._calls_in = RpcServer(self._node_id, arrivals, self._deliver, write_log, channel)
         self._http_client = HttpClient(self._loop, self._bind_ip, self._deliver_of_call, write_log)
         self._http_port = HttpPort(
             arrivals, self.reducer.head_first_paths, self._deliver, self._render_metrics
@@ -128,7 +128,7 @@
         self._listen()
         try:
             contents = self._open_disk()
-        except DataFolderRefused:
+        except DataFolderRefusedError:
             await self._close_ports()
             raise
         self._running = True
@@ -159,7 +159,7 @@
         self, event: ev.Event, is_wanted: Callable[[], bool]
     ) -> Awaitable[None] | None:
         """Deliver an HTTP call's event; a piece is over once its receivers have room."""
-        if not isinstance(event, ev.HttpBodyPiece):
+        if not isinstance(event, ev.HttpBodyChunk):
             self._deliver(event, is_wanted)
             return None
         handled = self._loop.create_future()
@@ -264,7 +264,7 @@
             return FolderContents("", "", {})
         opened = open_folder(self._data_folder, self._node_id)
         if opened.is_error():
-            raise DataFolderRefused(opened.error)
+            raise DataFolderRefusedError(opened.error)
         folder, contents = opened.ok
         self._disk = Disk(self._loop, folder, self._deliver)
         return contents
@@ -303,4 +303,4 @@
 
 
 def _streams_written(effects: list[fx.Effect]) -> tuple[int, ...]:
-    return tuple(effect.request_id for effect in effects if isinstance(effect, fx.HttpStreamPiece))
+    return tuple(effect.request_id for effect in effects if isinstance(effect, fx.HttpStreamChunk))
--- a/rooklug/runtime/http_client.py
+++ b/rooklug/runtime/http_client.py
@@ -10,9 +10,9 @@
 
 from rooklug.engine import events as ev
 from rooklug.engine.effects import HttpCall
-from rooklug.runtime.addresses import ConnectFailed
+from rooklug.runtime.addresses import ConnectError
 from rooklug.runtime.http_pool import ClientStream, ConnectionPool, keep_alive_s
-from rooklug.runtime.tasks import LogWriter, TaskKeeper
+from rooklug.runtime.tasks import BackgroundTasks, LogWriter
 
 MAX_ANSWER_BYTES = 16 * 1024 * 1024
 _UNBOUNDED = 1 << 62
@@ -68,7 +68,7 @@
         """Make the call."""
         try:
             await self._attempt()
-        except ConnectFailed as problem:
+        except ConnectError as problem:
             self._end(self._failure(str(problem)))
         except Exception as problem:  # a fault of ours: the call still ends once
             self._fail(f"fault: {problem!r}")
@@ -103,7 +103,7 @@
     def data_received(self, chunk: bytes) -> Awaitable[None] | None:
         """Take bytes of the answer's body."""
         if self.effect.streaming:
-            return self._deliver(ev.HttpBodyPiece(self.effect.call_id, chunk))
+            return self._deliver(ev.HttpBodyChunk(self.effect.call_id, chunk))
         self._body.append(chunk)
         return None
 
@@ -176,7 +176,7 @@
     def _success(self) -> ev.Event:
         call_id = self.effect.call_id
         if self.effect.streaming:
-            return ev.HttpResponseEnded(call_id)
+            return ev.HttpResponseCompleted(call_id)
         return ev.HttpAnswered(call_id, self._status, self._headers, b"".join(self._body))
 
     def _is_too_late(self) -> bool:
@@ -227,7 +227,7 @@
         self.deliver = deliver
         self.pool = ConnectionPool(loop, bind_ip)
         self.calls: dict[int, _ClientCall] = {}
-        self._tasks = TaskKeeper(loop, log)
+        self._tasks = BackgroundTasks(loop, log)
 
     def start(self, effect: HttpCall) -> None:
         """Begin a call."""
--- a/rooklug/runtime/http_exchange.py
+++ b/rooklug/runtime/http_exchange.py
@@ -139,7 +139,7 @@
         """Send the head of a chunked answer."""
         self._write_head(status, _header_lines(headers, "application/x-ndjson"), None)
 
-    def send_piece(self, data: bytes) -> None:
+    def send_chunk(self, data: bytes) -> None:
         """Send one piece, after those before it."""
         if not data or self._ending:
             return
--- a/rooklug/runtime/http_pool.py
+++ b/rooklug/runtime/http_pool.py
@@ -57,7 +57,7 @@
 
         Raises
         ------
-        ConnectFailed
+        ConnectError
             Refused, unreachable or not in time.
         """
         idle = self._idle[address]
--- a/rooklug/runtime/http_server.py
+++ b/rooklug/runtime/http_server.py
@@ -116,7 +116,7 @@
     fx.HttpStreamStart: lambda exchange, effect: exchange.start_stream(
         effect.status, effect.headers
     ),
-    fx.HttpStreamPiece: lambda exchange, effect: exchange.send_piece(effect.data),
+    fx.HttpStreamChunk: lambda exchange, effect: exchange.send_chunk(effect.data),
     fx.HttpStreamEnd: lambda exchange, effect: exchange.end_stream(),
     fx.HttpStreamAbort: lambda exchange, effect: exchange.abort(),
 }
--- a/rooklug/runtime/process.py
+++ b/rooklug/runtime/process.py
@@ -5,7 +5,7 @@
 import logging
 import signal
 
-from rooklug.runtime.host import DataFolderRefused, Host
+from rooklug.runtime.host import DataFolderRefusedError, Host
 from rooklug.runtime.log import LibraryLogHandler
 
 EXIT_PORT_IN_USE = 69
@@ -22,7 +22,7 @@
 async def _run(host: Host) -> int:
     try:
         await host.start()
-    except DataFolderRefused as refusal:
+    except DataFolderRefusedError as refusal:
         host.log.write("critical", "data folder refused", {"reason": str(refusal)})
         return EXIT_DATA_FOLDER
     except OSError as problem:
--- a/rooklug/runtime/process_figures.py
+++ b/rooklug/runtime/process_metrics.py
@@ -6,17 +6,17 @@
 import attrs
 
 from rooklug.engine.reducer import MetricSample
-from rooklug.wire.channel import ChannelFigures
+from rooklug.wire.channel import ChannelMetrics
 
 _STATUS_FILE = "/proc/self/statm"
 
 
 @attrs.define
-class ProcessFigures:
+class ProcessMetrics:
     """Counts of one host, and the process's processor time and memory."""
 
     events_handled: int = 0
-    channel: ChannelFigures = attrs.field(factory=ChannelFigures)
+    channel: ChannelMetrics = attrs.field(factory=ChannelMetrics)
 
     def samples(self) -> list[MetricSample]:
         """Return the figures of this moment."""
--- a/rooklug/runtime/calls_out.py
+++ b/rooklug/runtime/rpc_client.py
@@ -7,10 +7,10 @@
 
 from rooklug.engine.effects import Call
 from rooklug.engine.events import CallAnswered, CallFailed, Event
-from rooklug.runtime.addresses import ConnectFailed, connect_stream
-from rooklug.runtime.connect_deadlines import ConnectDeadlines
-from rooklug.runtime.tasks import LogWriter, TaskKeeper
-from rooklug.wire.channel import ChannelFigures, FramedConnection, OutgoingFrame
+from rooklug.runtime.addresses import ConnectError, connect_stream
+from rooklug.runtime.connect_timeouts import ConnectTimeouts
+from rooklug.runtime.tasks import BackgroundTasks, LogWriter
+from rooklug.wire.channel import ChannelMetrics, FramedConnection, OutgoingFrame
 from rooklug.wire.frames import Message, encode_frame
 
 
@@ -30,7 +30,7 @@
     written: its path may be silently cut. New calls then use a new connection.
     """
 
-    def __init__(self, client: "CallClient", address: str) -> None:
+    def __init__(self, client: "RpcClient", address: str) -> None:
         self.address = address
         self.last_received = 0.0
         self.pending: dict[int, _PendingCall] = {}
@@ -51,11 +51,11 @@
             self._connection.close_for(reason)
 
     async def _connect(self) -> None:
-        deadlines = self._client.connect_deadlines
+        deadlines = self._client.connect_timeouts
         try:
             deadline_s = deadlines.next(self.address)
             stream = await connect_stream(self.address, self._client.bind_ip, deadline_s)
-        except ConnectFailed as problem:
+        except ConnectError as problem:
             deadlines.failed(self.address)
             self._client.peer_closed(self, str(problem))
             return
@@ -93,7 +93,7 @@
         self._client.peer_closed(self, reason)
 
 
-class CallClient:
+class RpcClient:
     """Obeys ``Call``; ends each in exactly one ``CallAnswered`` or ``CallFailed``."""
 
     def __init__(
@@ -103,13 +103,13 @@
         bind_ip: str,
         deliver: Callable[[Event], None],
         log: LogWriter,
-        figures: ChannelFigures,
+        figures: ChannelMetrics,
     ) -> None:
         self.figures = figures
         self.loop = loop
         self.bind_ip = bind_ip
-        self.tasks = TaskKeeper(loop, log)
-        self.connect_deadlines = ConnectDeadlines()
+        self.tasks = BackgroundTasks(loop, log)
+        self.connect_timeouts = ConnectTimeouts()
         self._node_id = node_id
         self._deliver = deliver
         self._log = log
--- a/rooklug/runtime/calls_in.py
+++ b/rooklug/runtime/rpc_server.py
@@ -8,11 +8,11 @@
 from rooklug.engine.effects import Answer
 from rooklug.engine.events import CallArrived, Event
 from rooklug.runtime.tasks import LogWriter
-from rooklug.wire.channel import ChannelFigures, FramedConnection, OutgoingFrame
+from rooklug.wire.channel import ChannelMetrics, FramedConnection, OutgoingFrame
 from rooklug.wire.frames import Message, encode_frame
 
 
-class CallServer(TCPServer):
+class RpcServer(TCPServer):
     """Delivers ``CallArrived`` and obeys ``Answer``.
 
     Garbage closes its connection and is logged; nothing else is affected.
@@ -24,7 +24,7 @@
         identifiers: Iterator[int],
         deliver: Callable[[Event], None],
         log: LogWriter,
-        figures: ChannelFigures,
+        figures: ChannelMetrics,
     ) -> None:
         super().__init__()
         self._node_id = node_id
--- a/rooklug/runtime/tasks.py
+++ b/rooklug/runtime/tasks.py
@@ -8,7 +8,7 @@
 LogWriter = Callable[[str, str, dict[str, Any]], None]
 
 
-class TaskKeeper:
+class BackgroundTasks:
     """Starts tasks and holds them; an exception that ends one is logged as a fault."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, log: LogWriter) -> None:
--- a/rooklug/storage/folder.py
+++ b/rooklug/storage/folder.py
@@ -33,7 +33,7 @@
     message: str
 
 
-class FileBroken(OSError):
+class BrokenFileError(OSError):
     """An earlier failure left a file in an unknown state; only a rewrite mends it."""
 
 
@@ -71,11 +71,11 @@
         Raises
         ------
         OSError
-            Nothing was kept, or the file is broken (``FileBroken``).
+            Nothing was kept, or the file is broken (``BrokenFileError``).
         """
         file = self._open(name)
         if file.broken:
-            raise FileBroken(file.broken)
+            raise BrokenFileError(file.broken)
         data = encode_records(payloads)
         try:
             _write_all(file.descriptor, data)
@@ -130,7 +130,7 @@
             if result.is_ok():
                 records[name] = result.ok.payloads
                 if result.ok.torn_bytes:
-                    self._cut(name, result.ok.whole_bytes)
+                    self._cut(name, result.ok.valid_bytes)
             else:
                 damages.append(f"{path.name}: {result.error.message}")
                 self._open(name).broken = result.error.message
--- a/rooklug/storage/records.py
+++ b/rooklug/storage/records.py
@@ -31,7 +31,7 @@
     """Whole records, and how many bytes they take; what follows is a torn tail."""
 
     payloads: tuple[bytes, ...]
-    whole_bytes: int
+    valid_bytes: int
     torn_bytes: int
 
 
@@ -74,7 +74,7 @@
         return None
     if not _looks_torn(data, offset):
         return DamagedRecord(offset, f"wrong checksum at byte {offset}")
-    following = _next_whole_record(data, offset + 1)
+    following = _next_valid_record(data, offset + 1)
     if following is None:
         return None
     return DamagedRecord(offset, f"wrong record at byte {offset}, a whole one at {following}")
@@ -104,7 +104,7 @@
     return payload if actual == checksum else None
 
 
-def _next_whole_record(data: bytes, start: int) -> int | None:
+def _next_valid_record(data: bytes, start: int) -> int | None:
     for offset in range(start, len(data) - HEADER_BYTES + 1):
         if _record_at(data, offset) is not None:
             return offset
--- a/rooklug/wire/channel.py
+++ b/rooklug/wire/channel.py
@@ -19,7 +19,7 @@
 
 
 @attrs.define(eq=False)
-class ChannelFigures:
+class ChannelMetrics:
     """Bytes of frames, counted over all connections that share the object."""
 
     sent_bytes: int = 0
@@ -38,7 +38,7 @@
         stream: IOStream,
         on_message: Callable[["FramedConnection", Message], None],
         on_closed: Callable[["FramedConnection", str], None],
-        figures: ChannelFigures,
+        figures: ChannelMetrics,
     ) -> None:
         self._figures = figures
         self._stream = stream
--- a/rooklug_lab/demo.py
+++ b/rooklug_lab/demo.py
@@ -6,7 +6,7 @@
 import time
 from typing import Any
 
-from rooklug_lab.fleet.client import ConditionNotMet, wait_until
+from rooklug_lab.fleet.client import ConditionNotMetError, wait_until
 from rooklug_lab.fleet.command import with_fleet
 from rooklug_lab.fleet.fleet import Fleet
 from rooklug_lab.fleet.warm_up import wait_until_warm
@@ -25,7 +25,7 @@
 NO_ONCE_ONLY = "rooklug_once_active 0.0"
 
 
-class DemoFailed(Exception):
+class DemoError(Exception):
     """A step of the demo did not come out as promised."""
 
 
@@ -68,7 +68,7 @@
 
     async def _patch(self) -> None:
         if not await self.run.change():
-            raise DemoFailed(f"patch: {self.run.problems}")
+            raise DemoError(f"patch: {self.run.problems}")
         await self._measure_in_force()
         self.say(
             f"configuration {self.fleet.next_version - 1}, a patch, is in force on "
@@ -78,9 +78,9 @@
     async def _kill_front_and_primary(self) -> None:
         primary = await self.fleet.primary()
         if not primary:
-            raise DemoFailed("no primary core is known")
+            raise DemoError("no primary core is known")
         if not await self.run.change():
-            raise DemoFailed(f"patch: {self.run.problems}")
+            raise DemoError(f"patch: {self.run.problems}")
         self.fleet.kill(primary)
         front = await self._front_without_once_only()
         self.fleet.kill(front)
@@ -95,7 +95,7 @@
         self.fleet.start_process(front)
         self.run.end(faults)
         if not await changed:
-            raise DemoFailed(f"patch after the primary's death: {self.run.problems}")
+            raise DemoError(f"patch after the primary's death: {self.run.problems}")
         self.say(f"{await self.fleet.primary()} is primary and acknowledged the next patch")
         await self.fleet.wait_ready([front])
         self.say(f"{front} is ready again")
@@ -112,7 +112,7 @@
             figures = await self.fleet.client.request(front.listen_http, "/metrics")
             if NO_ONCE_ONLY in figures.body.decode().splitlines():
                 return front.node_id
-        raise DemoFailed("no front is without once-only requests")
+        raise DemoError("no front is without once-only requests")
 
     async def _empty_and_restore_zone(self) -> None:
         zone = list(self.fleet.deployment.zone_regions)[1]
@@ -134,11 +134,9 @@
         acknowledged_s = await self._last_acknowledged_s()
         try:
             await wait_until(everywhere, IN_FORCE_TIMEOUT_S, "configuration in force")
-        except ConditionNotMet as problem:
+        except ConditionNotMetError as problem:
             behind = await self._versions()
-            raise DemoFailed(
-                f"{problem}: {version} on {self.in_force_nodes}: {behind}"
-            ) from problem
+            raise DemoError(f"{problem}: {version} on {self.in_force_nodes}: {behind}") from problem
         self.in_force_s = time.monotonic() - acknowledged_s
 
     async def print_decisions(self) -> None:
@@ -189,7 +187,7 @@
         demo = Demo(fleet, arguments.seed)
         try:
             evidence = await demo.play()
-        except (ConditionNotMet, DemoFailed) as problem:
+        except (ConditionNotMetError, DemoError) as problem:
             print(f"demo: failed: {problem}")
             return 1
         line, failures = closing_line(demo, evidence)
--- a/rooklug_lab/fleet/client.py
+++ b/rooklug_lab/fleet/client.py
@@ -14,7 +14,7 @@
 POLL_S = 0.05
 
 
-class ConditionNotMet(Exception):
+class ConditionNotMetError(Exception):
     """A condition did not come true in time."""
 
 
@@ -83,14 +83,14 @@
 
     Raises
     ------
-    ConditionNotMet
+    ConditionNotMetError
         It did not hold within ``timeout_s``.
     """
     loop = asyncio.get_running_loop()
     started = loop.time()
     while not await condition():
         if loop.time() - started > timeout_s:
-            raise ConditionNotMet(f"{what}: not within {timeout_s:.0f} s")
+            raise ConditionNotMetError(f"{what}: not within {timeout_s:.0f} s")
         await asyncio.sleep(POLL_S)
     return loop.time() - started
 
--- a/rooklug_lab/fleet/fleet.py
+++ b/rooklug_lab/fleet/fleet.py
@@ -11,7 +11,7 @@
 from rooklug_lab.deployment import Deployment
 from rooklug_lab.fleet.client import (
     POLL_S,
-    ConditionNotMet,
+    ConditionNotMetError,
     FleetClient,
     Reply,
     is_listening,
@@ -126,13 +126,13 @@
 
         Raises
         ------
-        ConditionNotMet
+        ConditionNotMetError
             It did not hold in time.
         """
         try:
             return await wait_until(condition, timeout_s, what)
-        except ConditionNotMet as problem:
-            raise ConditionNotMet(f"{problem}{self.describe_dead()}") from None
+        except ConditionNotMetError as problem:
+            raise ConditionNotMetError(f"{problem}{self.describe_dead()}") from None
 
     def describe_dead(self) -> str:
         """Return what is known of processes that ended."""
@@ -167,9 +167,9 @@
 
         try:
             return await self.wait_for(ready, timeout_s, f"{len(fronts)} fronts ready")
-        except ConditionNotMet as problem:
+        except ConditionNotMetError as problem:
             last = [reply.body.decode(errors="replace") for reply in replies]
-            raise ConditionNotMet(f"{problem}: {last}") from None
+            raise ConditionNotMetError(f"{problem}: {last}") from None
 
     async def ask_fronts(
         self, path: str, fronts: list[NodeSettings] | tuple[NodeSettings, ...] | None = None
@@ -207,7 +207,7 @@
 
         Raises
         ------
-        ConditionNotMet
+        ConditionNotMetError
             It was not acknowledged.
         """
         version = 0
@@ -217,7 +217,7 @@
         step = OperatorStep(0.0, kind, version, document, zone)
         change = await self.settled(await self.order(step))
         if change["outcome"] != "done":
-            raise ConditionNotMet(f"order {kind} {version} {zone}: {change}")
+            raise ConditionNotMetError(f"order {kind} {version} {zone}: {change}")
         return version
 
     async def order(self, step: OperatorStep) -> int:
@@ -238,7 +238,7 @@
 
         Raises
         ------
-        ConditionNotMet
+        ConditionNotMetError
             It had no end in time.
         """
         changes: list[dict[str, Any]] = []
--- a/rooklug_lab/fleet/subnets.py
+++ b/rooklug_lab/fleet/subnets.py
@@ -7,7 +7,7 @@
 _GUARD_PORT = 7999
 
 
-class NoFreeSubnet(Exception):
+class NoFreeSubnetError(Exception):
     """Every subnet is held by another fleet."""
 
 
@@ -26,7 +26,7 @@
             self._guard = guard
             self.number = number
             return
-        raise NoFreeSubnet()
+        raise NoFreeSubnetError()
 
     def release(self) -> None:
         """Let others have it."""
--- a/rooklug_lab/fleet/warm_up.py
+++ b/rooklug_lab/fleet/warm_up.py
@@ -76,7 +76,7 @@
 
     Raises
     ------
-    ConditionNotMet
+    ConditionNotMetError
         It did not come to that in time.
     """
     return await wait_until(WarmUp(fleet).is_over, WARM_TIMEOUT_S, "the site is warm")
--- a/rooklug_lab/gateway/clients.py
+++ b/rooklug_lab/gateway/clients.py
@@ -70,9 +70,9 @@
                 attempt.status = event.status
                 attempt.signature = event.headers.get(NAMES.signature, "")
                 self._retries[attempt.request_id] = event.headers.get("retry-after", "")
-            case ev.HttpBodyPiece():
+            case ev.HttpBodyChunk():
                 self._under_way[event.call_id].body += event.data
-            case ev.HttpResponseEnded():
+            case ev.HttpResponseCompleted():
                 return self._ended(self._under_way.pop(event.call_id), True, now)
             case ev.HttpFailed():
                 return self._ended(self._under_way.pop(event.call_id), False, now)
--- a/rooklug_lab/gateway/replicas.py
+++ b/rooklug_lab/gateway/replicas.py
@@ -119,7 +119,7 @@
         if kind == "stream":
             effects.append(fx.HttpStreamStart(http_id, 200, headers))
         number = sent + 1
-        effects.append(fx.HttpStreamPiece(http_id, stream_event(request_id, number)))
+        effects.append(fx.HttpStreamChunk(http_id, stream_event(request_id, number)))
         if number == EVENTS:
             del self._running[request_id]
             return [*effects, fx.HttpStreamEnd(http_id)]
--- a/rooklug_lab/gateway/site.py
+++ b/rooklug_lab/gateway/site.py
@@ -132,7 +132,7 @@
         return [name for name in nodes if self._is_in(place, self.process(name).place)]
 
     def core_halves(self, random: Random) -> tuple[list[str], list[str]]:
-        """Part the cores by lot; the second half is the larger one of an odd number."""
+        """Component the cores by lot; the second half is the larger one of an odd number."""
         half = random.sample(self.cores, len(self.cores) // 2)
         return half, [name for name in self.cores if name not in half]
 
--- a/rooklug_lab/hollow/command.py
+++ b/rooklug_lab/hollow/command.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import Any
 
-from rooklug_lab.fleet.client import ConditionNotMet
+from rooklug_lab.fleet.client import ConditionNotMetError
 from rooklug_lab.fleet.subnets import HeldSubnet
 from rooklug_lab.hollow import phases
 from rooklug_lab.hollow.fleet import HollowFleet
@@ -77,7 +77,7 @@
         for name in arguments.phases:
             result[name] = await _phase(name, fleet, arguments.seconds)
             print(json.dumps({name: result[name]}), file=sys.stderr, flush=True)
-    except ConditionNotMet as problem:
+    except ConditionNotMetError as problem:
         result["start"] = {"failed": str(problem)}
     finally:
         await fleet.stop()
--- a/rooklug_lab/hollow/control_memory.py
+++ b/rooklug_lab/hollow/control_memory.py
@@ -20,7 +20,7 @@
 from rooklug.engine import events as ev
 from rooklug.engine.reducer import Identifiers, ProcessContext
 from rooklug.model.settings import NodeSettings
-from rooklug.runtime.process_figures import resident_bytes
+from rooklug.runtime.process_metrics import resident_bytes
 
 WITHOUT = "without"
 WITH = "with"
@@ -48,11 +48,11 @@
     """Build the request path with a core link that does nothing."""
     import rooklug.runtime.host
     from rooklug.engine.composite import CompositeReducer
-    from rooklug.front.build import build_front_parts
+    from rooklug.front.build import build_front_components
 
     nothing = SimpleNamespace(connected=False, role_owner=lambda key: None)
-    parts = build_front_parts(_SETTINGS, _context(), nothing)
-    kept = [part for part in parts if part.name != "demand"]
+    components = build_front_components(_SETTINGS, _context(), nothing)
+    kept = [component for component in components if component.name != "demand"]
     reducer = CompositeReducer(kept)
     reducer.handle(ev.Started(), 0.0)
     return reducer, rooklug.runtime.host
@@ -130,7 +130,9 @@
     kept = run_without() if mode == WITHOUT else run_with(fronts, replicas)
     gc.collect()
     resident_mb = round(resident_bytes() / _MEGABYTE, 1)
-    print(json.dumps({"control": mode, "resident_mb": resident_mb, "parts": len(kept[0].parts)}))
+    print(
+        json.dumps({"control": mode, "resident_mb": resident_mb, "parts": len(kept[0].components)})
+    )
 
 
 def main() -> None:
--- a/rooklug_lab/hollow/figures_endpoint.py
+++ b/rooklug_lab/hollow/figures_endpoint.py
@@ -5,14 +5,14 @@
 
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
-from rooklug.engine.composite import PartDefaults
+from rooklug.engine.component import BaseComponent
 from rooklug_lab.standins.http import respond, respond_error
 
 FIGURES_PATH = "/lab/figures"
 STANDING_PATH = "/lab/standing"
 
 
-class FiguresEndpoint(PartDefaults):
+class FiguresEndpoint(BaseComponent):
     """Gives the lab the figures of all nodes of its process, or a short summary of them."""
 
     name = "figures"
--- a/rooklug_lab/hollow/front.py
+++ b/rooklug_lab/hollow/front.py
@@ -10,12 +10,12 @@
 
 import attrs
 
-from rooklug.api.build import build_operator_parts
+from rooklug.api.build import build_operator_components
 from rooklug.config.reading import read_configuration
 from rooklug.distribution.core_link import CoreLink
 from rooklug.engine.composite import CompositeReducer
 from rooklug.engine.reducer import Identifiers, ProcessContext
-from rooklug.front.demand import DemandPart
+from rooklug.front.demand import DemandComponent
 from rooklug.front.readiness import Readiness
 from rooklug.front.view_keeper import ViewKeeper
 from rooklug.model.settings import NodeSettings
@@ -85,16 +85,16 @@
         traffic.answer_tokens,
         Random(f"demand {settings.node_id}"),
     )
-    parts = [
+    components = [
         core_link,
         keeper,
         Readiness(keeper, core_link),
-        DemandPart(context, core_link, demand),
-        *build_operator_parts(settings, context, core_link),
+        DemandComponent(context, core_link, demand),
+        *build_operator_components(settings, context, core_link),
     ]
 
     def version() -> int:
         return keeper.view.sources.configuration_version
 
-    reducer = TimedReducer(CompositeReducer(parts), shared, version)
+    reducer = TimedReducer(CompositeReducer(components), shared, version)
     return HollowFront(settings, reducer, core_link, keeper)
--- a/rooklug_lab/hollow/phases.py
+++ b/rooklug_lab/hollow/phases.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from rooklug_lab.fleet.client import ConditionNotMet, wait_until
+from rooklug_lab.fleet.client import ConditionNotMetError, wait_until
 from rooklug_lab.hollow.fleet import HollowFleet
 from rooklug_lab.hollow.statistics import spread
 from rooklug_lab.hollow.window import difference, take_snapshot
@@ -24,7 +24,7 @@
     before = await take_snapshot(fleet)
     try:
         result = await phase()
-    except ConditionNotMet as problem:
+    except ConditionNotMetError as problem:
         result = {"failed": str(problem)}
     return {**result, "use": difference(before, await take_snapshot(fleet))}
 
@@ -43,7 +43,7 @@
 
     try:
         return {"settled_s": round(await wait_until(quiet, SETTLE_TIMEOUT_S, "a quiet plan"), 1)}
-    except ConditionNotMet:
+    except ConditionNotMetError:
         return {"settled_s": None}
 
 
@@ -110,7 +110,7 @@
     """Kill the primary core; measure until a change is acknowledged and in force again."""
     killed = await fleet.primary()
     if not killed:
-        raise ConditionNotMet("no primary before the kill")
+        raise ConditionNotMetError("no primary before the kill")
     fleet.processes[killed].kill()
     begun = time.monotonic()
     _, acknowledged = await fleet.change()
@@ -131,7 +131,7 @@
     """Kill the placer's controller; measure until another one has published a plan."""
     before = await _placer(fleet)
     if not before:
-        raise ConditionNotMet("no placer before the kill")
+        raise ConditionNotMetError("no placer before the kill")
     fleet.processes[before].kill()
     begun = time.monotonic()
 
--- a/rooklug_lab/hollow/process.py
+++ b/rooklug_lab/hollow/process.py
@@ -11,7 +11,7 @@
 import attrs
 
 from rooklug.runtime.host import Host
-from rooklug.runtime.process_figures import resident_bytes
+from rooklug.runtime.process_metrics import resident_bytes
 from rooklug_lab.hollow.demand import route_table
 from rooklug_lab.hollow.figures_endpoint import FiguresEndpoint
 from rooklug_lab.hollow.front import FrontTraffic, HollowFront, build_hollow_front
--- a/rooklug_lab/lag.py
+++ b/rooklug_lab/lag.py
@@ -12,7 +12,7 @@
 
 from rooklug.config.json_text import canonical_bytes
 from rooklug_lab.deployment import build_deployment
-from rooklug_lab.fleet.client import ConditionNotMet
+from rooklug_lab.fleet.client import ConditionNotMetError
 from rooklug_lab.fleet.fleet import Fleet
 from rooklug_lab.fleet.subnets import HeldSubnet
 from rooklug_lab.hollow.statistics import spread
@@ -89,13 +89,13 @@
 
     Raises
     ------
-    ConditionNotMet
+    ConditionNotMetError
         It did not in time.
     """
     started = time.monotonic()
     while await local_version(address) < version:
         if time.monotonic() - started > IN_FORCE_TIMEOUT_S:
-            raise ConditionNotMet(f"{address} doesn't serve under version {version}")
+            raise ConditionNotMetError(f"{address} doesn't serve under version {version}")
         await asyncio.sleep(POLL_S)
     return time.monotonic()
 
@@ -127,7 +127,7 @@
 
         Raises
         ------
-        ConditionNotMet
+        ConditionNotMetError
             One was not acknowledged, or not in force everywhere in time.
         """
         figures = LagFigures()
@@ -158,7 +158,7 @@
             body = route_patch(self._number)
         reply = await self._fleet.client.request(self._fronts[0], path, method, body, PUT_TIMEOUT_S)
         if reply.status != 200:
-            raise ConditionNotMet(f"{kind} {version}: {reply.status} {reply.body[:300]!r}")
+            raise ConditionNotMetError(f"{kind} {version}: {reply.status} {reply.body[:300]!r}")
 
 
 async def measure_site(routes: int, changes: int, seed: int) -> dict[str, Any]:
@@ -186,7 +186,7 @@
     for routes in (int(text) for text in arguments.routes.split(",")):
         try:
             result = asyncio.run(measure_site(routes, arguments.changes, arguments.seed))
-        except ConditionNotMet as problem:
+        except ConditionNotMetError as problem:
             result, code = {"routes": routes, "problem": str(problem)}, 1
         print(json.dumps(result), flush=True)
     return code
--- a/rooklug_lab/load/command.py
+++ b/rooklug_lab/load/command.py
@@ -9,7 +9,7 @@
 
 import attrs
 
-from rooklug_lab.fleet.client import ConditionNotMet
+from rooklug_lab.fleet.client import ConditionNotMetError
 from rooklug_lab.fleet.fleet import Fleet
 from rooklug_lab.fleet.subnets import HeldSubnet
 from rooklug_lab.load.hop_site import HopSite, build_hop_site
@@ -34,7 +34,7 @@
     )
     try:
         result = asyncio.run(_measure(shape, arguments.seed, arguments.tokens_per_s))
-    except ConditionNotMet as problem:
+    except ConditionNotMetError as problem:
         print(f"load: not run: {problem}")
         return 1
     text = json.dumps(result, indent=2)
--- a/rooklug_lab/policy/clients.py
+++ b/rooklug_lab/policy/clients.py
@@ -150,7 +150,7 @@
             return
         outcome, now = attempt.outcome, self.world.now
         match effect:
-            case fx.HttpStreamPiece():
+            case fx.HttpStreamChunk():
                 self._piece(attempt, now)
             case fx.HttpStreamEnd():
                 del self._attempts[http_id]
--- a/rooklug_lab/policy/control.py
+++ b/rooklug_lab/policy/control.py
@@ -9,15 +9,15 @@
 
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
-from rooklug.engine.composite import Notify
+from rooklug.engine.component import EmitEvent
 from rooklug.engine.reducer import Identifiers
 from rooklug.gateway.demand import REPORT_INTERVAL_S
+from rooklug.gateway.gateway_events import ReplicasListed, ViewChanged
 from rooklug.gateway.listing import READ_INTERVAL_S
-from rooklug.gateway.notices import ReplicasListed, ViewChanged
 from rooklug.gateway.region_planner import SOLVE_INTERVAL_S, RegionPlanner
 from rooklug.gateway.view import GatewayView
 from rooklug.gateway.view_keeper import GatewayViewKeeper
-from rooklug.model.notices import (
+from rooklug.model.internal_events import (
     ConfigurationCommitted,
     PrimaryStarted,
     TopicChanged,
@@ -78,8 +78,8 @@
         """Bring the configuration, members and list at once, then follow what changes."""
         document = document_of(self.world.site)
         body = ConfigurationBody(1, "", document)
-        mark = VersionMark(EPOCH, 1)
-        self._plan(ConfigurationCommitted(mark, body))
+        version = VersionMark(EPOCH, 1)
+        self._plan(ConfigurationCommitted(version, body))
         self._change(CONFIGURATION, body)
         self._plan(PrimaryStarted(EPOCH))
         self._publish_members()
@@ -113,8 +113,8 @@
 
     def _change(self, topic: str, body: object) -> None:
         self._counter += 1
-        notice = TopicChanged(topic, VersionMark(EPOCH, self._counter), body)
-        self.keeper.handle(notice, self.world.now)
+        event = TopicChanged(topic, VersionMark(EPOCH, self._counter), body)
+        self.keeper.handle(event, self.world.now)
         view = self.keeper.view
         self.world.scheduler.after(DISTRIBUTION_S, lambda: self._spread(view))
 
@@ -128,8 +128,8 @@
                 result = effect.function(effect.argument)
                 done = ev.Computed(effect.ticket, result)
                 self.world.scheduler.after(SOLVE_S, lambda done=done: self._plan(done))
-            elif isinstance(effect, Notify) and isinstance(effect.notice, TopicOffered):
-                self._change(PLAN, effect.notice.body)
+            elif isinstance(effect, EmitEvent) and isinstance(effect.event, TopicOffered):
+                self._change(PLAN, effect.event.body)
 
     def _note_list(self) -> None:
         now = self.world.now
--- a/rooklug_lab/policy/fronts.py
+++ b/rooklug_lab/policy/fronts.py
@@ -9,10 +9,10 @@
 
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
-from rooklug.engine.composite import Notify
+from rooklug.engine.component import EmitEvent
 from rooklug.engine.reducer import Identifiers, ProcessContext
 from rooklug.gateway.executor import GatewayExecutor
-from rooklug.gateway.notices import RequestCounted, ViewChanged
+from rooklug.gateway.gateway_events import RequestCounted, ViewChanged
 from rooklug.gateway.peer_exchange import PeerExchange
 from rooklug.model.settings import NodeSettings
 from rooklug_lab.policy.replicas import EmulatedReplica, Job
@@ -24,7 +24,7 @@
 HEAD_BYTES = 400
 PIECE_BYTES = 90
 HANDSHAKE_S = 0.001
-_EVENTS_OF_AN_ANSWER = (ev.HttpResponseEnded, ev.HttpAnswered, ev.HttpFailed)
+_EVENTS_OF_AN_ANSWER = (ev.HttpResponseCompleted, ev.HttpAnswered, ev.HttpFailed)
 
 
 @attrs.define(eq=False)
@@ -103,8 +103,8 @@
                     self._cancel(call)
             case fx.StartTimer():
                 self._later(effect.delay_s, ev.TimerFired(effect.name))
-            case Notify():
-                self._count(effect.notice)
+            case EmitEvent():
+                self._count(effect.event)
             case _:
                 self.world.clients.answered(self, effect)
 
@@ -156,13 +156,13 @@
 
         self.world.scheduler.after(delay_s, fire)
 
-    def _count(self, notice: object) -> None:
-        if not isinstance(notice, RequestCounted):
+    def _count(self, event: object) -> None:
+        if not isinstance(event, RequestCounted):
             return
-        counts = self.demand.setdefault((notice.route, notice.service), [0, 0, 0])
+        counts = self.demand.setdefault((event.route, event.service), [0, 0, 0])
         counts[0] += 1
-        counts[1] += notice.request.prompt_tokens
-        counts[2] += notice.request.answer_tokens
+        counts[1] += event.request.prompt_tokens
+        counts[2] += event.request.answer_tokens
 
     def _later(self, delay_s: float, event: ev.Event) -> None:
         generation = self.generation
--- a/rooklug_lab/policy/replicas.py
+++ b/rooklug_lab/policy/replicas.py
@@ -169,10 +169,10 @@
             job.told_at = now
             job.told_events = sequence.events
             number = job.after_event + sequence.events
-            job.deliver(ev.HttpBodyPiece(call_id, f"id: {number}\ndata: x\n\n".encode()))
+            job.deliver(ev.HttpBodyChunk(call_id, f"id: {number}\ndata: x\n\n".encode()))
         if sequence.finished:
             del self.jobs[job.key]
-            job.deliver(ev.HttpResponseEnded(call_id))
+            job.deliver(ev.HttpResponseCompleted(call_id))
 
     # Application replicas -----------------------------------------------------
 
@@ -212,7 +212,7 @@
             job.deliver(ev.HttpAnswered(call_id, status, headers, body))
             return
         job.deliver(ev.HttpResponseStarted(call_id, status, headers))
-        job.deliver(ev.HttpResponseEnded(call_id))
+        job.deliver(ev.HttpResponseCompleted(call_id))
 
     def _headers(self, job: Job) -> dict[str, str]:
         headers = {
--- a/rooklug_lab/scenarios/command.py
+++ b/rooklug_lab/scenarios/command.py
@@ -6,7 +6,7 @@
 import sys
 from typing import Any
 
-from rooklug_lab.fleet.client import ConditionNotMet
+from rooklug_lab.fleet.client import ConditionNotMetError
 from rooklug_lab.fleet.command import with_fleet
 from rooklug_lab.fleet.fleet import Fleet
 from rooklug_lab.oracles.promises import judge
@@ -44,7 +44,7 @@
         await run.start()
         await scenario.action(run)
         evidence = await run.gather(await run.finish())
-    except ConditionNotMet as problem:
+    except ConditionNotMetError as problem:
         return {"passed": False, "problems": [*run.problems, str(problem)]}
     judged = judge(evidence)
     problems = run.problems + _unexpected_ends(fleet)
--- a/rooklug_lab/scenarios/scenario_run.py
+++ b/rooklug_lab/scenarios/scenario_run.py
@@ -6,7 +6,7 @@
 from random import Random
 from typing import Any
 
-from rooklug_lab.fleet.client import ConditionNotMet, wait_until
+from rooklug_lab.fleet.client import ConditionNotMetError, wait_until
 from rooklug_lab.fleet.fleet import Fleet
 from rooklug_lab.fleet.link_rules import LinkRule
 from rooklug_lab.fleet.process_cost import cost_by_role
@@ -104,7 +104,7 @@
     async def _apply(self, kind: str, document: bytes) -> bool:
         try:
             await self.fleet.apply(kind, document)
-        except ConditionNotMet as problem:
+        except ConditionNotMetError as problem:
             self.problems.append(f"{kind}: {problem}"[:500])
             await self._catch_up()
             return False
@@ -133,7 +133,7 @@
 
         try:
             await wait_until(readable, DRAIN_TIMEOUT_S, f"configuration {version} is readable")
-        except ConditionNotMet as problem:
+        except ConditionNotMetError as problem:
             self.problems.append(str(problem))
             return
         read_back = await self._read_back()
@@ -187,7 +187,7 @@
 
         try:
             await wait_until(drained, DRAIN_TIMEOUT_S, "all requests ended")
-        except ConditionNotMet as problem:
+        except ConditionNotMetError as problem:
             self.problems.append(str(problem))
 
     async def gather(self, read_back_expected: bool) -> Evidence:
--- a/rooklug_lab/sim/exchanges.py
+++ b/rooklug_lab/sim/exchanges.py
@@ -189,7 +189,7 @@
             self._client_end(exchange)
         elif isinstance(effect, fx.HttpStreamStart):
             self._client_head(exchange, effect.status, effect.headers)
-        elif isinstance(effect, fx.HttpStreamPiece):
+        elif isinstance(effect, fx.HttpStreamChunk):
             self._client_data(exchange, effect.data)
         else:
             self._client_end(exchange)
@@ -206,7 +206,7 @@
         if not exchange.effect.streaming:
             exchange.collected.append(data)
         elif data:
-            self._deliver(exchange, ev.HttpBodyPiece(exchange.effect.call_id, data))
+            self._deliver(exchange, ev.HttpBodyChunk(exchange.effect.call_id, data))
 
     def _client_end(self, exchange: Exchange) -> None:
         if not exchange.client_open:
@@ -214,7 +214,7 @@
         self._forget(exchange)
         call_id = exchange.effect.call_id
         if exchange.effect.streaming:
-            self._deliver(exchange, ev.HttpResponseEnded(call_id))
+            self._deliver(exchange, ev.HttpResponseCompleted(call_id))
             return
         body = b"".join(exchange.collected)
         self._deliver(exchange, ev.HttpAnswered(call_id, exchange.status, exchange.headers, body))
--- a/rooklug_lab/sim/mutations.py
+++ b/rooklug_lab/sim/mutations.py
@@ -16,7 +16,7 @@
 from rooklug.distribution.held_topics import HeldTopics
 from rooklug.engine.events import SendState
 from rooklug.front import slow_start
-from rooklug.front.once_only import answers, once_part
+from rooklug.front.once_only import answers, once_only_component
 from rooklug.front.routing_view import RoutingView
 from rooklug.front.streams import StreamChecker
 from rooklug.wire.generated.control.ttypes import VersionMark, ZonesBody
@@ -147,14 +147,14 @@
 @contextmanager
 def _write_again_after_any_failure() -> Iterator[None]:
     """A once-only request is written again whatever became of the first write."""
-    ended = once_part.OncePart._backend_ended
+    ended = once_only_component.OnceOnlyComponent._backend_ended
 
     def careless(self, event, now):
         if hasattr(event, "send_state"):
             event = attrs.evolve(event, send_state=SendState.NOT_SENT)
         return ended(self, event, now)
 
-    with mock.patch.object(once_part.OncePart, "_backend_ended", careless):
+    with mock.patch.object(once_only_component.OnceOnlyComponent, "_backend_ended", careless):
         yield
 
 
--- a/rooklug_lab/sim/world.py
+++ b/rooklug_lab/sim/world.py
@@ -17,7 +17,7 @@
     fx.ReadRequestBody,
     fx.HttpRespond,
     fx.HttpStreamStart,
-    fx.HttpStreamPiece,
+    fx.HttpStreamChunk,
     fx.HttpStreamEnd,
     fx.HttpStreamAbort,
 )
--- a/rooklug_lab/standins/caller_base.py
+++ b/rooklug_lab/standins/caller_base.py
@@ -7,7 +7,7 @@
 
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
-from rooklug.engine.composite import PartDefaults
+from rooklug.engine.component import BaseComponent
 from rooklug.engine.reducer import ProcessContext
 from rooklug_lab.standins.destinations import Destinations
 from rooklug_lab.standins.flights import Flight, StreamedResponse
@@ -25,7 +25,7 @@
 _STOP = "stop"
 
 
-class Caller(PartDefaults):
+class Caller(BaseComponent):
     """Base of callers; subclasses make requests and judge answers."""
 
     name = "caller"
@@ -271,9 +271,9 @@
         if isinstance(event, ev.HttpResponseStarted):
             response.status = event.status
             response.headers = event.headers
-        elif isinstance(event, ev.HttpBodyPiece):
+        elif isinstance(event, ev.HttpBodyChunk):
             self._stream_piece(flight, event.data, now)
-        elif isinstance(event, ev.HttpResponseEnded):
+        elif isinstance(event, ev.HttpResponseCompleted):
             del self._calls[event.call_id]
             return self._stream_ended(flight, event.call_id, now)
         return []
--- a/rooklug_lab/standins/model_replica.py
+++ b/rooklug_lab/standins/model_replica.py
@@ -12,7 +12,7 @@
 
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
-from rooklug.engine.composite import PartDefaults
+from rooklug.engine.component import BaseComponent
 from rooklug.engine.reducer import MetricSample, ProcessContext
 from rooklug_lab.standins.generation import (
     ReplicaFaults,
@@ -44,7 +44,7 @@
 _RETURN = "return"
 
 
-class ModelReplica(PartDefaults):
+class ModelReplica(BaseComponent):
     """One replica; a restart (``/lab/restart``) makes a new, cold incarnation."""
 
     name = "model-replica"
@@ -275,7 +275,7 @@
             stream.record.first_piece_s = now
         line = piece_line(stream, self.faults)
         return [
-            fx.HttpStreamPiece(http_request_id, line),
+            fx.HttpStreamChunk(http_request_id, line),
             fx.StartTimer(_PACE + str(http_request_id), self._piece_s(stream.record)),
         ]
 
@@ -284,7 +284,7 @@
         line = end_line(stream, self.faults)
         self._stop_generation(stream.http_request_id, GenerationOutcome.DONE, now)
         return [
-            fx.HttpStreamPiece(stream.http_request_id, line),
+            fx.HttpStreamChunk(stream.http_request_id, line),
             fx.HttpStreamEnd(stream.http_request_id),
         ]
 
--- a/rooklug_lab/standins/once_backend.py
+++ b/rooklug_lab/standins/once_backend.py
@@ -9,7 +9,7 @@
 
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
-from rooklug.engine.composite import PartDefaults
+from rooklug.engine.component import BaseComponent
 from rooklug.engine.reducer import ProcessContext
 from rooklug_lab.standins.http import json_object, respond, respond_error
 from rooklug_lab.standins.records import BackendJournal, Execution
@@ -42,7 +42,7 @@
     lost: bool
 
 
-class OnceBackend(PartDefaults):
+class OnceBackend(BaseComponent):
     """One back end replica."""
 
     name = "once-backend"
--- a/rooklug_lab/standins/operator.py
+++ b/rooklug_lab/standins/operator.py
@@ -4,7 +4,7 @@
 
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
-from rooklug.engine.composite import PartDefaults
+from rooklug.engine.component import BaseComponent
 from rooklug.engine.reducer import ProcessContext
 from rooklug_lab.standins.http import JSON_HEADERS, json_object, respond, respond_error
 from rooklug_lab.standins.journals import journal_body
@@ -21,7 +21,7 @@
 _ZONE_KINDS = ("empty", "restore")
 
 
-class Operator(PartDefaults):
+class Operator(BaseComponent):
     """Works down its steps, each at its time, and never takes silence for a refusal."""
 
     name = "operator"
--- a/rooklug_lab/standins/platform.py
+++ b/rooklug_lab/standins/platform.py
@@ -6,7 +6,7 @@
 
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
-from rooklug.engine.composite import PartDefaults
+from rooklug.engine.component import BaseComponent
 from rooklug.engine.reducer import ProcessContext
 from rooklug_lab.standins.http import json_object, respond, respond_error
 from rooklug_lab.standins.records import ListChange, PlatformJournal, ReadyCheck
@@ -18,7 +18,7 @@
 LONGEST_POLL_MS = 30_000
 
 
-class Platform(PartDefaults):
+class Platform(BaseComponent):
     """Lists replicas, marks those that leave, asks fronts whether they are ready."""
 
     name = "platform"
--- a/scripts/compare_behaviour.py
+++ b/scripts/compare_behaviour.py
@@ -16,6 +16,7 @@
 import subprocess
 import sys
 from concurrent.futures import ThreadPoolExecutor
+from hashlib import sha256
 from pathlib import Path
 
 import attrs
@@ -90,8 +91,13 @@
 
 
 def kept_output(case: Case, revision: str) -> str:
-    """Return the revision's output of a case, made now if it isn't kept yet."""
-    kept = KEPT / revision / f"{case.name.replace(' ', '_')}.txt"
+    """Return the revision's output of a case, made now if it isn't kept yet.
+
+    Outputs depend on the tables of ``trace_behaviour.py``, so each text of it has its own.
+    """
+    tables = sha256(TRACE_SCRIPT.read_bytes()).hexdigest()[:12]
+    kept = KEPT / revision / tables / f"{case.name.replace(' ', '_')}.txt"
+    kept.parent.mkdir(exist_ok=True)
     if not kept.exists():
         kept.write_text(run_case(case, KEPT / revision / "checkout"))
     return kept.read_text()
--- a/scripts/trace_behaviour.py
+++ b/scripts/trace_behaviour.py
@@ -23,7 +23,11 @@
 
 EVENTS_PER_LINE = 500
 
-RENAMED_CLASSES: dict[str, str] = {}
+RENAMED_CLASSES: dict[str, str] = {
+    "HttpBodyPiece": "HttpBodyChunk",
+    "HttpResponseEnded": "HttpResponseCompleted",
+    "HttpStreamPiece": "HttpStreamChunk",
+}
 """Earlier class name to present one, for each class that a trace prints."""
 
 RENAMED_LOG_MESSAGES: dict[str, str] = {}
--- a/tests/controller_measure.py
+++ b/tests/controller_measure.py
@@ -121,7 +121,7 @@
     """Return the reducer's microseconds from a probe's answer to the placer's picture."""
     calls = [call for _, call in world.http if call.path == "/api/report"]
     bodies = {r.address: r.report(world.now) for r in world.replicas.values()}
-    prober = world.part("prober-0")
+    prober = world.component("prober-0")
     events = []
     for call in calls[: 4 * len(bodies)]:
         if call.address not in bodies:
@@ -160,7 +160,7 @@
 
 def solve_times_ms(world):
     """Return milliseconds of each step around a solve, and the plan's encoded size."""
-    term, now = world.part("placer").term, world.now
+    term, now = world.component("placer").term, world.now
     configuration = term._reader.configuration
     demand = term.demand.planned()
     times = {}
--- a/tests/controller_stand_ins.py
+++ b/tests/controller_stand_ins.py
@@ -6,9 +6,9 @@
 
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
-from rooklug.engine.composite import Notify, PartDefaults
+from rooklug.engine.component import BaseComponent, EmitEvent
 from rooklug.model import topics
-from rooklug.model.notices import TopicChanged
+from rooklug.model.internal_events import TopicChanged
 from rooklug.wire.generated.control.ttypes import (
     ListedReplica,
     RoleGrant,
@@ -35,7 +35,7 @@
     token: tuple
 
 
-class FakeLink(PartDefaults):
+class FakeLink(BaseComponent):
     """Grants by a clock, topics set by the test, publications written down."""
 
     name = "core-link"
@@ -47,7 +47,7 @@
         self.owners = {}
         self.publications = []
         self.nodes = []
-        self.notices = []
+        self.events = []
         self.accept_delay_s = 0.0
         self.now = 0.0
 
@@ -55,8 +55,8 @@
         self.now = now
         if not isinstance(event, ev.TimerFired):
             return []
-        notices, self.notices = self.notices, []
-        return [Notify(notice) for notice in notices]
+        events, self.events = self.events, []
+        return [EmitEvent(event) for event in events]
 
     def give(self, role_key, counter, until):
         token = VersionMark(epoch=1, counter=counter)
@@ -65,9 +65,9 @@
 
     def set_body(self, topic, body):
         self.bodies[topic] = body
-        self.notices.append(TopicChanged(topic, VersionMark(epoch=1, counter=1), body))
+        self.events.append(TopicChanged(topic, VersionMark(epoch=1, counter=1), body))
 
-    def mark(self, topic):
+    def version(self, topic):
         return VersionMark(epoch=1, counter=1)
 
     def body(self, topic):
--- a/tests/controller_world.py
+++ b/tests/controller_world.py
@@ -6,7 +6,7 @@
 from itertools import count
 from random import Random
 
-from rooklug.controller.build import build_controller_parts
+from rooklug.controller.build import build_controller_components
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
 from rooklug.engine.composite import CompositeReducer
@@ -58,8 +58,8 @@
             seeds=(),
             platform_address=PLATFORM,
         )
-        self.parts = build_controller_parts(settings, self.context, self.link, **build)
-        self.reducer = CompositeReducer([self.link, *self.parts])
+        self.components = build_controller_components(settings, self.context, self.link, **build)
+        self.reducer = CompositeReducer([self.link, *self.components])
         self.queue = []
         self.order = count()
         self.timers = {}
@@ -290,8 +290,8 @@
     def decisions(self, kind):
         return [d for p in self.link.publications for d in p.decisions if d.kind == kind]
 
-    def part(self, name):
-        return self.reducer.parts[name]
+    def component(self, name):
+        return self.reducer.components[name]
 
 
 def computed(effect):
--- a/tests/core_cluster.py
+++ b/tests/core_cluster.py
@@ -9,14 +9,15 @@
 import attrs
 from expression import Error, Ok, Result
 
-from rooklug.core.build import build_core_parts
+from rooklug.core.build import build_core_components
 from rooklug.core.documents import DocumentChecker
-from rooklug.core.node import ControlStatePart
+from rooklug.core.node import ControlStateComponent
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
-from rooklug.engine.composite import CompositeReducer, Notice, PartDefaults
+from rooklug.engine.component import BaseComponent, InternalEvent
+from rooklug.engine.composite import CompositeReducer
 from rooklug.engine.reducer import Identifiers, ProcessContext
-from rooklug.model import notices
+from rooklug.model import internal_events as internal
 from rooklug.model.settings import CoreSettings, NodeSettings
 
 CORE_IDS = ("core-a", "core-b", "core-c")
@@ -46,28 +47,28 @@
 STAND_IN_CHECKER = DocumentChecker(stand_in_read, stand_in_patch)
 
 
-class Recorder(PartDefaults):
-    """Keeps the notices that other parts of a core's process would get."""
+class Recorder(BaseComponent):
+    """Keeps the events that other parts of a core's process would get."""
 
     name = "recorder"
-    notice_types = (
-        notices.PrimaryStarted,
-        notices.PrimaryLeaseExtended,
-        notices.PrimaryStopped,
-        notices.PrimaryKnown,
-        notices.ConfigurationCommitted,
-        notices.ZonesCommitted,
-        notices.CoreStatusChanged,
+    subscribes_to = (
+        internal.PrimaryStarted,
+        internal.PrimaryLeaseExtended,
+        internal.PrimaryStopped,
+        internal.PrimaryKnown,
+        internal.ConfigurationCommitted,
+        internal.ZonesCommitted,
+        internal.CoreStatusChanged,
     )
 
     def __init__(self) -> None:
-        self.seen: list[tuple[float, Notice]] = []
+        self.seen: list[tuple[float, InternalEvent]] = []
         self.status = None
 
     def handle(self, event: ev.Event, now: float) -> list[fx.Effect]:
-        if isinstance(event, notices.CoreStatusChanged):
+        if isinstance(event, internal.CoreStatusChanged):
             self.status = event.status
-        elif isinstance(event, Notice):
+        elif isinstance(event, InternalEvent):
             self.seen.append((now, event))
         return []
 
@@ -108,8 +109,8 @@
         self.recorder = Recorder()
 
     @property
-    def part(self) -> ControlStatePart:
-        return self.reducer.parts["control-state"]
+    def component(self) -> ControlStateComponent:
+        return self.reducer.components["control-state"]
 
 
 class Cluster:
@@ -189,8 +190,8 @@
         settings = CoreSettings(
             node, founders, self.first_start, self.minimum_copies, self.exits_on_failed_write
         )
-        parts = build_core_parts(settings, context, STAND_IN_CHECKER)
-        core.reducer = CompositeReducer([*parts, core.recorder])
+        components = build_core_components(settings, context, STAND_IN_CHECKER)
+        core.reducer = CompositeReducer([*components, core.recorder])
         files = {file: tuple(records) for file, records in core.disk.files.items()}
         self.deliver(core_id, ev.Started(files, core.disk.identity, core.disk.problem))
 
@@ -259,7 +260,9 @@
 
     def primary(self) -> Core | None:
         """Return the core that may serve at this moment."""
-        serving = [c for c in self.cores.values() if c.alive and c.part.leader.may_serve(self.now)]
+        serving = [
+            c for c in self.cores.values() if c.alive and c.component.leader.may_serve(self.now)
+        ]
         return serving[0] if serving else None
 
     # events -------------------------------------------------------------------
--- a/tests/core_faults.py
+++ b/tests/core_faults.py
@@ -117,13 +117,13 @@
         cores = [
             core
             for core in self.cluster.cores.values()
-            if primary is not None and core.core_id in primary.part.peers.members
+            if primary is not None and core.core_id in primary.component.peers.members
         ]
         if primary is None or not all(core.alive for core in cores):
             return False
-        view = primary.part.leader.view
-        current = {core.part.witness.state.own for core in cores}
-        voting = all(core.part.witness.state.voting for core in cores)
+        view = primary.component.leader.view
+        current = {core.component.witness.state.own for core in cores}
+        voting = all(core.component.witness.state.voting for core in cores)
         everybody = len(view.in_sync) == len(view.member_ids) == self.cluster.size
         return voting and set(view.in_sync) <= current and everybody and not view.previous
 
@@ -141,7 +141,7 @@
 
     def _power_cut(self, core_id: str) -> None:
         """In the place of a cut of two machines: one is replaced."""
-        if not self._all_in_sync() or core_id not in self.cluster.primary().part.peers.members:
+        if not self._all_in_sync() or core_id not in self.cluster.primary().component.peers.members:
             return
         new_id = next(self._names, "")
         if not new_id:
--- a/tests/core_mutations.py
+++ b/tests/core_mutations.py
@@ -1,4 +1,4 @@
-"""Guards of the running cores, each switched off: the oracle has to notice.
+"""Guards of the running cores, each switched off: the oracle has to event.
 
 The guards of the epoch protocol itself are in ``test_core_exploration``.
 """
--- a/tests/core_oracle.py
+++ b/tests/core_oracle.py
@@ -1,11 +1,11 @@
-"""What must hold of three cores under faults, judged from answers, notices and commits."""
+"""What must hold of three cores under faults, judged from answers, events and commits."""
 
 import hashlib
 from random import Random
 
 import attrs
 
-from rooklug.model import notices
+from rooklug.model import internal_events as internal
 from rooklug.wire.codec import encode
 from rooklug.wire.generated.control import ttypes as control
 from tests.core_cluster import CORE_IDS, INVALID, Cluster, Core
@@ -65,12 +65,12 @@
 
     def after_event(self, core: Core) -> None:
         self._check_commits(core)
-        self._check_notices(core)
+        self._check_events(core)
         self._check_one_primary()
 
     def _check_commits(self, core: Core) -> None:
         """The committed sequence is the same at every core, at any time."""
-        store = core.part.store
+        store = core.component.store
         key = (core.core_id, core.life)
         done = self._checked.get(key, store.log.base.sequence)
         for entry in store.log.between(max(done, store.log.base.sequence), store.committed):
@@ -79,20 +79,20 @@
             self.check(known == data, f"two entries committed as {entry.sequence}")
         self._checked[key] = max(done, store.committed)
 
-    def _check_notices(self, core: Core) -> None:
+    def _check_events(self, core: Core) -> None:
         """No core announces an older configuration after a newer, nor two under one version."""
         key = (core.core_id, core.life)
         done, newest = self._noticed.get(key, (0, (0, 0)))
         seen = core.recorder.seen
-        for _, notice in seen[done:]:
-            if isinstance(notice, notices.ConfigurationCommitted):
-                mark = (notice.mark.epoch, notice.mark.counter)
+        for _, event in seen[done:]:
+            if isinstance(event, internal.ConfigurationCommitted):
+                mark = (event.version.epoch, event.version.counter)
                 self.check(mark > newest, f"{core.core_id} slides back to {mark}")
                 newest = mark
-                digest = digest_of(notice.body.document)
-                self.check(digest == notice.body.digest, "the digest isn't the document's")
-                known = self.documents.setdefault(notice.body.version, digest)
-                self.check(known == digest, f"two documents as version {notice.body.version}")
+                digest = digest_of(event.body.document)
+                self.check(digest == event.body.digest, "the digest isn't the document's")
+                known = self.documents.setdefault(event.body.version, digest)
+                self.check(known == digest, f"two documents as version {event.body.version}")
         self._noticed[key] = (len(seen), newest)
 
     def _check_one_primary(self) -> None:
@@ -100,7 +100,7 @@
         serving = [
             core.core_id
             for core in self.cluster.cores.values()
-            if core.alive and not core.frozen and core.part.leader.may_serve(now)
+            if core.alive and not core.frozen and core.component.leader.may_serve(now)
         ]
         self.check(len(serving) <= 1, f"two primaries serve: {serving}")
 
@@ -155,7 +155,7 @@
             primary = cluster.primary()
             if primary is None:
                 return False
-            view = primary.part.leader.view
+            view = primary.component.leader.view
             in_sync = {disk.core_id for disk in view.in_sync}
             everybody = in_sync == view.member_ids <= set(cluster.cores)
             return everybody and len(in_sync) == cluster.size and not view.previous
@@ -165,7 +165,7 @@
         self._check_resent()
 
     def _check_table(self, primary: Core) -> None:
-        table = {v: d.hex() for v, d in primary.part.store.state.changes.items()}
+        table = {v: d.hex() for v, d in primary.component.store.state.changes.items()}
         for version, digest in sorted(self.acknowledged.items()):
             self.check(table.get(version) == digest, f"acknowledged {version} is lost")
         for order in self.orders:
--- a/tests/core_storm.py
+++ b/tests/core_storm.py
@@ -24,8 +24,8 @@
 from rooklug.config import examples
 from rooklug.engine.effects import Call
 from rooklug.engine.events import CallAnswered, Event
-from rooklug.runtime.calls_out import CallClient
-from rooklug.wire.channel import ChannelFigures
+from rooklug.runtime.rpc_client import RpcClient
+from rooklug.wire.channel import ChannelMetrics
 from rooklug.wire.generated.control import ttypes as control
 
 CORE_IDS = ("core-a", "core-b", "core-c")
@@ -82,8 +82,8 @@
         self._ids = count(1)
         self._waiting: dict[int, asyncio.Future] = {}
         loop = asyncio.get_running_loop()
-        self._calls = CallClient(
-            loop, "storm", "", self._deliver, lambda *ignored: None, ChannelFigures()
+        self._calls = RpcClient(
+            loop, "storm", "", self._deliver, lambda *ignored: None, ChannelMetrics()
         )
 
     async def ask(self, address: str, request: Any, deadline_s: float = DEADLINE_S) -> Any:
--- a/tests/front_support.py
+++ b/tests/front_support.py
@@ -9,11 +9,12 @@
 from rooklug.config.document import Configuration
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
-from rooklug.engine.composite import CompositeReducer, Notify, PartDefaults
+from rooklug.engine.component import BaseComponent, EmitEvent
+from rooklug.engine.composite import CompositeReducer
 from rooklug.engine.reducer import Identifiers, ProcessContext
-from rooklug.front.build import build_front_parts
+from rooklug.front.build import build_front_components
 from rooklug.model import topics
-from rooklug.model.notices import TopicChanged
+from rooklug.model.internal_events import TopicChanged
 from rooklug.model.settings import NodeSettings
 from rooklug.wire.generated.control.ttypes import (
     ConfigurationBody,
@@ -143,14 +144,14 @@
         return []
 
 
-class TopicSource(PartDefaults):
-    """Sends ``notice`` to the other parts when its timer fires."""
+class TopicSource(BaseComponent):
+    """Sends ``event`` to the other parts when its timer fires."""
 
     name = "topic-source"
-    notice: TopicChanged
+    event: TopicChanged
 
     def handle(self, event: ev.Event, now: float) -> list[fx.Effect]:
-        return [Notify(self.notice)] if isinstance(event, ev.TimerFired) else []
+        return [EmitEvent(self.event)] if isinstance(event, ev.TimerFired) else []
 
 
 class FrontHarness:
@@ -163,10 +164,12 @@
         )  # fmt: skip
         context = ProcessContext("f1", "i1", Random(seed), Identifiers())
         self.core_link = FakeCoreLink()
-        self.parts = build_front_parts(self.settings, context, self.core_link, read_document)
-        self.by_name = {part.name: part for part in self.parts}
+        self.components = build_front_components(
+            self.settings, context, self.core_link, read_document
+        )
+        self.by_name = {part.name: part for part in self.components}
         self.source = TopicSource()
-        self.reducer = CompositeReducer([self.source, *self.parts])
+        self.reducer = CompositeReducer([self.source, *self.components])
         self.now = 100.0
         self.timers: dict[str, float] = {}
         self.calls: dict[int, fx.HttpCall] = {}
@@ -201,7 +204,7 @@
 
     def topic(self, topic: str, body, mark: VersionMark | None = None) -> list[fx.Effect]:
         self.marks[topic] = self.marks.get(topic, 0) + 1
-        self.source.notice = TopicChanged(topic, mark or VersionMark(1, self.marks[topic]), body)
+        self.source.event = TopicChanged(topic, mark or VersionMark(1, self.marks[topic]), body)
         return self.feed(ev.TimerFired(f"{self.source.name}/now"))
 
     def configure(self, **changes) -> list[fx.Effect]:
@@ -266,7 +269,7 @@
         effects = []
         for index, piece in enumerate(pieces, start):
             line = json.dumps({"request_id": request_id, "index": index, "piece": piece})
-            effects += self.feed(ev.HttpBodyPiece(call.call_id, line.encode() + b"\n"))
+            effects += self.feed(ev.HttpBodyChunk(call.call_id, line.encode() + b"\n"))
         return effects
 
     def begin(self, call: fx.HttpCall, status: int = 200) -> list[fx.Effect]:
@@ -275,8 +278,8 @@
     def end(self, call: fx.HttpCall, count: int) -> list[fx.Effect]:
         request_id = json.loads(call.body)["request_id"]
         line = {"request_id": request_id, "index": count, "end": True, "pieces": count}
-        effects = self.feed(ev.HttpBodyPiece(call.call_id, json.dumps(line).encode() + b"\n"))
-        return effects + self.feed(ev.HttpResponseEnded(call.call_id))
+        effects = self.feed(ev.HttpBodyChunk(call.call_id, json.dumps(line).encode() + b"\n"))
+        return effects + self.feed(ev.HttpResponseCompleted(call.call_id))
 
     def complete(self, call: fx.HttpCall, *pieces: str) -> list[fx.Effect]:
         """Let the replica answer the whole of a call."""
@@ -291,8 +294,8 @@
         body = json.dumps({"error": {"code": code}}).encode()
         return [
             *self.begin(call, 503),
-            *self.feed(ev.HttpBodyPiece(call.call_id, body)),
-            *self.feed(ev.HttpResponseEnded(call.call_id)),
+            *self.feed(ev.HttpBodyChunk(call.call_id, body)),
+            *self.feed(ev.HttpResponseCompleted(call.call_id)),
         ]
 
     def fail(self, call: fx.HttpCall, state=ev.SendState.NOT_SENT) -> list[fx.Effect]:
--- a/tests/gateway_support.py
+++ b/tests/gateway_support.py
@@ -6,14 +6,14 @@
 
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
-from rooklug.engine.composite import Notify
+from rooklug.engine.component import EmitEvent
 from rooklug.engine.reducer import Identifiers
 from rooklug.gateway.cold_gate import ColdGate
 from rooklug.gateway.decision import Decision
 from rooklug.gateway.dialect import HeaderNames
 from rooklug.gateway.document import GatewayConfiguration, read_gateway_configuration
 from rooklug.gateway.executor import LISTENER, GatewayExecutor
-from rooklug.gateway.notices import ViewChanged
+from rooklug.gateway.gateway_events import ViewChanged
 from rooklug.gateway.retry_budget import RetryBudgetSettings
 from rooklug.gateway.view import GatewayReplica, GatewayView
 from rooklug.wire.generated.control.ttypes import NodeRecord, VersionMark
@@ -138,9 +138,9 @@
         return self.handle(event)
 
     def handle(self, event: ev.Event) -> list[fx.Effect]:
-        """Deliver an event; notices to other parts and timers are left out."""
+        """Deliver an event; internal events and timers are left out."""
         effects = self.executor.handle(event, self.now)
-        return [effect for effect in effects if not isinstance(effect, Notify | fx.StartTimer)]
+        return [effect for effect in effects if not isinstance(effect, EmitEvent | fx.StartTimer)]
 
 
 def answer_headers(call: fx.HttpCall, **fields: str) -> dict[str, str]:
--- a/tests/lab_support.py
+++ b/tests/lab_support.py
@@ -69,7 +69,7 @@
         data = b"".join(
             effect.data
             for effect in self.out
-            if isinstance(effect, fx.HttpStreamPiece) and effect.request_id == request_id
+            if isinstance(effect, fx.HttpStreamChunk) and effect.request_id == request_id
         )
         return [json.loads(line) for line in data.splitlines()]
 
--- a/tests/measure_front.py
+++ b/tests/measure_front.py
@@ -67,10 +67,10 @@
         handle(ev.HttpResponseStarted(call.call_id, 200, {}), "request")
         for index in range(PIECES):
             line = {"request_id": f"r{number}", "index": index, "piece": "eight words of text "}
-            handle(ev.HttpBodyPiece(call.call_id, json.dumps(line).encode() + b"\n"), "piece")
+            handle(ev.HttpBodyChunk(call.call_id, json.dumps(line).encode() + b"\n"), "piece")
         end = {"request_id": f"r{number}", "index": PIECES, "end": True, "pieces": PIECES}
-        handle(ev.HttpBodyPiece(call.call_id, json.dumps(end).encode() + b"\n"), "request")
-        handle(ev.HttpResponseEnded(call.call_id), "request")
+        handle(ev.HttpBodyChunk(call.call_id, json.dumps(end).encode() + b"\n"), "request")
+        handle(ev.HttpResponseCompleted(call.call_id), "request")
     print(f"request: {spent['request'] / REQUESTS / 1000:.1f} us")
     print(f"streamed piece: {spent['piece'] / REQUESTS / PIECES / 1000:.1f} us")
 
--- a/tests/membership_measure.py
+++ b/tests/membership_measure.py
@@ -16,8 +16,8 @@
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
 from rooklug.engine.reducer import Identifiers, ProcessContext
-from rooklug.membership.membership_part import MembershipPart
-from rooklug.model import notices
+from rooklug.membership.membership_component import MembershipComponent
+from rooklug.model import internal_events as internal
 from rooklug.model.settings import CoreSettings, NodeSettings
 from rooklug.model.topics import ALL_TOPICS, CONFIGURATION, MEMBERS
 from rooklug.wire.codec import decode, encode
@@ -45,14 +45,14 @@
     return sorted(durations)[rounds // 2]
 
 
-def started_part() -> MembershipPart:
+def started_component() -> MembershipComponent:
     """Return a primary with a lease."""
     node = NodeSettings("core-a", "core", "z", "r", "", "", "127.0.0.1:1", "", ())
     context = ProcessContext("core-a", "1", None, Identifiers())
-    part = MembershipPart(CoreSettings(node, {}), context)
-    part.handle(notices.PrimaryStarted(3), NOW - 10)
-    part.handle(notices.PrimaryLeaseExtended(3, NOW + 1e6), NOW - 10)
-    return part
+    component = MembershipComponent(CoreSettings(node, {}), context)
+    component.handle(internal.PrimaryStarted(3), NOW - 10)
+    component.handle(internal.PrimaryLeaseExtended(3, NOW + 1e6), NOW - 10)
+    return component
 
 
 def renewal(index: int, sequence: int, ready: bool = True) -> bytes:
@@ -65,12 +65,12 @@
     return encode(ttypes.RenewLeaseRequest(node, [], False, sequence, 3))
 
 
-def poll(part: MembershipPart, index: int, call_id: int) -> list[fx.Effect]:
+def poll(component: MembershipComponent, index: int, call_id: int) -> list[fx.Effect]:
     """Deliver a poll of a node that holds the newest of everything."""
-    held = [ttypes.TopicMark(topic, part.view.store.mark(topic)) for topic in ALL_TOPICS]
+    held = [ttypes.TopicMark(topic, component.view.store.version(topic)) for topic in ALL_TOPICS]
     data = encode(ttypes.PollRequest(f"front-{index:03}", held, 10_000))
     request = decode(ttypes.PollRequest, data).ok
-    return part.handle(ev.CallArrived(call_id, "", request), NOW)
+    return component.handle(ev.CallArrived(call_id, "", request), NOW)
 
 
 def encode_answers(effects: list[fx.Effect]) -> int:
@@ -78,7 +78,7 @@
     return sum(len(encode(e.answer)) for e in effects if isinstance(e, fx.Answer))
 
 
-def measure_renewals(part: MembershipPart) -> None:
+def measure_renewals(component: MembershipComponent) -> None:
     """Cost of a renewal, from bytes to bytes, at a core with 390 nodes."""
     requests = [[renewal(i, 100 + n) for i in range(NODES)] for n in range(ROUNDS)]
     rounds = iter(requests)
@@ -86,21 +86,21 @@
     def run() -> None:
         for data in next(rounds):
             request = decode(ttypes.RenewLeaseRequest, data).ok
-            encode_answers(part.handle(ev.CallArrived(1, "", request), NOW))
+            encode_answers(component.handle(ev.CallArrived(1, "", request), NOW))
 
     report("renewal", median_s(run, ROUNDS) / NODES * 1e6, "us")
 
 
-def measure_polls(part: MembershipPart) -> None:
+def measure_polls(component: MembershipComponent) -> None:
     """Cost of parking a poll, its memory, and an empty answer when its time is over."""
 
     def park() -> None:
         for index in range(NODES):
-            poll(part, index, index)
+            poll(component, index, index)
 
     park_s = median_s(park, ROUNDS)
     report("poll parked (and an earlier one ended)", park_s / NODES * 1e6, "us")
-    part.view.hub.release_all()
+    component.view.hub.release_all()
     tracemalloc.start()
     before, _ = tracemalloc.get_traced_memory()
     park()
@@ -108,16 +108,16 @@
     tracemalloc.stop()
     report("memory of a parked poll", (after - before) / NODES, "bytes")
     begin = perf_counter()
-    encode_answers(part.view.poll_answers(part.view.hub.expire(NOW + 20), NOW))
+    encode_answers(component.view.poll_answers(component.view.hub.expire(NOW + 20), NOW))
     report("poll answered empty", (perf_counter() - begin) / NODES * 1e6, "us")
 
 
-def measure_change(part: MembershipPart, name: str, change: Callable[[], list]) -> None:
+def measure_change(component: MembershipComponent, name: str, change: Callable[[], list]) -> None:
     """Cost of a change that goes to 390 parked polls."""
     durations, sizes = [], []
     for _ in range(ROUNDS // 5):
         for index in range(NODES):
-            poll(part, index, index)
+            poll(component, index, index)
         begin = perf_counter()
         effects = change()
         handled = perf_counter()
@@ -157,28 +157,28 @@
 
 def main() -> int:
     """Print all figures."""
-    part = started_part()
+    component = started_component()
     for index in range(NODES):
         request = decode(ttypes.RenewLeaseRequest, renewal(index, 1)).ok
-        part.handle(ev.CallArrived(1, "", request), NOW)
-    measure_renewals(part)
-    measure_polls(part)
+        component.handle(ev.CallArrived(1, "", request), NOW)
+    measure_renewals(component)
+    measure_polls(component)
     sequence = iter(range(10_000, 20_000))
     flags = iter([False, True] * ROUNDS)
 
     def member_changes() -> list[fx.Effect]:
         request = decode(ttypes.RenewLeaseRequest, renewal(7, next(sequence), next(flags))).ok
-        part.handle(ev.CallArrived(1, "", request), NOW)
-        return part.handle(ev.TimerFired("publish-members"), NOW)
+        component.handle(ev.CallArrived(1, "", request), NOW)
+        return component.handle(ev.TimerFired("publish-members"), NOW)
 
     def zones_change() -> list[fx.Effect]:
         body = ttypes.ZonesBody(["zone-1"])
-        notice = notices.ZonesCommitted(VersionMark(3, next(sequence)), body)
-        return part.handle(notice, NOW)
+        event = internal.ZonesCommitted(VersionMark(3, next(sequence)), body)
+        return component.handle(event, NOW)
 
-    measure_change(part, "members", member_changes)
-    measure_change(part, "zones", zones_change)
-    (members,) = part.view.store.newer_than((ttypes.TopicMark(MEMBERS, ZERO),))
+    measure_change(component, "members", member_changes)
+    measure_change(component, "zones", zones_change)
+    (members,) = component.view.store.newer_than((ttypes.TopicMark(MEMBERS, ZERO),))
     report("members: whole body", len(members.body), "bytes")
     for routes in (500, 5000):
         measure_delta(routes)
