--- a/tests/membership_world.py
+++ b/tests/membership_world.py
@@ -11,14 +11,15 @@
 from rooklug.distribution.core_link import CoreLink
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
-from rooklug.engine.composite import CompositeReducer, Notice, Notify, PartDefaults
+from rooklug.engine.component import BaseComponent, EmitEvent, InternalEvent
+from rooklug.engine.composite import CompositeReducer
 from rooklug.engine.reducer import Identifiers, ProcessContext
-from rooklug.membership.build import build_membership_parts
-from rooklug.model import notices
+from rooklug.membership.build import build_membership_components
+from rooklug.model import internal_events as internal
 from rooklug.model.constants import PRIMARY_HEARTBEAT_S, PRIMARY_LEASE_S
-from rooklug.model.marks import is_newer, mark_key
 from rooklug.model.settings import CoreSettings, NodeSettings
 from rooklug.model.topics import PLAN, ROLE_PLACER
+from rooklug.model.versions import is_newer, version_key
 from rooklug.wire.codec import decode, encode
 from rooklug.wire.generated.control import ttypes
 
@@ -29,42 +30,42 @@
 
 @attrs.frozen
 class Tell:
-    """Makes the fake replication emit notices."""
+    """Makes the fake replication emit events."""
 
-    notices: tuple[Notice, ...]
+    events: tuple[InternalEvent, ...]
 
 
-class FakeReplication(PartDefaults):
+class FakeReplication(BaseComponent):
     name = "replication"
     call_types = (Tell,)
 
     def handle(self, event: ev.Event, now: float) -> list[fx.Effect]:
-        told = event.request.notices if isinstance(event, ev.CallArrived) else ()
-        return [Notify(notice) for notice in told]
+        told = event.request.events if isinstance(event, ev.CallArrived) else ()
+        return [EmitEvent(event) for event in told]
 
 
-class Observer(PartDefaults):
+class Observer(BaseComponent):
     """Publishes plans while it is the placer, and notes what a node's other parts see."""
 
     name = "observer"
-    notice_types = (notices.TopicChanged, notices.GrantsChanged, Notice)
+    subscribes_to = (internal.TopicChanged, internal.GrantsChanged, InternalEvent)
 
     def __init__(self, link: CoreLink) -> None:
         self.link = link
         self.marks: dict[str, ttypes.VersionMark] = {}
         self.slid_back: list[str] = []
-        self.heard: list[Notice] = []
+        self.heard: list[InternalEvent] = []
         self.plans = 0
 
     def handle(self, event: ev.Event, now: float) -> list[fx.Effect]:
-        if not isinstance(event, Notice):
+        if not isinstance(event, InternalEvent):
             return [fx.StartTimer("plan", 0.7), *self._publish(now)]
         self.heard.append(event)
-        if isinstance(event, notices.TopicChanged):
+        if isinstance(event, internal.TopicChanged):
             held = self.marks.get(event.topic)
-            if held is not None and not is_newer(event.mark, held):
-                self.slid_back.append(f"{event.topic} {held} -> {event.mark}")
-            self.marks[event.topic] = event.mark
+            if held is not None and not is_newer(event.version, held):
+                self.slid_back.append(f"{event.topic} {held} -> {event.version}")
+            self.marks[event.topic] = event.version
         return []
 
     def _publish(self, now: float) -> list[fx.Effect]:
@@ -110,8 +111,8 @@
         self.primary = ""
         self.epoch = 0
         self.version = 0
-        self.committed: notices.ConfigurationCommitted | None = None
-        self.zones: notices.ZonesCommitted | None = None
+        self.committed: internal.ConfigurationCommitted | None = None
+        self.zones: internal.ZonesCommitted | None = None
         self.bytes_answered = 0
         self._told_until = 0.0
         self._tokens: dict[str, ttypes.VersionMark] = {}
@@ -130,8 +131,10 @@
     def _add_core(self, name: str) -> None:
         node = node_settings(name, "core", ZONES[CORES.index(name)], self.seeds)
         context = self._context(name, "1")
-        parts = build_membership_parts(CoreSettings(node, {c: f"{c}:1" for c in CORES}), context)
-        self._start(name, CompositeReducer([FakeReplication(), *parts]))
+        components = build_membership_components(
+            CoreSettings(node, {c: f"{c}:1" for c in CORES}), context
+        )
+        self._start(name, CompositeReducer([FakeReplication(), *components]))
 
     def add_node(self, name: str, role: str, zone: str, incarnation: str = "1") -> CoreLink:
         link = CoreLink(
@@ -285,7 +288,7 @@
 
     # Replication, as scripted ------------------------------------------------------------
 
-    def tell(self, name: str, *told: Notice) -> None:
+    def tell(self, name: str, *told: InternalEvent) -> None:
         self.deliver(self.processes[name], ev.CallArrived(next(self._ids), "", Tell(told)))
 
     def is_up(self, name: str) -> bool:
@@ -297,11 +300,11 @@
         if self.primary and self.is_up(self.primary):
             now = self.now(self.processes[self.primary])
             self._told_until = self.time + PRIMARY_LEASE_S / min(RATES)
-            lease = notices.PrimaryLeaseExtended(self.epoch, now + PRIMARY_LEASE_S)
+            lease = internal.PrimaryLeaseExtended(self.epoch, now + PRIMARY_LEASE_S)
             self.tell(self.primary, lease)
         elif self.time >= self._told_until:
             self._elect()
-        known = notices.PrimaryKnown(self.epoch, f"{self.primary}:1" if self.primary else "")
+        known = internal.PrimaryKnown(self.epoch, f"{self.primary}:1" if self.primary else "")
         for name in CORES:
             if self.is_up(name):
                 self.tell(name, known)
@@ -311,17 +314,17 @@
         if not candidates:
             return
         if self.primary:
-            self.tell(self.primary, notices.PrimaryStopped("another primary"))
+            self.tell(self.primary, internal.PrimaryStopped("another primary"))
         self.primary = self.random.choice(candidates)
         self.epoch += 1
-        self.tell(self.primary, notices.PrimaryStarted(self.epoch))
+        self.tell(self.primary, internal.PrimaryStarted(self.epoch))
         for commit in (self.committed, self.zones):
             if commit is not None:
                 self.tell(self.primary, commit)
 
     def hand_over(self) -> None:
         """The primary stops by itself; its successor starts at once."""
-        self.tell(self.primary, notices.PrimaryStopped("hand-over"))
+        self.tell(self.primary, internal.PrimaryStopped("hand-over"))
         self._told_until = self.time
         self.primary = ""
         self._elect()
@@ -330,9 +333,11 @@
         """The primary goes on in a view of a higher epoch."""
         self.epoch += 1
         now = self.now(self.processes[self.primary])
-        started = notices.PrimaryStarted(self.epoch)
+        started = internal.PrimaryStarted(self.epoch)
         self.tell(
-            self.primary, started, notices.PrimaryLeaseExtended(self.epoch, now + PRIMARY_LEASE_S)
+            self.primary,
+            started,
+            internal.PrimaryLeaseExtended(self.epoch, now + PRIMARY_LEASE_S),
         )
         self._told_until = self.time + PRIMARY_LEASE_S / min(RATES)
 
@@ -340,13 +345,13 @@
         self.version += 1
         body = ttypes.ConfigurationBody(self.version, digest, document)
         mark = ttypes.VersionMark(self.epoch, self.version)
-        self.committed = notices.ConfigurationCommitted(mark, body)
+        self.committed = internal.ConfigurationCommitted(mark, body)
         self.tell(self.primary, self.committed)
 
     def empty_zones(self, *zones: str) -> None:
-        counter = self.zones.mark.counter + 1 if self.zones else 1
+        counter = self.zones.version.counter + 1 if self.zones else 1
         mark = ttypes.VersionMark(self.epoch, counter)
-        self.zones = notices.ZonesCommitted(mark, ttypes.ZonesBody(list(zones)))
+        self.zones = internal.ZonesCommitted(mark, ttypes.ZonesBody(list(zones)))
         self.tell(self.primary, self.zones)
 
     # Oracles -----------------------------------------------------------------------------
@@ -371,9 +376,9 @@
                 self.violations.append(f"{self.time:.2f}: {key} has holders {holders}")
             for token in holders.values():
                 highest = self._tokens.setdefault(key, token)
-                if mark_key(token) < mark_key(highest):
+                if version_key(token) < version_key(highest):
                     self.violations.append(f"{self.time:.2f}: {key} token {token} < {highest}")
-                self._tokens[key] = max(token, highest, key=mark_key)
+                self._tokens[key] = max(token, highest, key=version_key)
 
     def slid_back(self) -> list[str]:
         return [entry for observer in self.observers.values() for entry in observer.slid_back]
--- a/tests/once_mutations.py
+++ b/tests/once_mutations.py
@@ -5,7 +5,7 @@
 from unittest.mock import PropertyMock, patch
 
 from rooklug.engine import events as ev
-from rooklug.front.once_only import backend, claim_store, once_part, store_state
+from rooklug.front.once_only import backend, claim_store, once_only_component, store_state
 from rooklug.front.once_only.attempt import Attempt
 from rooklug.front.once_only.attempt_book import AttemptBook
 from rooklug.front.once_only.claim_asking import ClaimAsker
@@ -92,14 +92,14 @@
 
 def with_second_try() -> AbstractContextManager:
     """A write that failed midway is tried again."""
-    ended = once_part.OncePart._backend_ended
+    ended = once_only_component.OnceOnlyComponent._backend_ended
 
     def again(self, event, now):
         if isinstance(event, ev.HttpFailed):
             event = ev.HttpFailed(event.call_id, event.reason, ev.SendState.NOT_SENT)
         return ended(self, event, now)
 
-    return patch.object(once_part.OncePart, "_backend_ended", again)
+    return patch.object(once_only_component.OnceOnlyComponent, "_backend_ended", again)
 
 
 def with_release_while_writing() -> AbstractContextManager:
@@ -137,7 +137,7 @@
     def refuse(self, attempt, why):
         return self._respond_given_up(attempt, True, why)
 
-    return patch.object(once_part.OncePart, "_respond_unknown", refuse)
+    return patch.object(once_only_component.OnceOnlyComponent, "_respond_unknown", refuse)
 
 
 def with_any_answer_taken() -> AbstractContextManager:
@@ -146,7 +146,7 @@
     def unmatched(attempt, status, body):
         return backend.json.dumps(backend.json.loads(body).get("result", {})).encode()
 
-    return patch.object(once_part, "result_of", unmatched)
+    return patch.object(once_only_component, "result_of", unmatched)
 
 
 def with_held_keys_granted() -> AbstractContextManager:
--- a/tests/once_support.py
+++ b/tests/once_support.py
@@ -14,13 +14,14 @@
 from rooklug.config.reading import read_configuration
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
-from rooklug.engine.composite import CompositeReducer, Notify, PartDefaults
-from rooklug.front.once_only.build import build_once_only_parts
-from rooklug.front.once_only.claim_store import build_claim_store_parts
+from rooklug.engine.component import BaseComponent, EmitEvent
+from rooklug.engine.composite import CompositeReducer
+from rooklug.front.once_only.build import build_once_only_components
+from rooklug.front.once_only.claim_store import build_claim_store_components
 from rooklug.front.once_only.claims import role_key_of, shard_of
 from rooklug.front.view_keeper import ViewKeeper
 from rooklug.model import topics
-from rooklug.model.notices import GrantsChanged, TopicChanged
+from rooklug.model.internal_events import GrantsChanged, TopicChanged
 from rooklug.model.settings import NodeSettings
 from rooklug.wire.generated.control import ttypes as wire
 from rooklug_lab.sim.network import Place
@@ -45,7 +46,7 @@
     free_at: float
 
 
-class FakeLink(PartDefaults):
+class FakeLink(BaseComponent):
     """A front's link to the core, played by the site."""
 
     name = "core-link"
@@ -81,7 +82,7 @@
         self.site.renew(self, now)
         self.mark += 1
         effects: list[fx.Effect] = [again, *self._topics()]
-        return [*effects, Notify(GrantsChanged(tuple(g for g, _ in self.grants.values())))]
+        return [*effects, EmitEvent(GrantsChanged(tuple(g for g, _ in self.grants.values())))]
 
     def _topics(self) -> list[fx.Effect]:
         mark = wire.VersionMark(1, self.mark)
@@ -93,7 +94,7 @@
             document = self.site.document
             body = wire.ConfigurationBody(1, digest(document), document)
             bodies[topics.CONFIGURATION] = body
-        return [Notify(TopicChanged(topic, mark, body)) for topic, body in bodies.items()]
+        return [EmitEvent(TopicChanged(topic, mark, body)) for topic, body in bodies.items()]
 
 
 @attrs.frozen
@@ -104,7 +105,7 @@
     region: str = ""
 
 
-class Backend(PartDefaults):
+class Backend(BaseComponent):
     """Runs on arrival; may lose, delay or cross its answers."""
 
     name = "backend"
@@ -162,7 +163,7 @@
     repeated: bool = False
 
 
-class Callers(PartDefaults):
+class Callers(BaseComponent):
     """Send new keys at a rate; repeat what had no result, at other fronts, some at once."""
 
     name = "callers"
@@ -295,7 +296,7 @@
         self.stores[f"store-{zone}"] = self.world.add(
             f"store-{zone}",
             place,
-            lambda context: CompositeReducer(build_claim_store_parts(context)),
+            lambda context: CompositeReducer(build_claim_store_components(context)),
             internal_address=self.seeds[zone - 1],
             has_disk=True,
         )
@@ -311,7 +312,9 @@
         def build(context) -> CompositeReducer:
             link = self.links[name] = FakeLink(self, settings, context.incarnation)
             keeper = ViewKeeper(settings, read_configuration)
-            return CompositeReducer([link, keeper, *build_once_only_parts(settings, context, link)])
+            return CompositeReducer(
+                [link, keeper, *build_once_only_components(settings, context, link)]
+            )
 
         self.fronts[name] = self.world.add(name, place, build, http, internal)
 
--- a/tests/stored_data.py
+++ b/tests/stored_data.py
@@ -93,7 +93,7 @@
     for version in (1, 2, 3):
         _change(cluster, oracle, version)
     for core in cluster.cores.values():
-        core.part.store.rewrite_all(cluster.now)
+        core.component.store.rewrite_all(cluster.now)
     cluster.run(cluster.now + 1.0)
     gone = next(i for i in cluster.cores if i != cluster.primary().core_id)
     cluster.crash(gone)
--- a/tests/test_api_operators.py
+++ b/tests/test_api_operators.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from rooklug.api.build import build_operator_parts
+from rooklug.api.build import build_operator_components
 from rooklug.api.forwarding import FORWARD_DEADLINE_S, Forwarder
 from rooklug.config.patching import digest
 from rooklug.config.problems import Problem, parse_problem
@@ -50,8 +50,8 @@
     def __init__(self) -> None:
         self.link = FakeLink(primary_address=SEEDS[0])
         self.context = ProcessContext("front-1", "i", Random(1), Identifiers())
-        parts = build_operator_parts(settings(), self.context, self.link)
-        self.reducer = CompositeReducer(parts)
+        components = build_operator_components(settings(), self.context, self.link)
+        self.reducer = CompositeReducer(components)
         self.now = 100.0
 
     def request(self, method: str, path: str, body: bytes = b"", query=None, headers=None) -> list:
--- a/tests/test_channel.py
+++ b/tests/test_channel.py
@@ -12,7 +12,7 @@
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
 from rooklug.model.constants import MAX_FRAME_BYTES
-from rooklug.runtime.addresses import ConnectFailed, connect_stream
+from rooklug.runtime.addresses import ConnectError, connect_stream
 from rooklug.wire.codec import encode
 from rooklug.wire.frames import LENGTH_BYTES, Message, decode_payload, encode_frame, payload_length
 from rooklug.wire.generated.control.ttypes import (
@@ -63,7 +63,7 @@
 class ConnectTest(HostCase, unittest.IsolatedAsyncioTestCase):
     async def test_a_connection_closed_at_once_is_a_failure(self) -> None:
         host = await self.start_host(FunctionReducer())
-        with self.assertRaises(ConnectFailed):
+        with self.assertRaises(ConnectError):
             await connect_stream(host.internal_address, "", 5.0, ClosingStream)
 
     async def test_no_fault_of_connecting_leaves_a_peer_unreachable_for_ever(self) -> None:
@@ -77,7 +77,7 @@
         server_host = await self.start_host(server)
         caller = FunctionReducer()
         host = await self.start_host(caller)
-        with mock.patch("rooklug.runtime.calls_out.connect_stream", side_effect=RuntimeError("x")):
+        with mock.patch("rooklug.runtime.rpc_client.connect_stream", side_effect=RuntimeError("x")):
             obey(host, fx.Call(1, server_host.internal_address, ReadStatusRequest(), 5.0))
             failed = await caller.wait_for(ev.CallFailed, call_id=1)
         self.assertFalse(failed.maybe_delivered)
--- a/tests/test_controller_mutations.py
+++ b/tests/test_controller_mutations.py
@@ -149,13 +149,13 @@
 
 def configuration_storm_is_few_solves():
     world = settled_world()
-    solves = world.part("placer").term.solves
+    solves = world.component("placer").term.solves
     for version in range(2, 102):
         priority = 10 + version
         models = {"large": large_model(priority)}
         world.configure(document(models=models, routes=only_large_routes()), version)
         world.run(0.02)
-    return world.part("placer").term.solves - solves <= 4
+    return world.component("placer").term.solves - solves <= 4
 
 
 def large_model(priority):
@@ -189,7 +189,7 @@
     world.run(25.0)
     return victim not in {replica for replica, _ in world.serving()} and all(
         result.report is None or result.report.replica_id == replica_id
-        for replica_id, result in world.part("placer").term.fleet.replicas.items()
+        for replica_id, result in world.component("placer").term.fleet.replicas.items()
     )
 
 
@@ -270,7 +270,7 @@
         "rooklug.controller.probe_schedule.ProbeBudget.take",
         lambda self, now: True,
     ),
-    (late_prober_is_not_believed, "rooklug.controller.placer.mark_key", lambda mark: (0, 0)),
+    (late_prober_is_not_believed, "rooklug.controller.placer.version_key", lambda mark: (0, 0)),
     (full_replica_is_left_alone, "rooklug.controller.placer_term.AVOID_S", 0.0),
 )
 
--- a/tests/test_controller_placer.py
+++ b/tests/test_controller_placer.py
@@ -40,8 +40,8 @@
         for replica in world.replicas.values():
             replica.highest = (7, 7)
             replica.restart()
-        world.run(8.0, until=lambda: world.part("placer").term is None)
-        self.assertIsNone(world.part("placer").term)
+        world.run(8.0, until=lambda: world.component("placer").term is None)
+        self.assertIsNone(world.component("placer").term)
         stopped = world.now
         world.run(4.0)
         self.assertFalse([c for c in calls_after(world, stopped) if c.method == "POST"])
@@ -53,9 +53,9 @@
         for replica in world.replicas.values():
             replica.highest = (7, 7)
             replica.restart()
-        world.run(8.0, until=lambda: world.part("placer").term is None)
+        world.run(8.0, until=lambda: world.component("placer").term is None)
         stopped = world.now
-        back = world.run(20.0, until=lambda: world.part("placer").term is not None)
+        back = world.run(20.0, until=lambda: world.component("placer").term is not None)
         self.assertTrue(back)
         self.assertGreaterEqual(world.now - stopped, 5.9)
 
@@ -64,7 +64,7 @@
         for replica in world.replicas.values():
             replica.highest = (1, 5)
             replica.restart()
-        world.run(8.0, until=lambda: world.part("placer").term is None)
+        world.run(8.0, until=lambda: world.component("placer").term is None)
         world.take_role(topics.ROLE_PLACER, 6, until=world.now + 3.0)
         world.run(15.0)
         self.assertEqual(served_models(world), {"small", "large"})
@@ -233,13 +233,13 @@
     def test_a_storm_of_configurations_is_debounced(self):
         world = settled_world()
         begun = len(world.published(topics.PLAN))
-        solves = world.part("placer").term.solves
+        solves = world.component("placer").term.solves
         for version in range(2, 302):
             changed = document(limits={"queue_length": version})
             world.configure(changed, version)
             world.run(0.02)
         world.run(2.0)
-        self.assertLessEqual(world.part("placer").term.solves - solves, 9)
+        self.assertLessEqual(world.component("placer").term.solves - solves, 9)
         self.assertEqual(world.plan().configuration_version, 301)
         self.assertLessEqual(len(world.published(topics.PLAN)) - begun, 70)
 
--- a/tests/test_controller_watcher.py
+++ b/tests/test_controller_watcher.py
@@ -59,7 +59,7 @@
             self.change(garbage=garbage)
             self.world.run(1.0)
         self.assertEqual(len(self.world.published(topics.REPLICAS)), 1)
-        figures = {m.name: m.value for m in self.world.part("platform-watcher").metrics(0.0)}
+        figures = {m.name: m.value for m in self.world.component("platform-watcher").metrics(0.0)}
         self.assertGreater(figures["rooklug_platform_bad_lists_total"], 4)
 
     def test_one_replica_gone_is_published_at_once(self):
--- a/tests/test_core_disks.py
+++ b/tests/test_core_disks.py
@@ -51,7 +51,7 @@
                     self.assertEqual(answer.outcome, "accepted")
                     slowest = max(slowest, cluster.now - began)
                     cluster.run(cluster.now + 0.5)
-                views = cluster.cores["core-a"].part.witness.state.promised_epoch // 3
+                views = cluster.cores["core-a"].component.witness.state.promised_epoch // 3
                 self.assertLess(views, 10)
                 self.assertLess(slowest, QUORUM_WAIT_S)
 
@@ -62,7 +62,7 @@
         cluster.lose_disk("core-b")
         cluster.start("core-b")
         self.assertTrue(wait_back(cluster, "core-b"))
-        disks = {d.disk_id for d in cluster.primary().part.leader.view.in_sync}
+        disks = {d.disk_id for d in cluster.primary().component.leader.view.in_sync}
         self.assertNotIn("disk-core-b:core-b-1", disks)
         self.assertTrue(any(b"{}" in r for r in cluster.cores["core-b"].disk.files["control-log"]))
 
@@ -74,18 +74,18 @@
             for version in range(1, 21):
                 ask(cluster, "core-a", change(version, b"{%d}" % version))
             cluster.run(cluster.now + 1.0)
-            self.assertGreater(cluster.cores["core-a"].part.store.log.base.sequence, 0)
+            self.assertGreater(cluster.cores["core-a"].component.store.log.base.sequence, 0)
             cluster.crash("core-b")
             cluster.lose_disk("core-b")
             cluster.start("core-b")
             self.assertTrue(wait_back(cluster, "core-b"))
-            copy = cluster.cores["core-b"].part.store
+            copy = cluster.cores["core-b"].component.store
             self.assertGreater(copy.log.base.sequence, 0)
             self.assertEqual(sorted(copy.state.changes), list(range(1, 21)))
             cluster.crash("core-b")
             cluster.start("core-b")
             cluster.run(cluster.now + 1.0)
-            self.assertEqual(cluster.cores["core-b"].part.store.state.version, 20)
+            self.assertEqual(cluster.cores["core-b"].component.store.state.version, 20)
 
     def test_two_blank_beside_one_with_data_start_nothing(self) -> None:
         cluster = started()
@@ -161,7 +161,7 @@
         cluster.cores["core-c"].disk.problem = "damaged: control-log"
         cluster.start("core-c")
         self.assertTrue(wait_back(cluster, "core-c"))
-        disks = {d.disk_id for d in cluster.primary().part.leader.view.in_sync}
+        disks = {d.disk_id for d in cluster.primary().component.leader.view.in_sync}
         self.assertNotIn("disk-core-c:core-c-1", disks)
 
     def test_log_with_a_gap_in_the_middle_is_not_in_sync_until_copied(self) -> None:
@@ -173,7 +173,7 @@
         del cluster.cores["core-c"].disk.files["control-log"][2]
         cluster.start("core-c")
         self.assertTrue(wait_back(cluster, "core-c"))
-        disks = {d.disk_id for d in cluster.primary().part.leader.view.in_sync}
+        disks = {d.disk_id for d in cluster.primary().component.leader.view.in_sync}
         self.assertNotIn("disk-core-c:core-c-1", disks)
-        log = cluster.cores["core-c"].part.store.log
+        log = cluster.cores["core-c"].component.store.log
         self.assertEqual(log.last.sequence, 3)
--- a/tests/test_core_members.py
+++ b/tests/test_core_members.py
@@ -20,15 +20,15 @@
 
     def members(self) -> set[str]:
         primary = self.cluster.primary()
-        if primary is None or primary.part.leader.view.previous:
+        if primary is None or primary.component.leader.view.previous:
             return set()
-        return set(primary.part.leader.view.member_ids)
+        return set(primary.component.leader.view.member_ids)
 
     def is_whole(self) -> bool:
         primary = self.cluster.primary()
         if primary is None:
             return False
-        in_sync = {disk.core_id for disk in primary.part.leader.view.in_sync}
+        in_sync = {disk.core_id for disk in primary.component.leader.view.in_sync}
         return in_sync == self.members() == set(self.cluster.cores)
 
     def wait_whole(self, seconds: float) -> None:
@@ -64,7 +64,7 @@
         self.cluster.crash(primary)
         self.cluster.crash(other)
         self.change(2)
-        self.assertGreaterEqual(len(self.cluster.primary().part.leader.view.in_sync), 3)
+        self.assertGreaterEqual(len(self.cluster.primary().component.leader.view.in_sync), 3)
 
     def test_a_core_that_is_gone_for_good_is_replaced(self):
         self.begin()
@@ -77,7 +77,7 @@
         self.cluster.crash(victim)
         self.change(3)
         self.assertIn(
-            "core-d", {d.core_id for d in self.cluster.primary().part.leader.view.in_sync}
+            "core-d", {d.core_id for d in self.cluster.primary().component.leader.view.in_sync}
         )
 
     def test_all_founders_can_be_replaced_in_turn(self):
--- a/tests/test_core_replication.py
+++ b/tests/test_core_replication.py
@@ -4,7 +4,7 @@
 import unittest
 from typing import Any
 
-from rooklug.model import notices
+from rooklug.model import internal_events as internal
 from rooklug.wire.generated.control import ttypes as control
 from tests.core_cluster import CORE_IDS, Cluster, Core
 
@@ -34,7 +34,7 @@
 
 
 def noticed(core: Core, kind: type) -> list[Any]:
-    return [notice for _, notice in core.recorder.seen if isinstance(notice, kind)]
+    return [event for _, event in core.recorder.seen if isinstance(event, kind)]
 
 
 class FirstViewTest(unittest.TestCase):
@@ -44,7 +44,7 @@
         cluster.run(cluster.now + 2.0)
         for core in cluster.cores.values():
             self.assertEqual(core.recorder.status.in_sync, list(CORE_IDS))
-            self.assertEqual(noticed(core, notices.PrimaryKnown)[-1].address, "127.0.0.1:7000")
+            self.assertEqual(noticed(core, internal.PrimaryKnown)[-1].address, "127.0.0.1:7000")
 
     def test_two_blank_cores_form_nothing(self) -> None:
         cluster = Cluster(1)
@@ -66,8 +66,8 @@
         self.assertEqual((read.ok, read.configuration.document), (True, b'{"a":1}'))
         cluster.run(cluster.now + 1.0)
         for core in cluster.cores.values():
-            committed = noticed(core, notices.ConfigurationCommitted)[-1]
-            self.assertEqual((committed.mark.epoch, committed.mark.counter), (3, 1))
+            committed = noticed(core, internal.ConfigurationCommitted)[-1]
+            self.assertEqual((committed.version.epoch, committed.version.counter), (3, 1))
 
     def test_others_name_the_primary(self) -> None:
         cluster = started()
--- a/tests/test_core_scenarios.py
+++ b/tests/test_core_scenarios.py
@@ -9,7 +9,7 @@
 from rooklug.core.types import MemberDisk
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
-from rooklug.model import notices
+from rooklug.model import internal_events as internal
 from rooklug.wire.generated.control import ttypes as control
 from rooklug.wire.generated.core import ttypes as wire
 from tests.core_cluster import CLIENT, CORE_IDS, Cluster, Core
@@ -31,7 +31,7 @@
         cluster.thaw("core-a")
         self.assertTrue(cluster.run(cluster.now + 1.0, lambda: bool(answers)))
         self.assertIn(answers[0].outcome, ("unavailable", "not_primary"))
-        stopped = noticed(cluster.cores["core-a"], notices.PrimaryStopped)
+        stopped = noticed(cluster.cores["core-a"], internal.PrimaryStopped)
         self.assertEqual(len(stopped), 1)
         self.assertEqual(ask(cluster, new_primary, READ).configuration.document, b"{new}")
         self.assertTrue(wait_in_sync(cluster, list(CORE_IDS)))
@@ -48,13 +48,13 @@
         )
         stopped_at = [
             when
-            for when, notice in cluster.cores["core-a"].recorder.seen
-            if isinstance(notice, notices.PrimaryStopped)
+            for when, event in cluster.cores["core-a"].recorder.seen
+            if isinstance(event, internal.PrimaryStopped)
         ]
         started_at = [
             when
-            for when, notice in cluster.primary().recorder.seen
-            if isinstance(notice, notices.PrimaryStarted)
+            for when, event in cluster.primary().recorder.seen
+            if isinstance(event, internal.PrimaryStarted)
         ]
         self.assertLess(stopped_at[0], started_at[0])
 
@@ -105,7 +105,7 @@
         self.assertEqual(ask(cluster, "core-a", other).outcome, "invalid")
         cluster.run(cluster.now + 1.0)
         for core in cluster.cores.values():
-            zones = noticed(core, notices.ZonesCommitted)
+            zones = noticed(core, internal.ZonesCommitted)
             self.assertEqual([z.body.emptied_zones for z in zones], [["north"], []])
 
     def test_nothing_new_with_one_of_three(self) -> None:
@@ -137,7 +137,7 @@
         for version in (1, 2):
             cluster.request("core-a", change(version, b"{%d}" % version), lambda answer: None)
             cluster.run(cluster.now + 0.1)
-        store = core.part.store
+        store = core.component.store
         self.assertEqual((store.written, store.last.sequence), (1, 2))
         cluster.run(cluster.now + 2.0)
         self.assertNotEqual(cluster.primary(), core)
@@ -188,7 +188,7 @@
         cluster.heal()
 
         def accepted_at_c() -> bool:
-            view = cluster.cores["core-c"].part.witness.state.view
+            view = cluster.cores["core-c"].component.witness.state.view
             return view is not None and [d.core_id for d in view.in_sync] == ["core-a", "core-c"]
 
         self.assertTrue(cluster.run(cluster.now + 10.0, accepted_at_c))
@@ -217,7 +217,7 @@
         cluster.crash("core-a")
 
         def proposing() -> list[Core]:
-            rounds = [(c, c.part.changer.round) for c in cluster.cores.values() if c.alive]
+            rounds = [(c, c.component.changer.round) for c in cluster.cores.values() if c.alive]
             return [core for core, current in rounds if current and current.view]
 
         self.assertTrue(cluster.run(cluster.now + 10.0, lambda: bool(proposing())))
@@ -227,7 +227,7 @@
         cluster.isolate(candidate.core_id)
         cluster.run(cluster.now + 20.0)
         cluster.thaw(candidate.core_id)
-        self.assertEqual(noticed(candidate, notices.PrimaryStarted), [])
+        self.assertEqual(noticed(candidate, internal.PrimaryStarted), [])
         cluster.heal()
         self.assertTrue(cluster.run(cluster.now + 10.0, lambda: cluster.primary() is not None))
 
@@ -236,7 +236,7 @@
         cluster = started()
         cluster.run(cluster.now + 1.0)
         primary = MemberDisk("core-a", "disk-core-a:core-a-1")
-        cluster.cores["core-c"].part.witness.hear(primary, 9, cluster.now)
+        cluster.cores["core-c"].component.witness.hear(primary, 9, cluster.now)
         ask(cluster, "core-c", wire.HandOverRequest(epoch=3, primary=disk_to_wire(primary)))
         rival = wire.MemberDisk(core_id="core-b", disk_id="disk-core-b:core-b-1")
         answer = ask(cluster, "core-c", wire.PrepareRequest(proposer=rival, epoch=10))
@@ -247,12 +247,12 @@
     def test_a_zone_order_that_was_held_up_undoes_nothing(self) -> None:
         cluster = started()
         primary = cluster.primary()
-        known = primary.part.store.state.zones_mark()
+        known = primary.component.store.state.zones_version()
         empty = control.SetZoneRequest("zone-1", True, "first", known)
         self.assertEqual(ask(cluster, primary.core_id, empty).outcome, "accepted")
-        known = primary.part.store.state.zones_mark()
+        known = primary.component.store.state.zones_version()
         back = control.SetZoneRequest("zone-1", False, "second", known)
         self.assertEqual(ask(cluster, primary.core_id, back).outcome, "accepted")
         held_up = control.SetZoneRequest("zone-1", True, "late", empty.known_zones)
         self.assertEqual(ask(cluster, primary.core_id, held_up).outcome, "unavailable")
-        self.assertEqual(primary.part.store.state.zones_body().emptied_zones, [])
+        self.assertEqual(primary.component.store.state.zones_body().emptied_zones, [])
--- a/tests/test_distribution_core_link.py
+++ b/tests/test_distribution_core_link.py
@@ -9,13 +9,13 @@
 from rooklug.distribution.core_finder import CoreFinder
 from rooklug.distribution.core_link import CoreLink
 from rooklug.distribution.document_delta import apply_delta
-from rooklug.distribution.notices import LeaseGivenBack, RenewSoon
+from rooklug.distribution.link_events import LeaseGivenBack, RenewSoon
 from rooklug.distribution.timing import BACKOFF_LIMIT_S, START_BACKOFF_LIMIT_S
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
-from rooklug.engine.composite import Notify
+from rooklug.engine.component import EmitEvent
 from rooklug.engine.reducer import Identifiers, ProcessContext
-from rooklug.model.notices import GrantsChanged, TopicChanged
+from rooklug.model.internal_events import GrantsChanged, TopicChanged
 from rooklug.model.topics import CONFIGURATION, MEMBERS, PLAN, ROLE_PLACER, ZONES
 from rooklug.wire.codec import encode
 from rooklug.wire.generated.control import ttypes
@@ -31,9 +31,9 @@
     return [call for call in found if isinstance(call.request, request_type)]
 
 
-def told(effects: list[fx.Effect], notice_type: type) -> list[Any]:
-    notices = [effect.notice for effect in effects if isinstance(effect, Notify)]
-    return [notice for notice in notices if isinstance(notice, notice_type)]
+def told(effects: list[fx.Effect], event_type: type) -> list[Any]:
+    events = [effect.event for effect in effects if isinstance(effect, EmitEvent)]
+    return [event for event in events if isinstance(event, event_type)]
 
 
 def configuration(counter: int, document: bytes, base: int | None = None) -> TopicUpdate:
@@ -116,18 +116,18 @@
 
     def test_leaving_ends_though_nobody_answers(self) -> None:
         call = calls(self.link.handle(ev.StopRequested(), 1.0), ttypes.RenewLeaseRequest)[0]
-        notices: list[LeaseGivenBack] = []
+        events: list[LeaseGivenBack] = []
         for attempt in range(3):
             failed = ev.CallFailed(call.call_id, "deadline", True)
-            notices += told(self.link.handle(failed, 2.0 + attempt), LeaseGivenBack)
-            if not notices:
+            events += told(self.link.handle(failed, 2.0 + attempt), LeaseGivenBack)
+            if not events:
                 call = self.renew(2.5 + attempt)
-        self.assertEqual(notices, [LeaseGivenBack(False)])
+        self.assertEqual(events, [LeaseGivenBack(False)])
 
     def test_a_flag_that_changes_is_told_at_once(self) -> None:
         self.grant(self.renew(10.0), 10.1)
         (effect,) = self.link.set_draining(True)
-        call = calls(self.link.handle(effect.notice, 10.2), ttypes.RenewLeaseRequest)[0]
+        call = calls(self.link.handle(effect.event, 10.2), ttypes.RenewLeaseRequest)[0]
         self.assertTrue(call.request.node.draining)
         self.assertEqual(self.link.set_draining(True), [])
 
@@ -182,7 +182,7 @@
         self.updates(self.poll(2.0), 2.1, delta)
         self.assertIsNone(self.link.role_owner("k"))
         self.updates(self.poll(3.0), 3.1, misfit)
-        self.assertEqual(self.link.mark(MEMBERS), VersionMark(3, 3))
+        self.assertEqual(self.link.version(MEMBERS), VersionMark(3, 3))
         held = {mark.topic: mark.version for mark in self.poll(4.0).request.held}
         self.assertEqual(held[MEMBERS], VersionMark(0, 0))
 
@@ -212,7 +212,7 @@
         body = ttypes.PlanBody(version, [], [], "test")
         record = ttypes.DecisionRecord(None, None, "plan", "c", f"plan {version}", 0)
         effects = self.link.publish(PLAN, ROLE_PLACER, body, [record], now)
-        sent = [self.link.handle(e.notice, now) for e in effects if isinstance(e, Notify)]
+        sent = [self.link.handle(e.event, now) for e in effects if isinstance(e, EmitEvent)]
         return calls([e for part in sent for e in part], ttypes.PublishRequest)
 
     def test_nothing_is_published_without_a_grant(self) -> None:
--- a/tests/test_front_path.py
+++ b/tests/test_front_path.py
@@ -6,7 +6,7 @@
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
 from rooklug.front.view_keeper import RoutingViewChanged
-from rooklug.model.notices import TopicChanged
+from rooklug.model.internal_events import TopicChanged
 from rooklug.wire.generated.control.ttypes import PlanBody, ReplicasBody, VersionMark, ZonesBody
 from tests.front_support import (
     FrontHarness,
@@ -37,9 +37,9 @@
         call = self.front.call()
         self.assertEqual(self.front.begin(call), [])
         first = self.front.lines(call, "x")
-        self.assertEqual(kinds(first), ["HttpStreamStart", "HttpStreamPiece"])
+        self.assertEqual(kinds(first), ["HttpStreamStart", "HttpStreamChunk"])
         last = self.front.end(call, 1)
-        self.assertEqual(kinds(last)[:2], ["HttpStreamPiece", "HttpStreamEnd"])
+        self.assertEqual(kinds(last)[:2], ["HttpStreamChunk", "HttpStreamEnd"])
         self.assertEqual(json.loads(last[0].data)["pieces"], 1)
         self.assertEqual(last[0].request_id, http_id)
 
@@ -131,7 +131,7 @@
 
 class ViewTest(unittest.TestCase):
     def test_two_topics_at_once(self) -> None:
-        """The notice of the first comes when the keeper already holds the second."""
+        """The event of the first comes when the keeper already holds the second."""
         front = FrontHarness()
         front.usual()
         front.generate()
--- a/tests/test_front_promises.py
+++ b/tests/test_front_promises.py
@@ -1,6 +1,6 @@
 """Random events against an oracle that sees only what callers and replicas see.
 
-Each guard is then switched off: the oracle, or the named test, must notice (mutations).
+Each guard is then switched off: the oracle, or the named test, must event (mutations).
 """
 
 import json
@@ -99,9 +99,9 @@
             own = json.loads(call.body)["request_id"]
             request_id, index = (own, sent + 1) if kind == "index" else ("r?", sent)
             line = {"request_id": request_id, "index": index, "piece": "spoiled"}
-            self.end_call(call_id, ev.HttpBodyPiece(call_id, json.dumps(line).encode() + b"\n"))
+            self.end_call(call_id, ev.HttpBodyChunk(call_id, json.dumps(line).encode() + b"\n"))
         elif kind == "cut" and sent:
-            self.end_call(call_id, ev.HttpResponseEnded(call_id))
+            self.end_call(call_id, ev.HttpResponseCompleted(call_id))
         else:
             self.may_have_run.add(call_id)
             self.end_call(call_id, ev.HttpFailed(call_id, "", ev.SendState.MAYBE_SENT))
@@ -153,7 +153,7 @@
                 self.open.pop(effect.call_id, None)
             elif isinstance(effect, fx.HttpStreamStart):
                 assert effect.request_id not in self.finals
-            elif isinstance(effect, fx.HttpStreamPiece):
+            elif isinstance(effect, fx.HttpStreamChunk):
                 self.streamed[effect.request_id] += effect.data
                 self.streamed_pieces(effect.request_id)
             elif isinstance(effect, FINAL):
--- a/tests/test_gateway_control.py
+++ b/tests/test_gateway_control.py
@@ -4,7 +4,7 @@
 
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
-from rooklug.engine.composite import Notify
+from rooklug.engine.component import EmitEvent
 from rooklug.engine.reducer import Identifiers, ProcessContext
 from rooklug.gateway.dialect import (
     BadOrder,
@@ -18,14 +18,14 @@
     ZoneOrder,
 )
 from rooklug.gateway.directory import DIRECTORY_LISTENER, READINESS_LISTENER, Directory
+from rooklug.gateway.gateway_events import ReplicasListed, ViewChanged
 from rooklug.gateway.lifecycle import Lifecycle
 from rooklug.gateway.listing import ListingWatcher
-from rooklug.gateway.notices import ReplicasListed, ViewChanged
 from rooklug.gateway.operators import LISTENER, OperatorCalls
 from rooklug.gateway.region_planner import RegionPlanner, solve_lazily
 from rooklug.gateway.view import GatewayView
 from rooklug.gateway.view_keeper import GatewayViewKeeper
-from rooklug.model.notices import (
+from rooklug.model.internal_events import (
     ConfigurationCommitted,
     PrimaryKnown,
     PrimaryStarted,
@@ -85,16 +85,16 @@
 class OperatorCase(unittest.TestCase):
     def setUp(self):
         self.now = 10.0
-        self.part = OperatorCalls(control_dialect(), context())
-        self.part.handle(PrimaryKnown(1, PRIMARY), self.now)
+        self.component = OperatorCalls(control_dialect(), context())
+        self.component.handle(PrimaryKnown(1, PRIMARY), self.now)
 
     def ask(self, path: str) -> list[fx.Effect]:
         event = ev.HttpRequestArrived(1, "POST", path, {}, {}, b"", listener=LISTENER)
-        return self.part.handle(event, self.now)
+        return self.component.handle(event, self.now)
 
     def answer(self, call: fx.Call, outcome: str) -> list[fx.Effect]:
         answer = SubmitChangeAnswer(outcome, 2, "", [], "", False)
-        return self.part.handle(ev.CallAnswered(call.call_id, answer), self.now)
+        return self.component.handle(ev.CallAnswered(call.call_id, answer), self.now)
 
     def test_outcomes_of_the_primary_become_statuses(self):
         for outcome, status in (("accepted", 200), ("conflict", 412), ("invalid", 400)):
@@ -110,24 +110,24 @@
             for _ in range(100):
                 if ending is None:
                     failed = ev.CallFailed(call.call_id, "cut", True)
-                    (effect,) = self.part.handle(failed, self.now)
+                    (effect,) = self.component.handle(failed, self.now)
                 else:
                     (effect,) = self.answer(call, ending)
                 self.assertIsInstance(effect, fx.StartTimer)
                 self.now += 0.1
-                (effect,) = self.part.handle(ev.TimerFired(effect.name), self.now)
+                (effect,) = self.component.handle(ev.TimerFired(effect.name), self.now)
                 if isinstance(effect, fx.HttpRespond):
                     break
                 call = effect
             self.assertEqual(effect.status, 503)
 
     def test_without_a_primary_the_answer_comes_within_a_second(self):
-        self.part.handle(PrimaryKnown(2, ""), self.now)
+        self.component.handle(PrimaryKnown(2, ""), self.now)
         (timer,) = self.ask("/zone")
         began = self.now
         while isinstance(timer, fx.StartTimer):
             self.now += timer.delay_s
-            (timer,) = self.part.handle(ev.TimerFired(timer.name), self.now)
+            (timer,) = self.component.handle(ev.TimerFired(timer.name), self.now)
         self.assertEqual(timer.status, 503)
         self.assertLess(self.now - began, 1.0)
 
@@ -149,19 +149,19 @@
             "warm": ListingPage((listed(1), listed(2)), ""),
             "gone": ListingPage((listed(1, leaving=True), listed(2)), ""),
         }
-        self.part = ListingWatcher(control_dialect(self.pages), "10.5.0.1:80", Identifiers())
+        self.component = ListingWatcher(control_dialect(self.pages), "10.5.0.1:80", Identifiers())
 
     def read(self, body: str) -> list[fx.Effect]:
-        return self.part.handle(ev.HttpAnswered(self.call_id, 200, {}, body.encode()), 0.0)
+        return self.component.handle(ev.HttpAnswered(self.call_id, 200, {}, body.encode()), 0.0)
 
     def start(self, event=None) -> list[fx.Effect]:
-        effects = self.part.handle(event or PrimaryStarted(3), 0.0)
+        effects = self.component.handle(event or PrimaryStarted(3), 0.0)
         self.call_id = effects[-1].call_id
         return effects
 
     def offered(self, effects) -> TopicOffered:
-        notices = [effect.notice for effect in effects if isinstance(effect, Notify)]
-        return next(notice for notice in notices if isinstance(notice, TopicOffered))
+        events = [effect.event for effect in effects if isinstance(effect, EmitEvent)]
+        return next(event for event in events if isinstance(event, TopicOffered))
 
     def test_all_pages_make_one_list(self):
         self.start()
@@ -182,48 +182,48 @@
 
     def test_only_a_primary_asks(self):
         self.start()
-        self.part.handle(PrimaryStopped("lease"), 0.0)
+        self.component.handle(PrimaryStopped("lease"), 0.0)
         self.assertEqual(self.read("warm"), [])
-        self.assertEqual(self.part.handle(ev.TimerFired("read"), 0.0), [])
+        self.assertEqual(self.component.handle(ev.TimerFired("read"), 0.0), [])
 
     def test_a_new_term_distributes_the_list_anew(self):
         self.start()
         self.read("warm")
-        self.part.handle(PrimaryStopped("lease"), 0.0)
+        self.component.handle(PrimaryStopped("lease"), 0.0)
         self.start(PrimaryStarted(9))
         self.assertEqual(self.offered(self.read("warm")).epoch, 9)
 
     def test_a_failed_round_is_followed_by_another(self):
         self.start()
-        self.part.handle(ev.HttpFailed(self.call_id, "cut", ev.SendState.MAYBE_SENT), 0.0)
+        self.component.handle(ev.HttpFailed(self.call_id, "cut", ev.SendState.MAYBE_SENT), 0.0)
         self.start(ev.TimerFired("read"))
         self.assertTrue(self.read("warm"))
 
 
 class Planner(unittest.TestCase):
     def setUp(self):
-        self.part = RegionPlanner(Identifiers())
-        self.part.handle(PrimaryStarted(3), 0.0)
+        self.component = RegionPlanner(Identifiers())
+        self.component.handle(PrimaryStarted(3), 0.0)
         routes = [
             route_item("a", "/a/", service="model"),
             route_item("b", "/b/", service="model", home_regions=["south"]),
         ]
         body = ConfigurationBody(1, "", json.dumps(document(routes)).encode())
-        self.part.handle(ConfigurationCommitted(VersionMark(3, 1), body), 0.0)
+        self.component.handle(ConfigurationCommitted(VersionMark(3, 1), body), 0.0)
         replicas = [listed(1), listed(2), listed(3, region="south", zone="south-a")]
-        self.part.handle(ReplicasListed(ReplicasBody(replicas)), 0.0)
+        self.component.handle(ReplicasListed(ReplicasBody(replicas)), 0.0)
 
     def demand(self, node: str, region: str, tokens: float, route: str = "a") -> None:
         entry = DemandEntry(route, "model", "", region, 1.0, 0.0, tokens, 0.0)
         report = DemandReport(node, "1", 1, [entry], [])
-        self.part.handle(ev.CallArrived(7, node, report), 1.0)
+        self.component.handle(ev.CallArrived(7, node, report), 1.0)
 
     def plan(self) -> list:
-        effects = self.part.handle(ev.TimerFired("solve"), 2.0)
+        effects = self.component.handle(ev.TimerFired("solve"), 2.0)
         compute = effects[-1]
         result = solve_lazily(compute.argument)
-        effects = self.part.handle(ev.Computed(compute.ticket, result), 2.1)
-        offers = [e.notice for e in effects if isinstance(e, Notify)]
+        effects = self.component.handle(ev.Computed(compute.ticket, result), 2.1)
+        offers = [e.event for e in effects if isinstance(e, EmitEvent)]
         return offers[0].body.matrix if offers else []
 
     def weights(self, cells, source, homes=()) -> dict[str, float]:
@@ -259,9 +259,9 @@
         self.assertEqual(self.plan(), [])
 
     def test_only_a_primary_plans(self):
-        self.part.handle(PrimaryStopped("lease"), 1.0)
-        effects = self.part.handle(ev.TimerFired("solve"), 2.0)
-        self.assertFalse(any(isinstance(effect, Notify) for effect in effects))
+        self.component.handle(PrimaryStopped("lease"), 1.0)
+        effects = self.component.handle(ev.TimerFired("solve"), 2.0)
+        self.assertFalse(any(isinstance(effect, EmitEvent) for effect in effects))
 
 
 class _Link:
@@ -285,7 +285,7 @@
             lambda event: WhereQuestion(**event.query) if event.path == "/where" else None,
             lambda addresses, ttl_s: json.dumps([addresses, ttl_s]).encode(),
         )
-        self.part = Directory(self.dialect, self.keeper, self.lifecycle, "10.1.0.9:8000", 2.0)
+        self.component = Directory(self.dialect, self.keeper, self.lifecycle, "10.1.0.9:8000", 2.0)
         self.be_ready()
 
     def be_ready(self, routes=None, **view):
@@ -301,12 +301,12 @@
         event = ev.HttpRequestArrived(
             1, "GET", "/where", query, {}, b"", listener=DIRECTORY_LISTENER
         )
-        (respond,) = self.part.handle(event, 0.0)
+        (respond,) = self.component.handle(event, 0.0)
         return json.loads(respond.body)[0] if respond.status == 200 else []
 
     def ready(self) -> int:
         event = ev.HttpRequestArrived(1, "GET", "/ready", {}, {}, b"", listener=READINESS_LISTENER)
-        (respond,) = self.part.handle(event, 0.0)
+        (respond,) = self.component.handle(event, 0.0)
         return respond.status
 
     def test_near_fronts_first_and_only_ready_ones(self):
--- a/tests/test_gateway_executor.py
+++ b/tests/test_gateway_executor.py
@@ -153,14 +153,14 @@
         )
 
     def piece(self, data):
-        return self.front.handle(ev.HttpBodyPiece(self.call.call_id, data))
+        return self.front.handle(ev.HttpBodyChunk(self.call.call_id, data))
 
     def test_events_are_passed_on_as_they_come(self):
         (head,) = self.start()
         self.assertEqual(head.status, 200)
         (piece,) = self.piece(b"id: 1\ndata: a\n\n")
         self.assertEqual(piece.data, b"id: 1\ndata: a\n\n")
-        (end,) = self.front.handle(ev.HttpResponseEnded(self.call.call_id))
+        (end,) = self.front.handle(ev.HttpResponseCompleted(self.call.call_id))
         self.assertIsInstance(end, fx.HttpStreamEnd)
 
     def test_half_an_event_waits_for_its_rest(self):
@@ -180,7 +180,7 @@
     def test_an_end_within_an_event_is_a_break(self):
         self.start()
         self.piece(b"id: 1\ndata: a\n\nid: 2\nda")
-        (end,) = self.front.handle(ev.HttpResponseEnded(self.call.call_id))
+        (end,) = self.front.handle(ev.HttpResponseCompleted(self.call.call_id))
         self.assertIsInstance(end, fx.HttpStreamAbort)
 
     def test_the_head_of_another_request_is_not_passed_on(self):
@@ -192,14 +192,14 @@
     def test_a_failure_of_the_replica_goes_back_whole(self):
         self.assertEqual(self.start(500), [])
         self.assertEqual(self.piece(b"sorry"), [])
-        (answer,) = self.front.handle(ev.HttpResponseEnded(self.call.call_id))
+        (answer,) = self.front.handle(ev.HttpResponseCompleted(self.call.call_id))
         self.assertEqual((answer.status, answer.body), (500, b"sorry"))
 
     def test_a_long_failure_is_not_cut(self):
         self.start(500)
         for _ in range(3):
             self.piece(b"x" * 40_000)
-        (answer,) = self.front.handle(ev.HttpResponseEnded(self.call.call_id))
+        (answer,) = self.front.handle(ev.HttpResponseCompleted(self.call.call_id))
         self.assertEqual(len(answer.body), 120_000)
 
     def test_a_failure_without_an_end_is_given_up(self):
@@ -223,16 +223,16 @@
         return self.front.handle(ev.HttpResponseStarted(call.call_id, 200, answer_headers(call)))
 
     def test_a_broken_stream_goes_on_after_its_last_whole_event(self):
-        self.front.handle(ev.HttpBodyPiece(self.call.call_id, b"id: 1\ndata: a\n\nid: 2\nda"))
+        self.front.handle(ev.HttpBodyChunk(self.call.call_id, b"id: 1\ndata: a\n\nid: 2\nda"))
         (second,) = self.front.handle(
             ev.HttpFailed(self.call.call_id, "reset", ev.SendState.RESPONDING)
         )
         self.assertNotEqual(second.address, self.call.address)
         self.assertEqual(second.headers[NAMES.resume_after], "1")
         self.assertEqual(self.begin(second), [])
-        (piece,) = self.front.handle(ev.HttpBodyPiece(second.call_id, b"id: 2\ndata: b\n\n"))
+        (piece,) = self.front.handle(ev.HttpBodyChunk(second.call_id, b"id: 2\ndata: b\n\n"))
         self.assertEqual(piece.data, b"id: 2\ndata: b\n\n")
-        (end,) = self.front.handle(ev.HttpResponseEnded(second.call_id))
+        (end,) = self.front.handle(ev.HttpResponseCompleted(second.call_id))
         self.assertIsInstance(end, fx.HttpStreamEnd)
 
     def test_a_refusal_of_the_second_replica_breaks_the_answer_off(self):
@@ -240,7 +240,7 @@
             ev.HttpFailed(self.call.call_id, "reset", ev.SendState.RESPONDING)
         )
         self.front.handle(ev.HttpResponseStarted(second.call_id, 503, BUSY))
-        (end,) = self.front.handle(ev.HttpResponseEnded(second.call_id))
+        (end,) = self.front.handle(ev.HttpResponseCompleted(second.call_id))
         self.assertIsInstance(end, fx.HttpStreamAbort)
 
     def test_a_stream_that_stalls_goes_on_elsewhere(self):
--- a/tests/test_gateway_peers.py
+++ b/tests/test_gateway_peers.py
@@ -6,7 +6,7 @@
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
 from rooklug.engine.reducer import Identifiers, ProcessContext
-from rooklug.gateway.notices import ViewChanged
+from rooklug.gateway.gateway_events import ViewChanged
 from rooklug.gateway.peer_exchange import MOST_PEERS, PeerExchange
 from rooklug.gateway.requests import PromptPart
 from rooklug.model.settings import NodeSettings
--- a/tests/test_gateway_planning.py
+++ b/tests/test_gateway_planning.py
@@ -4,13 +4,13 @@
 import unittest
 
 from rooklug.engine import events as ev
-from rooklug.engine.composite import Notify
+from rooklug.engine.component import EmitEvent
 from rooklug.engine.reducer import Identifiers
-from rooklug.gateway.notices import ReplicasListed
+from rooklug.gateway.gateway_events import ReplicasListed
 from rooklug.gateway.region_planner import RegionPlanner, solve_lazily
 from rooklug.gateway.region_problem import RegionSite
 from rooklug.gateway.view import matrix_of
-from rooklug.model.notices import ConfigurationCommitted, PrimaryStarted
+from rooklug.model.internal_events import ConfigurationCommitted, PrimaryStarted
 from rooklug.wire.generated.control.ttypes import (
     ConfigurationBody,
     DemandEntry,
@@ -54,8 +54,8 @@
 
     def handle(self, event) -> None:
         for effect in self.planner.handle(event, 1.0):
-            if isinstance(effect, Notify):
-                self.matrix = matrix_of(effect.notice.body.matrix)
+            if isinstance(effect, EmitEvent):
+                self.matrix = matrix_of(effect.event.body.matrix)
 
     def report(self, route: str, region: str, tokens_per_s: float, read_rate: float) -> None:
         entry = DemandEntry(route, "model", "", region, 1.0, tokens_per_s, 0.0, 0.0)
--- a/tests/test_gateway_site.py
+++ b/tests/test_gateway_site.py
@@ -117,7 +117,7 @@
 
 
 def _decision_of(site: GatewaySite, name: str) -> Decision:
-    return site.process(name).reducer.parts[GatewayExecutor.name]._decision
+    return site.process(name).reducer.components[GatewayExecutor.name]._decision
 
 
 def _end_as_if_whole(executor: GatewayExecutor, passage: Passage) -> list[fx.Effect]:
--- a/tests/test_gateway_view.py
+++ b/tests/test_gateway_view.py
@@ -1,7 +1,7 @@
 import unittest
 
 from rooklug.gateway.view_keeper import RESTORED_COLD_S, GatewayViewKeeper
-from rooklug.model.notices import TopicChanged
+from rooklug.model.internal_events import TopicChanged
 from rooklug.model.topics import REPLICAS, ZONES
 from rooklug.wire.generated.control.ttypes import ReplicasBody, VersionMark, ZonesBody
 from tests.test_gateway_control import listed
--- a/tests/test_membership_faults.py
+++ b/tests/test_membership_faults.py
@@ -79,7 +79,9 @@
 
 
 def all_hold(world: World) -> bool:
-    return all(link.mark(CONFIGURATION).counter == world.version for link in world.links.values())
+    return all(
+        link.version(CONFIGURATION).counter == world.version for link in world.links.values()
+    )
 
 
 def cut_off_in_an_emptied_zone(seed: int) -> World:
--- a/tests/test_membership_hub.py
+++ b/tests/test_membership_hub.py
@@ -8,8 +8,8 @@
 
 from rooklug.membership.hub import Hub, PollReply
 from rooklug.membership.topic_store import TopicStore
-from rooklug.model.marks import mark_key
 from rooklug.model.topics import CONFIGURATION, PLAN
+from rooklug.model.versions import version_key
 from rooklug.wire.generated.control.ttypes import (
     PollRequest,
     TopicMark,
@@ -40,13 +40,13 @@
         return {
             (topic, self.newest[topic])
             for topic, mark in held.items()
-            if self.newest.get(topic, (0, 0)) > mark_key(mark)
+            if self.newest.get(topic, (0, 0)) > version_key(mark)
         }
 
     def close(self, replies: list[PollReply], held: dict[int, dict]) -> None:
         for reply in replies:
             self.open.remove(reply.call_id)
-            got = {(u.topic, mark_key(u.version)) for u in reply.updates}
+            got = {(u.topic, version_key(u.version)) for u in reply.updates}
             assert got == held[reply.call_id], (got, held[reply.call_id])
 
     @rule(node=NODES, configuration=MARKS, plan=MARKS, wait_ms=st.sampled_from([0, 500, 99_999]))
@@ -70,10 +70,10 @@
 
     @rule(topic=TOPICS, mark=MARKS)
     def publish(self, topic: str, mark: VersionMark) -> None:
-        newer = mark_key(mark) > self.newest.get(topic, (0, 0))
+        newer = version_key(mark) > self.newest.get(topic, (0, 0))
         assert self.store.offer(topic, mark, b"") == newer
         if newer:
-            self.newest[topic] = mark_key(mark)
+            self.newest[topic] = version_key(mark)
         expected = {call: self.expected(held) for call, held, _ in self.waiting.values()}
         replies = self.hub.wake()
         assert {r.call_id for r in replies} == {call for call, found in expected.items() if found}
--- a/tests/test_membership_protocol.py
+++ b/tests/test_membership_protocol.py
@@ -5,7 +5,7 @@
 
 from rooklug.config.json_text import canonical_bytes
 from rooklug.config.patching import digest
-from rooklug.distribution.notices import LeaseGivenBack
+from rooklug.distribution.link_events import LeaseGivenBack
 from rooklug.engine.events import StopRequested
 from rooklug.model.topics import CONFIGURATION, MEMBERS, PLAN, ROLE_PLACER, ZONES
 from rooklug.wire.generated.control import ttypes
@@ -22,7 +22,7 @@
 
 
 def all_hold(world: World, version: int) -> bool:
-    return all(link.mark(CONFIGURATION).counter == version for link in world.links.values())
+    return all(link.version(CONFIGURATION).counter == version for link in world.links.values())
 
 
 class ProtocolTest(unittest.TestCase):
@@ -146,9 +146,9 @@
 
     def test_quiet_nodes_are_not_woken_by_renewals(self) -> None:
         world = started(11)
-        mark = world.links["front-0"].mark(MEMBERS)
+        mark = world.links["front-0"].version(MEMBERS)
         world.run(5.0)
-        self.assertEqual(world.links["front-0"].mark(MEMBERS), mark)
+        self.assertEqual(world.links["front-0"].version(MEMBERS), mark)
 
     def test_without_any_core_roles_end_and_topics_stay(self) -> None:
         world = started(12)
@@ -165,7 +165,7 @@
         world = started(13)
         world.cut.add(world.primary)
         core = world.processes[world.primary]
-        part = core.reducer.parts["membership"]
+        part = core.reducer.components["membership"]
         self.assertEqual(len(part.view.hub), 9)
         took = world.run_until(lambda: len(part.view.hub) == 0, 5.0)
         self.assertLess(took, 2.0)
--- a/tests/test_membership_tables.py
+++ b/tests/test_membership_tables.py
@@ -6,7 +6,7 @@
 from rooklug.membership.leases import LeaseTable, RenewalOutcome, identity_of
 from rooklug.membership.members_topic import MembersTopic
 from rooklug.membership.primacy import Primacy
-from rooklug.membership.publications import Publications, PublishRefusal, publication_mark
+from rooklug.membership.publications import Publications, PublishRefusal, publication_version
 from rooklug.membership.roles import ROLE_LEASE_MS, RoleTable
 from rooklug.membership.selection import Load, choose_node
 from rooklug.membership.timing import (
@@ -15,7 +15,7 @@
     UNANNOUNCED_HOLD_S,
 )
 from rooklug.membership.topic_store import TopicStore
-from rooklug.model import notices
+from rooklug.model import internal_events as internal
 from rooklug.model.topics import PLAN, REPLICAS, ROLE_PLACER
 from rooklug.wire.generated.control import ttypes
 from rooklug.wire.generated.control.ttypes import RoleGrant, VersionMark
@@ -78,13 +78,13 @@
 class PrimacyTest(unittest.TestCase):
     def test_news_of_a_later_primary_do_not_change_the_epoch_of_the_own_term(self) -> None:
         primacy = Primacy("own:1")
-        primacy.start(notices.PrimaryStarted(5))
-        primacy.extend(notices.PrimaryLeaseExtended(5, 10.0))
-        primacy.learn(notices.PrimaryKnown(8, "other:1"))
+        primacy.start(internal.PrimaryStarted(5))
+        primacy.extend(internal.PrimaryLeaseExtended(5, 10.0))
+        primacy.learn(internal.PrimaryKnown(8, "other:1"))
         self.assertEqual((primacy.epoch, primacy.address(9.0)), (5, "own:1"))
         self.assertEqual(primacy.address(10.0), "")
         primacy.stop()
-        primacy.learn(notices.PrimaryKnown(6, "older:1"))
+        primacy.learn(internal.PrimaryKnown(6, "older:1"))
         self.assertEqual(primacy.address(11.0), "other:1")
 
 
@@ -227,7 +227,7 @@
         self.assertIsNone(self.publish(2))
         self.assertIs(self.publish(1), PublishRefusal.OLD_SEQUENCE)
         self.assertIs(self.publish(0), PublishRefusal.BAD_SEQUENCE)
-        self.assertEqual(self.store.mark(PLAN), publication_mark(self.token, 2))
+        self.assertEqual(self.store.version(PLAN), publication_version(self.token, 2))
 
 
 def decision(counter: int, sequence: int) -> ttypes.DecisionRecord:
--- a/tests/test_once_front.py
+++ b/tests/test_once_front.py
@@ -17,7 +17,7 @@
 from rooklug.front.once_only.attempt import AttemptState
 from rooklug.front.once_only.attempt_book import AttemptBook
 from rooklug.front.once_only.claim_store import ClaimStore, claims_file
-from rooklug.front.once_only.once_part import OncePart
+from rooklug.front.once_only.once_only_component import OnceOnlyComponent
 from rooklug.front.once_only.outcome_memory import Outcome, OutcomeMemory
 from rooklug.front.once_only.shard_table import ShardTable
 from rooklug.front.once_only.store_state import (
@@ -71,17 +71,17 @@
             replicas=(),
         )
         context = ProcessContext("front-1", "i", Random(1), Identifiers())
-        self.part = OncePart(context, FakeLink(), AttemptBook("front-1", "i"))
+        self.component = OnceOnlyComponent(context, FakeLink(), AttemptBook("front-1", "i"))
         view = build_routing_view("front-1", "alexandria-a", "alexandria", sources)
-        self.part.handle(RoutingViewChanged(view), 0.0)
+        self.component.handle(RoutingViewChanged(view), 0.0)
 
     def head(self, headers: dict, body: bytes = b"") -> list:
         event = ev.HttpRequestArrived(1, "POST", "/v1/once", {}, headers, body, True)
-        return self.part.handle(event, 0.0)
+        return self.component.handle(event, 0.0)
 
     def body(self, data: bytes) -> list:
         self.head(HEADERS)
-        return self.part.handle(ev.HttpRequestBody(1, data), 0.0)
+        return self.component.handle(ev.HttpRequestBody(1, data), 0.0)
 
 
 class HeadTest(unittest.TestCase):
@@ -107,7 +107,7 @@
     def test_a_front_that_goes_sends_callers_on(self) -> None:
         self.assertEqual(Front([], frozenset({"alexandria-a"})).head(HEADERS)[0].status, 307)
         front = Front([])
-        front.part.handle(DrainingStarted(), 0.0)
+        front.component.handle(DrainingStarted(), 0.0)
         self.assertEqual(front.head(HEADERS)[0].status, 307)
 
     def test_faults_of_the_head(self) -> None:
@@ -136,7 +136,7 @@
 
     def test_before_the_first_configuration(self) -> None:
         context = ProcessContext("front-1", "i", Random(1), Identifiers())
-        part = OncePart(context, FakeLink(), AttemptBook("front-1", "i"))
+        part = OnceOnlyComponent(context, FakeLink(), AttemptBook("front-1", "i"))
         event = ev.HttpRequestArrived(1, "POST", "/v1/once", {}, HEADERS, b"", True)
         self.assertEqual(part.handle(event, 0.0)[0].status, 504)
 
--- a/tests/test_runtime_connect_deadlines.py
+++ b/tests/test_runtime_connect_timeouts.py
@@ -3,20 +3,20 @@
 import time
 import unittest
 
-from rooklug.runtime.addresses import ConnectFailed, connect_stream
-from rooklug.runtime.connect_deadlines import (
+from rooklug.runtime.addresses import ConnectError, connect_stream
+from rooklug.runtime.connect_timeouts import (
     FIRST_DEADLINE_S,
     LAST_DEADLINE_S,
-    ConnectDeadlines,
+    ConnectTimeouts,
 )
 
 
 class Deadlines(unittest.TestCase):
     def test_a_first_try_ends_before_the_kernel_sends_again(self):
-        self.assertLess(ConnectDeadlines().next("a:1"), 0.5)
+        self.assertLess(ConnectTimeouts().next("a:1"), 0.5)
 
     def test_each_failed_try_gives_the_next_one_more_time(self):
-        deadlines = ConnectDeadlines()
+        deadlines = ConnectTimeouts()
         seen = []
         for _ in range(6):
             seen.append(deadlines.next("a:1"))
@@ -26,7 +26,7 @@
         self.assertEqual(deadlines.next("b:1"), FIRST_DEADLINE_S)
 
     def test_a_connection_begins_anew(self):
-        deadlines = ConnectDeadlines()
+        deadlines = ConnectTimeouts()
         deadlines.failed("a:1")
         deadlines.connected("a:1")
         self.assertEqual(deadlines.next("a:1"), FIRST_DEADLINE_S)
@@ -41,6 +41,6 @@
                 client.connect_ex(listener.getsockname())
             ip, port = listener.getsockname()
             began = time.monotonic()
-            with self.assertRaises(ConnectFailed):
+            with self.assertRaises(ConnectError):
                 asyncio.run(connect_stream(f"{ip}:{port}", "", FIRST_DEADLINE_S))
             self.assertLess(time.monotonic() - began, 5.0)
--- a/tests/test_runtime_http.py
+++ b/tests/test_runtime_http.py
@@ -37,7 +37,7 @@
         return []
     if event.path.startswith("/stream"):
         last = fx.HttpStreamAbort if event.path == "/stream/broken" else fx.HttpStreamEnd
-        pieces = [fx.HttpStreamPiece(request_id, b"%d\n" % number) for number in range(3)]
+        pieces = [fx.HttpStreamChunk(request_id, b"%d\n" % number) for number in range(3)]
         return [fx.HttpStreamStart(request_id, 200), *pieces, last(request_id)]
     return [fx.HttpRespond(request_id, 200, event.body, {"x-query": json.dumps(event.query)})]
 
@@ -72,14 +72,14 @@
 
     async def test_stream_ends_properly(self) -> None:
         self.call(1, "/stream", streaming=True)
-        await self.caller.wait_for(ev.HttpResponseEnded, call_id=1)
+        await self.caller.wait_for(ev.HttpResponseCompleted, call_id=1)
         self.assertEqual(self._pieces(), b"0\n1\n2\n")
 
     async def test_broken_stream_is_no_end(self) -> None:
         self.call(1, "/stream/broken", streaming=True)
         failed = await self.caller.wait_for(ev.HttpFailed, call_id=1)
         self.assertNotEqual(failed.send_state, SendState.NOT_SENT)
-        self.assertEqual(self.caller.of_type(ev.HttpResponseEnded), [])
+        self.assertEqual(self.caller.of_type(ev.HttpResponseCompleted), [])
 
     async def test_answer_from_the_head_leaves_small_and_large_bodies_unread(self) -> None:
         for number, size in enumerate((0, 10, 200_000, 7_000_000)):
@@ -136,7 +136,7 @@
         self.assertIn(b"rooklug_events_total", answer.body)
 
     def _pieces(self) -> bytes:
-        return b"".join(event.data for event in self.caller.of_type(ev.HttpBodyPiece))
+        return b"".join(event.data for event in self.caller.of_type(ev.HttpBodyChunk))
 
 
 class RawCallerTest(HttpCase):
@@ -182,9 +182,9 @@
                     1, source_host.http_address, "GET", "/", b"", 60.0, streaming=True
                 )
                 return [fx.HttpStreamStart(event.request_id, 200), call]
-            if isinstance(event, ev.HttpBodyPiece):
-                return [fx.HttpStreamPiece(self.caller_request, event.data)]
-            if isinstance(event, ev.HttpResponseEnded):
+            if isinstance(event, ev.HttpBodyChunk):
+                return [fx.HttpStreamChunk(self.caller_request, event.data)]
+            if isinstance(event, ev.HttpResponseCompleted):
                 return [fx.HttpStreamEnd(self.caller_request)]
             return []
 
@@ -193,14 +193,14 @@
         arrived = await source.wait_for(ev.HttpRequestArrived)
         obey(source_host, fx.HttpStreamStart(arrived.request_id, 200))
         for _ in range(12):
-            obey(source_host, fx.HttpStreamPiece(arrived.request_id, piece))
+            obey(source_host, fx.HttpStreamChunk(arrived.request_id, piece))
         obey(source_host, fx.HttpStreamEnd(arrived.request_id))
-        await self.server.wait_for(ev.HttpBodyPiece)
+        await self.server.wait_for(ev.HttpBodyChunk)
         exchange = self.server_host._http_port.exchanges[self.caller_request]
         async with asyncio.timeout(TEST_LIMIT_S):
             while exchange.room() is None:
                 await asyncio.sleep(0)
-        self.assertEqual(self.server.of_type(ev.HttpResponseEnded), [])
+        self.assertEqual(self.server.of_type(ev.HttpResponseCompleted), [])
         self.assertLess(exchange.unsent_bytes, 2 * len(piece))
         received = bytearray()
         while not received.endswith(b"\r\n0\r\n\r\n"):
@@ -211,7 +211,7 @@
         self.server.respond = lambda event: []
         await self.open_stream("/any")
         arrived = await self.server.wait_for(ev.HttpRequestArrived)
-        piece = fx.HttpStreamPiece(arrived.request_id, b"x" * 1024 * 1024)
+        piece = fx.HttpStreamChunk(arrived.request_id, b"x" * 1024 * 1024)
         obey(self.server_host, fx.HttpStreamStart(arrived.request_id, 200), *[piece] * 40)
         await self.server.wait_for(ev.HttpRequestClosed)
 
@@ -290,10 +290,10 @@
 
         address = await self.serve(answer)
         self.call(1, "/", method="GET", address=address, streaming=True)
-        piece = await self.caller.wait_for(ev.HttpBodyPiece, call_id=1)
+        piece = await self.caller.wait_for(ev.HttpBodyChunk, call_id=1)
         self.assertEqual(piece.data, b"abc")
         finished.set()
-        await self.caller.wait_for(ev.HttpResponseEnded, call_id=1)
+        await self.caller.wait_for(ev.HttpResponseCompleted, call_id=1)
 
     async def serve(self, handle) -> str:
         server = await asyncio.start_server(handle, "127.0.0.1", 0)
--- a/tests/test_sim_world.py
+++ b/tests/test_sim_world.py
@@ -89,7 +89,7 @@
                 request = event.request_id
                 return [
                     fx.HttpStreamStart(request, 200),
-                    fx.HttpStreamPiece(request, b"piece"),
+                    fx.HttpStreamChunk(request, b"piece"),
                     fx.HttpStreamAbort(request),
                 ]
             return []
@@ -100,7 +100,7 @@
         self.world.run_for(1.0)
         [failure] = self.client_reducer.seen(ev.HttpFailed)
         self.assertEqual(failure.send_state, ev.SendState.RESPONDING)
-        self.assertEqual(self.client_reducer.seen(ev.HttpResponseEnded), [])
+        self.assertEqual(self.client_reducer.seen(ev.HttpResponseCompleted), [])
         [arrived] = self.server_reducer.seen(ev.HttpRequestArrived)
         self.assertEqual((arrived.path, arrived.query), ("/x", {"a": "1"}))
 
@@ -120,7 +120,7 @@
             self.world.network.heal([THERE], [HERE])
             self.send_pieces(arrived.request_id, ("e", "f"))
             self.world.run_for(3.0)
-            pieces = b"".join(p.data for p in self.client_reducer.seen(ev.HttpBodyPiece))
+            pieces = b"".join(p.data for p in self.client_reducer.seen(ev.HttpBodyChunk))
             self.assertTrue(b"abcdef".startswith(pieces), pieces)
             broken = len(self.client_reducer.seen(ev.HttpFailed))
             self.assertEqual(pieces == b"abcdef", broken == 0)
@@ -129,7 +129,7 @@
 
     def send_pieces(self, request_id: int, texts: tuple[str, ...]) -> None:
         for text in texts:
-            piece = fx.HttpStreamPiece(request_id, text.encode())
+            piece = fx.HttpStreamChunk(request_id, text.encode())
             self.world.http.serve(self.server, piece)
 
     def test_killed_server_resets_the_connection(self) -> None:
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -11,7 +11,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from rooklug.storage.folder import PROBLEM_BLANK, PROBLEM_DAMAGED, FileBroken, open_folder
+from rooklug.storage.folder import PROBLEM_BLANK, PROBLEM_DAMAGED, BrokenFileError, open_folder
 from rooklug.storage.records import HEADER_BYTES, encode_record, encode_records, read_records
 
 PAYLOADS = (b"first", b"", b"\0" * 9, bytes(range(256)), b"last")
@@ -32,7 +32,7 @@
             whole = sum(end <= length for end in ends) - 1
             self.assertEqual(result.payloads, PAYLOADS[:whole])
             self.assertEqual(
-                (result.whole_bytes, result.torn_bytes + ends[whole]), (ends[whole], length)
+                (result.valid_bytes, result.torn_bytes + ends[whole]), (ends[whole], length)
             )
 
     def test_every_wrong_byte_is_damage_never_a_skip(self) -> None:
@@ -60,7 +60,7 @@
     @given(st.binary(max_size=300))
     def test_garbage_never_raises(self, data: bytes) -> None:
         result = read_records(data)
-        self.assertTrue(result.is_error() or result.ok.whole_bytes <= len(data))
+        self.assertTrue(result.is_error() or result.ok.valid_bytes <= len(data))
 
     def test_header_size(self) -> None:
         self.assertEqual(HEADER_BYTES, 8)
@@ -197,7 +197,7 @@
         folder, contents = self.opened()
         self.assertTrue(contents.problem.startswith(PROBLEM_DAMAGED))
         self.assertEqual(contents.records, {"other": (b"x",)})
-        with self.assertRaises(FileBroken):
+        with self.assertRaises(BrokenFileError):
             folder.append("log", [b"third"])
         folder.rewrite("log", [b"new"])
         folder.append("log", [b"third"])
@@ -225,7 +225,7 @@
         folder.append("log", [b"a"])
         with mock.patch("os.fdatasync", side_effect=OSError(5, "EIO")), self.assertRaises(OSError):
             folder.sync("log")
-        with self.assertRaises(FileBroken):
+        with self.assertRaises(BrokenFileError):
             folder.append("log", [b"b"])
         folder.rewrite("log", [b"a", b"b"])
         folder.append("log", [b"c"])
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -8,9 +8,9 @@
 from pathlib import Path
 from random import Random
 
-from rooklug.core.build import build_core_parts
+from rooklug.core.build import build_core_components
 from rooklug.core.disk import Disk
-from rooklug.core.node import ControlStatePart
+from rooklug.core.node import ControlStateComponent
 from rooklug.core.outbox import Outbox
 from rooklug.core.store import CopyStore
 from rooklug.engine import events as ev
@@ -81,10 +81,10 @@
         shutil.copytree(FOLDERS, self.folder, dirs_exist_ok=True)
         for core_id in FOUNDERS_LEFT:
             with self.subTest(core_id):
-                part = self._started(core_id)
-                self._check(part, core_id)
+                component = self._started(core_id)
+                self._check(component, core_id)
 
-    def _started(self, core_id: str) -> ControlStatePart:
+    def _started(self, core_id: str) -> ControlStateComponent:
         folder, found = open_folder(str(self.folder / core_id), core_id).ok
         folder.close()
         self.assertEqual("", found.problem)
@@ -101,21 +101,21 @@
         )
         settings = CoreSettings(node, {seed: ADDRESSES[seed] for seed in CORE_IDS})
         context = ProcessContext(core_id, "again", Random(1), Identifiers(itertools.count(1)))
-        (part,) = build_core_parts(settings, context, STAND_IN_CHECKER)
-        part.handle(ev.Started(found.records, found.disk_identity, found.problem), 0.0)
-        return part
+        (component,) = build_core_components(settings, context, STAND_IN_CHECKER)
+        component.handle(ev.Started(found.records, found.disk_identity, found.problem), 0.0)
+        return component
 
-    def _check(self, part: ControlStatePart, core_id: str) -> None:
-        state = part.store.state
+    def _check(self, component: ControlStateComponent, core_id: str) -> None:
+        state = component.store.state
         self.assertEqual(COMMITTED_VERSION, state.version)
         self.assertEqual(b"{3}", state.configuration.document)
         self.assertEqual([1, 2, 3], sorted(state.changes))
         base = COMPACTED_AT[core_id]
-        self.assertEqual(base, part.store.log.base.sequence, "the log was compacted")
-        entries = [_version_and_document(entry) for entry in part.store.log.entries]
+        self.assertEqual(base, component.store.log.base.sequence, "the log was compacted")
+        entries = [_version_and_document(entry) for entry in component.store.log.entries]
         after = range(base + 1, NEWEST_VERSION + 1)
         self.assertEqual([(version, b"{%d}" % version) for version in after], entries)
-        witness = part.witness.state
+        witness = component.witness.state
         self.assertTrue(witness.voting)
         self.assertEqual(core_id, witness.own.core_id)
         self.assertEqual(MEMBERS, set(witness.view.member_ids))
--- a/tests/test_marks.py
+++ b/tests/test_versions.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from rooklug.model.marks import is_newer
+from rooklug.model.versions import is_newer
 from rooklug.wire.generated.control.ttypes import VersionMark
 
 
