--- a/rooklug/controller/fleet_state.py
+++ b/rooklug/controller/fleet_state.py
@@ -112,7 +112,7 @@
     """All listed model replicas, by id."""
 
     replicas: dict[str, Replica] = attrs.field(factory=dict)
-    emptied_zones: frozenset[str] = frozenset()
+    drained_zones: frozenset[str] = frozenset()
     listed_once: bool = False
     bad_reports: int = 0
     _remembered: dict[str, LoadedReplica] = attrs.field(factory=dict)
@@ -187,17 +187,17 @@
             replica
             for replica in self.replicas.values()
             if not replica.listed.leaving
-            and replica.listed.zone not in self.emptied_zones
+            and replica.listed.zone not in self.drained_zones
             and replica.known
             and replica.verdict is not Verdict.DEAD
         ]
 
-    def in_emptied_zones(self) -> list[str]:
+    def in_drained_zones(self) -> list[str]:
         """Return the replicas in emptied zones."""
         return [
             replica_id
             for replica_id, replica in self.replicas.items()
-            if replica.listed.zone in self.emptied_zones
+            if replica.listed.zone in self.drained_zones
         ]
 
     def unresolved(self) -> list[str]:
--- a/rooklug/controller/placer_term.py
+++ b/rooklug/controller/placer_term.py
@@ -128,12 +128,12 @@
 
     def _take_zones(self, body: ZonesBody, now: float) -> list[fx.Effect]:
         zones = frozenset(body.emptied_zones)
-        for zone in sorted(zones - self.fleet.emptied_zones):
+        for zone in sorted(zones - self.fleet.drained_zones):
             self._trigger.note(f"zone {zone} emptied", now)
-        for zone in sorted(self.fleet.emptied_zones - zones):
+        for zone in sorted(self.fleet.drained_zones - zones):
             self._trigger.note(f"zone {zone} restored", now)
-        self.fleet.emptied_zones = zones
-        return self._withdraw_orders(self.fleet.in_emptied_zones())
+        self.fleet.drained_zones = zones
+        return self._withdraw_orders(self.fleet.in_drained_zones())
 
     def demand_report(self, report: DemandReport, now: float) -> None:
         """Take a front's demand and what it saw of the replicas."""
--- a/rooklug/core/control_state.py
+++ b/rooklug/core/control_state.py
@@ -37,7 +37,7 @@
         self.document_digest = ""
         self.changes: dict[int, bytes] = {}
         self.operations: dict[str, ZoneChange] = {}
-        self.emptied_zones: frozenset[str] = frozenset()
+        self.drained_zones: frozenset[str] = frozenset()
         self.zones_position: Position = START
 
     @property
@@ -73,7 +73,7 @@
 
     def zones_body(self) -> ZonesBody:
         """Return the emptied zones."""
-        return ZonesBody(emptied_zones=sorted(self.emptied_zones))
+        return ZonesBody(emptied_zones=sorted(self.drained_zones))
 
     def snapshot_parts(self) -> list[LogRecord]:
         """Return records that rebuild this state, each of bounded size."""
@@ -93,7 +93,7 @@
             )
         parts.append(
             SnapshotPart(
-                emptied_zones=sorted(self.emptied_zones),
+                emptied_zones=sorted(self.drained_zones),
                 zones_position=position_to_wire(self.zones_position),
             )
         )
@@ -107,7 +107,7 @@
         if part.configuration is not None:
             self._set_configuration(part.configuration, part.configuration_epoch or 0)
         if part.zones_position is not None:
-            self.emptied_zones = frozenset(part.emptied_zones or ())
+            self.drained_zones = frozenset(part.emptied_zones or ())
             self.zones_position = position_from_wire(part.zones_position)
 
     def _set_configuration(self, change: ConfigurationChange, epoch: int) -> None:
@@ -118,9 +118,9 @@
     def _set_zone(self, change: ZoneChange) -> None:
         self.operations[change.operation_id] = change
         if change.emptied:
-            self.emptied_zones |= {change.zone}
+            self.drained_zones |= {change.zone}
         else:
-            self.emptied_zones -= {change.zone}
+            self.drained_zones -= {change.zone}
         self.zones_position = self.position
 
 
--- a/rooklug/core/leader.py
+++ b/rooklug/core/leader.py
@@ -57,9 +57,9 @@
         changer: ViewChanger,
         on_committed: Callable[[float], None],
         on_stopped: Callable[[float], None],
-        minimum_copies: int,
+        min_in_sync_replicas: int,
     ) -> None:
-        self._minimum_copies = minimum_copies
+        self._min_in_sync_replicas = min_in_sync_replicas
         self._peers = peers
         self._outbox = outbox
         self._witness = witness
@@ -113,7 +113,7 @@
 
     def copies_needed(self) -> int:
         """Return how many disks must hold a change before it is acknowledged."""
-        return min(self._minimum_copies, len(self._peers.members_of(self.view)))
+        return min(self._min_in_sync_replicas, len(self._peers.members_of(self.view)))
 
     def may_append(self, now: float) -> bool:
         """Tell whether a new change may be appended at this moment."""
--- a/rooklug/core/node.py
+++ b/rooklug/core/node.py
@@ -85,7 +85,7 @@
             self.changer,
             self._on_committed,
             self._on_stopped,
-            settings.minimum_copies,
+            settings.min_in_sync_replicas,
         )
         self.backup = Backup(
             self.outbox, self.witness, self.store, self._on_heard, self._on_diverged
--- a/rooklug/front/decision.py
+++ b/rooklug/front/decision.py
@@ -174,7 +174,7 @@
     def _leave_front(self, route: Route, now: float) -> GoTo | Refuse | None:
         """Send away new requests while draining or in an emptied zone; None: carry on."""
         view = self._keeper.view
-        if not self.draining and not view.own_zone_emptied:
+        if not self.draining and not view.own_zone_drained:
             return None
         homes = route.home_regions
         front = self._another_front((view.own_region,)) or self._another_front(homes)
--- a/rooklug/front/once_only/once_decision.py
+++ b/rooklug/front/once_only/once_decision.py
@@ -55,7 +55,7 @@
             if not fronts:
                 return _refusal("no_home", "no front in the route's home regions is ready")
             return GoTo(self._random.choice(fronts))
-        if fronts and (self.draining or self.view.own_zone_emptied):
+        if fronts and (self.draining or self.view.own_zone_drained):
             return GoTo(self._random.choice(fronts))
         if active >= MAX_ACTIVE_ATTEMPTS:
             return _refusal("overloaded", "too many once-only requests wait here")
--- a/rooklug/front/readiness.py
+++ b/rooklug/front/readiness.py
@@ -59,7 +59,7 @@
             return "no configuration yet"
         if view.sources.replicas is None:
             return "no list of replicas yet"
-        if view.own_zone_emptied:
+        if view.own_zone_drained:
             return "zone emptied"
         return ""
 
--- a/rooklug/front/routing_view.py
+++ b/rooklug/front/routing_view.py
@@ -78,7 +78,7 @@
 
     configuration: Configuration | None = None
     configuration_version: int = 0
-    emptied_zones: frozenset[str] = frozenset()
+    drained_zones: frozenset[str] = frozenset()
     nodes: tuple[NodeRecord, ...] = ()
     replicas: tuple[ListedReplica, ...] | None = None
     plan: PlanBody | None = None
@@ -112,9 +112,9 @@
         return self.sources.plan is not None
 
     @property
-    def own_zone_emptied(self) -> bool:
+    def own_zone_drained(self) -> bool:
         """Whether the operators have emptied this front's zone."""
-        return self.own_zone in self.sources.emptied_zones
+        return self.own_zone in self.sources.drained_zones
 
     def route(self, name: str) -> Route | None:
         """Return the route of that name."""
--- a/rooklug/front/view_building.py
+++ b/rooklug/front/view_building.py
@@ -42,7 +42,7 @@
         return regions.get(of_zone, "") or otherwise
 
     known = _Unchanged(previous, sources)
-    same_serving = known("configuration", "emptied_zones", "replicas", "plan")
+    same_serving = known("configuration", "drained_zones", "replicas", "plan")
     listed = () if same_serving else _listed(sources)
     return RoutingView(
         own_node_id=node_id,
@@ -50,7 +50,7 @@
         own_region=region_of(zone, fallback_region),
         sources=sources,
         fronts=previous._fronts
-        if known("configuration", "emptied_zones", "nodes")
+        if known("configuration", "drained_zones", "nodes")
         else _fronts(sources, region_of),
         serving=previous._serving
         if same_serving
@@ -81,7 +81,7 @@
     return [
         replica
         for replica in sorted(sources.replicas or (), key=lambda entry: entry.replica_id)
-        if not replica.leaving and replica.zone not in sources.emptied_zones
+        if not replica.leaving and replica.zone not in sources.drained_zones
     ]
 
 
@@ -92,7 +92,7 @@
         if node.role == FRONT_ROLE
         and node.ready
         and not node.draining
-        and node.zone not in sources.emptied_zones
+        and node.zone not in sources.drained_zones
     )
 
 
--- a/rooklug/front/view_keeper.py
+++ b/rooklug/front/view_keeper.py
@@ -61,7 +61,7 @@
             return self._take_configuration(body)
         if topic == topics.ZONES:
             zones = frozenset(body.emptied_zones)
-            self._sources = attrs.evolve(self._sources, emptied_zones=zones)
+            self._sources = attrs.evolve(self._sources, drained_zones=zones)
         elif topic == topics.MEMBERS:
             self._sources = attrs.evolve(self._sources, nodes=tuple(body.nodes))
         elif topic == topics.REPLICAS:
--- a/rooklug/gateway/region_problem.py
+++ b/rooklug/gateway/region_problem.py
@@ -43,7 +43,7 @@
 
     configuration: GatewayConfiguration
     replicas: tuple[ListedReplica, ...]
-    emptied_zones: frozenset[str]
+    drained_zones: frozenset[str]
     read_tokens_per_s: float | None = None
 
     def problem(self, measured: MeasuredLoads) -> PlacementProblem:
@@ -51,7 +51,7 @@
         usable = [
             replica
             for replica in self.replicas
-            if not replica.leaving and replica.zone not in self.emptied_zones
+            if not replica.leaving and replica.zone not in self.drained_zones
         ]
         regions = sorted({replica.region for replica in self.replicas})
         services = [
--- a/rooklug/gateway/view.py
+++ b/rooklug/gateway/view.py
@@ -37,7 +37,7 @@
     configuration: GatewayConfiguration | None = None
     replicas: dict[str, tuple[GatewayReplica, ...]] = attrs.field(factory=dict)
     is_listed: bool = False
-    emptied_zones: frozenset[str] = frozenset()
+    drained_zones: frozenset[str] = frozenset()
     fronts: tuple[NodeRecord, ...] = ()
     core_machines: frozenset[str] = frozenset()
     matrix: dict[MatrixKey, tuple[RegionShare, ...]] = attrs.field(factory=dict)
@@ -49,7 +49,7 @@
             replica
             for replica in self.replicas.get(service, ())
             if not replica.leaving
-            and replica.zone not in self.emptied_zones
+            and replica.zone not in self.drained_zones
             and (not homes or replica.region in homes)
         ]
 
--- a/rooklug/gateway/view_keeper.py
+++ b/rooklug/gateway/view_keeper.py
@@ -60,13 +60,13 @@
 
     def _take_zones(self, body: ZonesBody, now: float) -> list[fx.Effect]:
         emptied = frozenset(body.emptied_zones)
-        for zone in self.view.emptied_zones - emptied:
+        for zone in self.view.drained_zones - emptied:
             self._restored_until[zone] = now + RESTORED_COLD_S
         replicas = {
             service: tuple(self._with_cold(replica, now) for replica in found)
             for service, found in self.view.replicas.items()
         }
-        self.view = attrs.evolve(self.view, emptied_zones=emptied, replicas=replicas)
+        self.view = attrs.evolve(self.view, drained_zones=emptied, replicas=replicas)
         return []
 
     def _take_members(self, body: MembersBody, now: float) -> list[fx.Effect]:
--- a/rooklug/membership/core_view.py
+++ b/rooklug/membership/core_view.py
@@ -23,7 +23,7 @@
     store: TopicStore = attrs.field(factory=TopicStore)
     members: MembersTopic = attrs.field(factory=MembersTopic)
     decisions: DecisionStream = attrs.field(factory=DecisionStream)
-    emptied_zones: frozenset[str] = frozenset()
+    drained_zones: frozenset[str] = frozenset()
     hub: Hub = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
@@ -35,7 +35,7 @@
 
     def move_roles(self, now: float) -> list[fx.Effect]:
         """Choose nodes for the roles that need one, and ask them to renew."""
-        self.roles.plan(self.leases.live(), self.emptied_zones, now)
+        self.roles.plan(self.leases.live(), self.drained_zones, now)
         return self.ask_to_renew(now)
 
     def ask_to_renew(self, now: float) -> list[fx.Effect]:
--- a/rooklug/membership/lease_service.py
+++ b/rooklug/membership/lease_service.py
@@ -34,7 +34,7 @@
             return [fx.Answer(event.call_id, view.renewal_answer(False, 0, [], now))]
         view.roles.take_renewal(request, now)
         if outcome is RenewalOutcome.CHANGED:
-            view.roles.plan(view.leases.live(), view.emptied_zones, now)
+            view.roles.plan(view.leases.live(), view.drained_zones, now)
         grants, owners_changed = view.roles.grants_for(request, now)
         answer = view.renewal_answer(True, _LEASE_MS, grants, now)
         effects: list[fx.Effect] = [fx.Answer(event.call_id, answer)]
--- a/rooklug/membership/membership_component.py
+++ b/rooklug/membership/membership_component.py
@@ -174,7 +174,7 @@
     def _take_zones(self, event: internal.ZonesCommitted, now: float) -> list[fx.Effect]:
         view = self.view
         if view.store.offer(ZONES, event.version, encode(event.body)):
-            view.emptied_zones = frozenset(event.body.emptied_zones)
+            view.drained_zones = frozenset(event.body.emptied_zones)
         if not view.acts(now):
             return []
         return view.wake(now) + view.move_roles(now)
@@ -219,7 +219,7 @@
         body = ttypes.MembersBody([], [])
         if view.acts(now):
             body = members_body(view.leases, view.roles)
-        zones = sorted(view.emptied_zones)
+        zones = sorted(view.drained_zones)
         answer = ttypes.ReadStatusAnswer(self._status, body.nodes, body.role_owners, zones)
         return [fx.Answer(event.call_id, answer)]
 
--- a/rooklug/membership/role_planning.py
+++ b/rooklug/membership/role_planning.py
@@ -61,7 +61,7 @@
 def plan_group(
     states: Sequence[RoleState],
     members: Sequence[NodeRecord],
-    emptied_zones: frozenset[str],
+    drained_zones: frozenset[str],
     rebalance: bool,
 ) -> None:
     """Choose nodes for the roles of one group among its live ``members``.
@@ -69,7 +69,7 @@
     ``rebalance``: one role may move although its holder could go on.
     """
     ready = [node for node in members if node.ready]
-    staying = [node for node in ready if not is_going(node, emptied_zones)]
+    staying = [node for node in ready if not is_going(node, drained_zones)]
     candidates = staying or ready
     live = {identity_of(node): node for node in members}
     candidate_ids = {node.node_id for node in candidates}
@@ -78,7 +78,7 @@
             state.chosen = ""
         holder = live.get(state.holder) if state.holder else None
         if holder is not None:
-            leaves = bool(staying) and is_going(holder, emptied_zones)
+            leaves = bool(staying) and is_going(holder, drained_zones)
             state.revoked = leaves or (state.revoked and state.chosen != "")
     _choose_for_vacant(states, candidates, live)
     if rebalance:
--- a/rooklug/membership/roles.py
+++ b/rooklug/membership/roles.py
@@ -172,7 +172,7 @@
         nodes = {state.node_to_ask(now) for state in self._states.values()}
         return sorted(nodes - {""})
 
-    def plan(self, nodes: Sequence[NodeRecord], emptied_zones: frozenset[str], now: float) -> None:
+    def plan(self, nodes: Sequence[NodeRecord], drained_zones: frozenset[str], now: float) -> None:
         """Choose a node for each role without one, and let roles of going nodes move."""
         if now < self.announced_until:
             return
@@ -181,4 +181,4 @@
             self._next_rebalance = now + REBALANCE_INTERVAL_S
         for group, states in self._groups.items():
             members = [node for node in nodes if node.role == group]
-            plan_group(states, members, emptied_zones, rebalance)
+            plan_group(states, members, drained_zones, rebalance)
--- a/rooklug/membership/selection.py
+++ b/rooklug/membership/selection.py
@@ -33,9 +33,9 @@
         return cls(by_node, by_zone)
 
 
-def is_going(node: NodeRecord, emptied_zones: frozenset[str]) -> bool:
+def is_going(node: NodeRecord, drained_zones: frozenset[str]) -> bool:
     """Tell whether a node drains, by its own word or because its zone is emptied."""
-    return node.draining or node.zone in emptied_zones
+    return node.draining or node.zone in drained_zones
 
 
 def choose_node(
--- a/rooklug/model/__init__.py
+++ b/rooklug/model/__init__.py
@@ -1,1 +1,4 @@
-"""Typed values that several roles share."""
+"""Values that several packages share: settings, topics, versions, internal events, constants.
+
+May import ``engine`` and the generated structs of ``wire``.
+"""
--- a/rooklug/model/internal_events.py
+++ b/rooklug/model/internal_events.py
@@ -1,4 +1,4 @@
-"""Messages between the parts of one process."""
+"""Internal events that components of several packages send each other."""
 
 from typing import Any
 
@@ -16,14 +16,14 @@
 
 @attrs.frozen
 class PrimaryStarted(InternalEvent):
-    """This core has become the primary of ``epoch`` and has committed what it found."""
+    """This core has become the primary of ``epoch`` and has committed its whole log."""
 
     epoch: int
 
 
 @attrs.frozen
 class PrimaryLeaseExtended(InternalEvent):
-    """This primary may act until monotonic time ``until`` (counted from the send)."""
+    """This primary's lease lasts until monotonic time ``until``, in seconds of its own clock."""
 
     epoch: int
     until: float
@@ -31,14 +31,14 @@
 
 @attrs.frozen
 class PrimaryStopped(InternalEvent):
-    """This core is the primary no more."""
+    """This core has lost or given up its leadership."""
 
     reason: str
 
 
 @attrs.frozen
 class PrimaryKnown(InternalEvent):
-    """Where the primary is, as far as this core knows ("" while unknown)."""
+    """The primary's internal address as far as this core knows, "" while unknown."""
 
     epoch: int
     address: str
@@ -54,7 +54,7 @@
 
 @attrs.frozen
 class ZonesCommitted(InternalEvent):
-    """The set of emptied zones changed; ``version`` is (epoch, sequence)."""
+    """The set of drained zones has changed; ``version`` is (epoch, sequence)."""
 
     version: VersionMark
     body: ZonesBody
@@ -62,10 +62,10 @@
 
 @attrs.frozen
 class TopicOffered(InternalEvent):
-    """A part of the primary itself has made a topic; ``body`` is a thrift struct.
+    """A component of the primary itself publishes a topic; ``body`` is a thrift struct.
 
-    ``sequence`` grows with each offer of the part in this process. The primary's lease is
-    what makes the part the only one: no grant is needed.
+    ``sequence`` grows with each publication of the component in this process. The primary's
+    lease makes the component the only publisher, so no role grant is needed.
     """
 
     topic: str
@@ -76,7 +76,7 @@
 
 @attrs.frozen
 class CoresChanged(InternalEvent):
-    """The cores that vote are at these internal addresses now."""
+    """The internal addresses of the cores that vote, once they have changed."""
 
     addresses: tuple[str, ...]
 
@@ -90,7 +90,7 @@
 
 @attrs.frozen
 class TopicChanged(InternalEvent):
-    """A node holds a newer body of a topic. ``body`` is the decoded thrift struct."""
+    """This node has received a newer body of a topic; ``body`` is the decoded thrift struct."""
 
     topic: str
     version: VersionMark
@@ -99,6 +99,6 @@
 
 @attrs.frozen
 class GrantsChanged(InternalEvent):
-    """The set of roles this node holds changed. Check ``CoreLink.grant`` before acting."""
+    """The roles granted to this node have changed; check ``CoreLink.grant`` before acting."""
 
     grants: tuple[RoleGrant, ...]
--- a/rooklug/model/settings.py
+++ b/rooklug/model/settings.py
@@ -33,7 +33,7 @@
 
     ``members``: the cores that form the first view, by id and internal address (a later core
     finds the others through them). ``first_start``: whether a first view may be formed at all.
-    ``minimum_copies``: so many disks must hold a change before it is acknowledged.
+    ``min_in_sync_replicas``: number of disks that must have a change before it is acknowledged.
     ``exits_on_failed_write``: a supervisor starts the process again, so that a disk that was
     full for a while doesn't cost the core for good.
     """
@@ -41,5 +41,5 @@
     node: NodeSettings
     members: dict[str, str]
     first_start: bool = True
-    minimum_copies: int = 2
+    min_in_sync_replicas: int = 2
     exits_on_failed_write: bool = False
--- a/rooklug/model/topics.py
+++ b/rooklug/model/topics.py
@@ -16,5 +16,5 @@
 PROBER_SHARDS = 4
 CLAIM_SHARDS = 16
 
-# Which role may publish a topic.
 PUBLISHERS = {REPLICAS: ROLE_PLATFORM_WATCHER, PLAN: ROLE_PLACER}
+"""The role that may publish a topic; the primary itself publishes the others."""
--- a/rooklug/runtime/addresses.py
+++ b/rooklug/runtime/addresses.py
@@ -11,7 +11,7 @@
 
 
 class ConnectError(Exception):
-    """The connection was never established: not one byte was written."""
+    """The connection was never established: no byte of the request was written."""
 
 
 def split_address(address: str) -> tuple[str, int]:
@@ -30,7 +30,7 @@
 
 
 def bound_address(sockets: list[socket.socket]) -> str:
-    """Return "ip:port" of the first listening socket, "" without one."""
+    """Return "ip:port" of the first listening socket, "" if there is none."""
     if not sockets:
         return ""
     ip, port = sockets[0].getsockname()[:2]
--- a/rooklug/runtime/connect_timeouts.py
+++ b/rooklug/runtime/connect_timeouts.py
@@ -1,31 +1,32 @@
 """How long a connection to a peer may take to be established, in seconds.
 
-A first packet that is lost (a machine that is not up yet, a cut) is sent again by the kernel
-only after a second, so the first try is given up early and made anew. Each try that was given
-up doubles the time for the next one, so that a peer behind a slow link is still reached.
+A first packet that is lost (a machine that is not up yet, a partition) is sent again by the
+kernel only after a second, so the first attempt is given up early and repeated. Each attempt
+that timed out doubles the time for the next one, so that a peer behind a slow link is still
+reached.
 """
 
 import attrs
 
-FIRST_DEADLINE_S = 0.4
-LAST_DEADLINE_S = 3.2
+FIRST_TIMEOUT_S = 0.4
+MAX_TIMEOUT_S = 3.2
 _FACTOR = 2.0
 
 
 @attrs.define
 class ConnectTimeouts:
-    """The deadline of the next try, by address."""
+    """The timeout of the next attempt, by address."""
 
-    _longer: dict[str, float] = attrs.field(factory=dict)
+    _extended_s: dict[str, float] = attrs.field(factory=dict)
 
     def next(self, address: str) -> float:
-        """Return the deadline of a try that begins now."""
-        return self._longer.get(address, FIRST_DEADLINE_S)
+        """Return the timeout of an attempt that begins now, in seconds."""
+        return self._extended_s.get(address, FIRST_TIMEOUT_S)
 
     def failed(self, address: str) -> None:
-        """Give the next try more time."""
-        self._longer[address] = min(self.next(address) * _FACTOR, LAST_DEADLINE_S)
+        """Double the timeout of the next attempt."""
+        self._extended_s[address] = min(self.next(address) * _FACTOR, MAX_TIMEOUT_S)
 
     def connected(self, address: str) -> None:
-        """Begin anew with the first deadline."""
-        self._longer.pop(address, None)
+        """Return to the first timeout."""
+        self._extended_s.pop(address, None)
--- a/rooklug/runtime/disk.py
+++ b/rooklug/runtime/disk.py
@@ -1,4 +1,4 @@
-"""The disk thread: carries out writes in order, syncing together those that wait."""
+"""The disk thread: executes writes in order, one sync for all queued ones (group commit)."""
 
 import asyncio
 import queue
@@ -23,9 +23,9 @@
 
 
 class Disk:
-    """Obeys ``WriteRecords`` and ``RewriteFile``; the event loop never waits for it.
+    """Executes ``WriteRecords`` and ``RewriteFile``; the event loop never waits for it.
 
-    ``memory_only``: the machine has no disk, and what is written lasts as long as the process.
+    ``memory_only``: writes are acknowledged at once and nothing is stored.
     """
 
     def __init__(
@@ -63,26 +63,26 @@
             self._jobs.put(None)
 
     async def closed(self, limit_s: float) -> bool:
-        """Wait until the folder is closed, at most ``limit_s``; tell whether it is."""
+        """Wait up to ``limit_s`` seconds for the folder to close; return whether it did."""
         done, _ = await asyncio.wait([self._closed], timeout=limit_s)
         return bool(done)
 
     def _run(self) -> None:
         while True:
-            jobs = self._waiting_jobs()
-            self._carry_out([job for job in jobs if job is not None])
+            jobs = self._queued_jobs()
+            self._execute([job for job in jobs if job is not None])
             if None in jobs:
                 self._folder.close()
-                self._tell_loop(self._closed.set_result, None)
+                self._call_in_loop(self._closed.set_result, None)
                 return
 
-    def _waiting_jobs(self) -> list[_Job | None]:
+    def _queued_jobs(self) -> list[_Job | None]:
         jobs = [self._jobs.get()]
         while not self._jobs.empty():
             jobs.append(self._jobs.get())
         return jobs
 
-    def _carry_out(self, jobs: list[_Job]) -> None:
+    def _execute(self, jobs: list[_Job]) -> None:
         """Append all, each file synced once; a rewrite first syncs its file's appends."""
         appended: dict[str, list[_Job]] = {}
         for job in jobs:
@@ -128,10 +128,10 @@
         self._report(WriteFinished(job.effect.ticket, elapsed_s))
 
     def _report(self, event: Event) -> None:
-        self._tell_loop(self._deliver, event)
+        self._call_in_loop(self._deliver, event)
 
-    def _tell_loop(self, callback: Callable[[Any], None], argument: Any) -> None:
+    def _call_in_loop(self, callback: Callable[[Any], None], argument: Any) -> None:
         try:
             self._loop.call_soon_threadsafe(callback, argument)
-        except RuntimeError:  # the loop was closed: nobody listens any more
+        except RuntimeError:  # the loop is closed: the process is ending, nobody waits for it
             return
--- a/rooklug/runtime/event_queue.py
+++ b/rooklug/runtime/event_queue.py
@@ -1,4 +1,4 @@
-"""The queue of one host: events are handled one at a time, in the order of their coming."""
+"""The event queue of one host: events are handled one at a time, in order of arrival."""
 
 import asyncio
 from collections import deque
@@ -9,8 +9,8 @@
 from rooklug.engine.effects import Effect
 from rooklug.engine.events import Event
 
-# After so many events other tasks of the loop get their turn.
-_EVENTS_A_TURN = 64
+_EVENTS_PER_TURN = 64
+"""After so many events the loop runs its other tasks."""
 
 
 @attrs.frozen(eq=False)
@@ -28,8 +28,8 @@
     ) -> None:
         self._loop = loop
         self._handle = handle
-        self._waiting: deque[_QueuedEvent] = deque()
-        self._turn_planned = False
+        self._pending: deque[_QueuedEvent] = deque()
+        self._turn_scheduled = False
         self._closed = False
 
     def deliver(
@@ -43,29 +43,29 @@
         ``is_wanted`` is asked when its turn comes; an unwanted event is dropped. ``handled``
         gets the effects that it caused, none when it was dropped.
         """
-        self._waiting.append(_QueuedEvent(event, is_wanted, handled))
-        self._plan_turn()
+        self._pending.append(_QueuedEvent(event, is_wanted, handled))
+        self._schedule_turn()
 
     def close(self) -> None:
-        """Drop what waits, and all that comes."""
+        """Drop the pending events and all later ones."""
         self._closed = True
-        while self._waiting:
-            _tell(self._waiting.popleft(), [])
+        while self._pending:
+            _resolve(self._pending.popleft(), [])
 
-    def _plan_turn(self) -> None:
-        if not self._turn_planned:
-            self._turn_planned = True
+    def _schedule_turn(self) -> None:
+        if not self._turn_scheduled:
+            self._turn_scheduled = True
             self._loop.call_soon(self._take_turn)
 
     def _take_turn(self) -> None:
-        self._turn_planned = False
-        for _ in range(_EVENTS_A_TURN):
-            if not self._waiting:
+        self._turn_scheduled = False
+        for _ in range(_EVENTS_PER_TURN):
+            if not self._pending:
                 return
-            queued = self._waiting.popleft()
-            _tell(queued, self._effects_of(queued))
-        if self._waiting:
-            self._plan_turn()
+            queued = self._pending.popleft()
+            _resolve(queued, self._effects_of(queued))
+        if self._pending:
+            self._schedule_turn()
 
     def _effects_of(self, queued: _QueuedEvent) -> list[Effect]:
         if self._closed or not (queued.is_wanted is None or queued.is_wanted()):
@@ -73,6 +73,6 @@
         return self._handle(queued.event)
 
 
-def _tell(queued: _QueuedEvent, effects: list[Effect]) -> None:
+def _resolve(queued: _QueuedEvent, effects: list[Effect]) -> None:
     if queued.handled is not None and not queued.handled.done():
         queued.handled.set_result(effects)
--- a/rooklug/runtime/host.py
+++ b/rooklug/runtime/host.py
@@ -1,22 +1,24 @@
 """Drives one reducer over real sockets, disk and time.
 
-Many hosts may live in one process: nothing here is kept in modules.
+A host delivers events to its reducer one at a time and executes the effects in order. Many
+hosts may live in one process: no state is kept in modules.
 """
 
 import asyncio
 import socket
 import traceback
 from collections.abc import Awaitable, Callable
-from concurrent.futures import ThreadPoolExecutor
 from itertools import count
 from typing import Any, TextIO
 
 from tornado.netutil import bind_sockets
+from tornado.tcpserver import TCPServer
 
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
 from rooklug.engine.reducer import Reducer
 from rooklug.runtime.addresses import bound_address, split_address
+from rooklug.runtime.compute_pool import ComputePool
 from rooklug.runtime.disk import Disk
 from rooklug.runtime.event_queue import EventQueue
 from rooklug.runtime.http_client import HttpClient
@@ -34,9 +36,8 @@
 EXIT_BROKEN_INVARIANT = 70
 DEFAULT_STOP_GRACE_S = 30.0
 
-# Ids of arrivals, apart from the ids that a reducer issues itself.
 _FIRST_ARRIVAL_ID = 1 << 40
-_COMPUTE_THREADS = 2
+"""Ids of arriving requests start here, apart from the ids that a reducer issues itself."""
 _DISK_CLOSE_LIMIT_S = 5.0
 _FLUSH_LIMIT_S = 2.0
 _LISTEN_BACKLOG = 1024
@@ -51,13 +52,24 @@
 
 
 class Host:
-    """Delivers events to a reducer one at a time, and obeys its effects in order.
-
-    ``listen_*`` are "ip:port" ("" for none, port 0 for any free one); ``listeners`` are
-    further HTTP addresses by the name that their requests carry. ``memory_only``: without a
-    data folder, writes count as done; the state lasts as long as the process. ``await start()``,
-    then ``await stopped()`` returns the exit code. An exception of the reducer is a broken
-    invariant: it is logged, and the exit code is ``EXIT_BROKEN_INVARIANT``.
+    """Runs one reducer: ``await start()``, then ``await stopped()`` returns the exit code.
+
+    An exception of the reducer is a broken invariant: it is logged, and the exit code is
+    ``EXIT_BROKEN_INVARIANT``.
+
+    Parameters
+    ----------
+    listen_internal, listen_http
+        Addresses "ip:port" to listen on; "" for none, port 0 for any free one.
+    listeners
+        Further HTTP addresses, by the name that their requests carry.
+    bind_ip
+        Source address of outgoing connections, "" for any.
+    data_folder, memory_only
+        Where records are stored. Without a folder a write fails, unless ``memory_only``: then
+        it is acknowledged, and the state lasts as long as the process.
+    stop_grace_s
+        How long after ``request_stop`` a reducer that doesn't stop is stopped.
     """
 
     def __init__(
@@ -89,12 +101,12 @@
         self._stop_grace_s = stop_grace_s
         self._running = False
         self._stop_requested = False
-        self._figures = ProcessMetrics()
+        self._metrics = ProcessMetrics()
 
     @property
     def channel(self) -> ChannelMetrics:
         """The bytes on this host's internal channel."""
-        return self._figures.channel
+        return self._metrics.channel
 
     async def start(self) -> None:
         """Open the data folder and the ports, then deliver ``Started``.
@@ -110,21 +122,9 @@
         self._queue = EventQueue(self._loop, self._handle)
         self._deliver = self._queue.deliver
         self._exit_code: asyncio.Future[int] = self._loop.create_future()
-        arrivals = count(_FIRST_ARRIVAL_ID)
-        write_log = self.log.write
-        channel = self._figures.channel
-        self._timers = Timers(self._loop, self._timer_due)
-        self._calls_out = RpcClient(
-            self._loop, self._node_id, self._bind_ip, self._deliver, write_log, channel
-        )
-        self._calls_in = RpcServer(self._node_id, arrivals, self._deliver, write_log, channel)
-        self._http_client = HttpClient(self._loop, self._bind_ip, self._deliver_of_call, write_log)
-        self._http_port = HttpPort(
-            arrivals, self.reducer.head_first_paths, self._deliver, self._render_metrics
-        )
-        self._compute_pool: ThreadPoolExecutor | None = None
-        self._obey_by_type = self._effect_table()
         self._closing: asyncio.Task | None = None
+        self._build_drivers()
+        self._execute_by_type = self._effect_table()
         self._listen()
         try:
             contents = self._open_disk()
@@ -140,7 +140,7 @@
             return
         self._stop_requested = True
         self._deliver(ev.StopRequested())
-        self._loop.call_later(self._stop_grace_s, self._grace_over)
+        self._loop.call_later(self._stop_grace_s, self._on_grace_over)
 
     async def stopped(self) -> int:
         """Wait for the end; return the exit code."""
@@ -150,43 +150,62 @@
         return code
 
     def kill(self) -> None:
-        """End at once, as a crash would: nothing more is delivered or obeyed."""
+        """End at once, as a crash would: nothing more is delivered or executed."""
         self._stop(EXIT_OK)
 
+    def _build_drivers(self) -> None:
+        arrival_ids = count(_FIRST_ARRIVAL_ID)
+        write_log = self.log.write
+        channel = self._metrics.channel
+        self._timers = Timers(self._loop, self._on_timer_due)
+        self._compute_pool = ComputePool(self._loop, self._deliver)
+        self._rpc_client = RpcClient(
+            self._loop, self._node_id, self._bind_ip, self._deliver, write_log, channel
+        )
+        self._rpc_server = RpcServer(self._node_id, arrival_ids, self._deliver, write_log, channel)
+        self._http_client = HttpClient(self._loop, self._bind_ip, self._deliver_of_call, write_log)
+        self._http_port = HttpPort(
+            arrival_ids, self.reducer.head_first_paths, self._deliver, self._render_metrics
+        )
+
     # Events ---------------------------------------------------------------
 
     def _deliver_of_call(
         self, event: ev.Event, is_wanted: Callable[[], bool]
     ) -> Awaitable[None] | None:
-        """Deliver an HTTP call's event; a piece is over once its receivers have room."""
+        """Deliver an HTTP call's event.
+
+        The awaitable of a chunk ends once the streams that it was passed on to can take more:
+        a slow caller slows its replica down, instead of filling this process's memory.
+        """
         if not isinstance(event, ev.HttpBodyChunk):
             self._deliver(event, is_wanted)
             return None
         handled = self._loop.create_future()
         self._deliver(event, is_wanted, handled)
-        return self._wait_for_room(handled)
+        return self._wait_until_writable(handled)
 
-    async def _wait_for_room(self, handled: asyncio.Future) -> None:
+    async def _wait_until_writable(self, handled: asyncio.Future) -> None:
         for request_id in _streams_written(await handled):
-            room = self._http_port.room(request_id)
-            if room is not None:
-                await room
+            writable = self._http_port.writable(request_id)
+            if writable is not None:
+                await writable
 
-    def _timer_due(self, name: str, is_current: Callable[[], bool]) -> None:
+    def _on_timer_due(self, name: str, is_current: Callable[[], bool]) -> None:
         self._deliver(ev.TimerFired(name), is_current)
 
     def _handle(self, event: ev.Event) -> list[fx.Effect]:
-        self._figures.events_handled += 1
+        self._metrics.events_handled += 1
         try:
             effects = self.reducer.handle(event, self._loop.time())
             for effect in effects:
-                self._obey(effect)
-        except Exception:
-            self._broken_invariant(event)
+                self._execute(effect)
+        except Exception:  # whatever it is, this process's state can't be trusted any more
+            self._on_broken_invariant(event)
             return []
         return effects
 
-    def _broken_invariant(self, event: ev.Event) -> None:
+    def _on_broken_invariant(self, event: ev.Event) -> None:
         fields = {"event": type(event).__name__, "traceback": traceback.format_exc()}
         self.log.write("critical", "broken invariant", fields)
         self._stop(EXIT_BROKEN_INVARIANT)
@@ -197,67 +216,44 @@
         table: dict[type, Callable[[Any], None]] = {
             fx.StartTimer: self._timers.start,
             fx.CancelTimer: self._timers.cancel,
-            fx.Call: self._calls_out.start,
-            fx.Answer: self._calls_in.answer,
+            fx.Call: self._rpc_client.start,
+            fx.Answer: self._rpc_server.answer,
             fx.WriteRecords: lambda effect: self._disk.submit(effect),
             fx.RewriteFile: lambda effect: self._disk.submit(effect),
-            fx.Compute: self._compute,
+            fx.Compute: self._compute_pool.start,
             fx.HttpCall: self._http_client.start,
             fx.CancelHttpCall: lambda effect: self._http_client.cancel(effect.call_id),
             fx.Log: lambda effect: self.log.write(effect.level, effect.message, effect.fields),
             fx.StopProcess: self._stop_process,
         }
-        table.update(dict.fromkeys(SERVER_EFFECTS, self._http_port.obey))
+        table.update(dict.fromkeys(SERVER_EFFECTS, self._http_port.execute))
         return table
 
-    def _obey(self, effect: fx.Effect) -> None:
+    def _execute(self, effect: fx.Effect) -> None:
         if self._running:
-            self._obey_by_type[type(effect)](effect)
-
-    def _compute(self, effect: fx.Compute) -> None:
-        if self._compute_pool is None:
-            self._compute_pool = ThreadPoolExecutor(_COMPUTE_THREADS, "compute")
-        future = self._loop.run_in_executor(self._compute_pool, effect.function, effect.argument)
-        future.add_done_callback(lambda done: self._computed(effect.ticket, done))
-
-    def _computed(self, ticket: int, done: asyncio.Future) -> None:
-        if done.cancelled():
-            return
-        problem = done.exception()
-        if problem is None:
-            self._deliver(ev.Computed(ticket, done.result()))
-        else:
-            self._deliver(ev.Computed(ticket, None, f"{type(problem).__name__}: {problem}"))
+            self._execute_by_type[type(effect)](effect)
 
     def _stop_process(self, effect: fx.StopProcess) -> None:
         fields = {"reason": effect.reason, "exit_code": effect.exit_code}
-        self.log.write("info", "stops", fields)
+        self.log.write("info", "stopping", fields)
         self._stop(effect.exit_code, _FLUSH_LIMIT_S)
 
     def _render_metrics(self) -> bytes:
-        samples = [*self.reducer.metrics(self._loop.time()), *self._figures.samples()]
+        samples = [*self.reducer.metrics(self._loop.time()), *self._metrics.samples()]
         return render_metrics(samples)
 
     # Start and end --------------------------------------------------------
 
     def _listen(self) -> None:
         try:
-            self.internal_address = self._listen_on(self._calls_in, self._listen_internal)
-            self.http_address = self._listen_on(self._http_port.server, self._listen_http)
+            self.internal_address = _listen_on(self._rpc_server, self._listen_internal)
+            self.http_address = _listen_on(self._http_port.server, self._listen_http)
             for name, address in self._listeners.items():
-                self._listen_on(self._http_port.listener(name), address)
+                _listen_on(self._http_port.listener(name), address)
         except OSError:
-            self._calls_in.stop()
+            self._rpc_server.stop()
             raise
 
-    def _listen_on(self, server: Any, address: str) -> str:
-        if not address:
-            return ""
-        ip, port = split_address(address)
-        sockets = bind_sockets(port, ip, socket.AF_INET, _LISTEN_BACKLOG)
-        server.add_sockets(sockets)
-        return bound_address(sockets)
-
     def _open_disk(self) -> FolderContents:
         if not self._data_folder:
             self._disk = Disk(self._loop, None, self._deliver, self._memory_only)
@@ -269,9 +265,9 @@
         self._disk = Disk(self._loop, folder, self._deliver)
         return contents
 
-    def _grace_over(self) -> None:
+    def _on_grace_over(self) -> None:
         if self._running:
-            self.log.write("warning", "stopped at the end of the grace", {})
+            self.log.write("warning", "stopped at the end of the grace period", {})
             self._stop(EXIT_OK)
 
     def _stop(self, exit_code: int, flush_limit_s: float = 0.0) -> None:
@@ -279,11 +275,10 @@
             return
         self._running = False
         self._timers.close()
-        self._calls_out.close()
+        self._rpc_client.close()
         self._http_client.close()
         self._disk.close()
-        if self._compute_pool is not None:
-            self._compute_pool.shutdown(wait=False, cancel_futures=True)
+        self._compute_pool.close()
         self._queue.close()
         self._closing = self._loop.create_task(self._close(flush_limit_s))
         self._exit_code.set_result(exit_code)
@@ -293,14 +288,25 @@
         await self._http_port.flush(flush_limit_s)
         await self._close_ports()
         if not await self._disk.closed(_DISK_CLOSE_LIMIT_S):
-            self.log.write("error", "the disk didn't finish", {"limit_s": _DISK_CLOSE_LIMIT_S})
+            fields = {"limit_s": _DISK_CLOSE_LIMIT_S}
+            self.log.write("error", "the disk did not finish in time", fields)
 
     async def _close_ports(self) -> None:
-        self._calls_in.stop()
-        self._calls_in.close_connections()
+        self._rpc_server.stop()
+        self._rpc_server.close_connections()
         self._http_port.stop()
         await self._http_port.close()
 
 
+def _listen_on(server: TCPServer, address: str) -> str:
+    """Bind ``server`` to "ip:port"; return the address bound, "" without one."""
+    if not address:
+        return ""
+    ip, port = split_address(address)
+    sockets = bind_sockets(port, ip, socket.AF_INET, _LISTEN_BACKLOG)
+    server.add_sockets(sockets)
+    return bound_address(sockets)
+
+
 def _streams_written(effects: list[fx.Effect]) -> tuple[int, ...]:
     return tuple(effect.request_id for effect in effects if isinstance(effect, fx.HttpStreamChunk))
--- a/rooklug/runtime/http_client.py
+++ b/rooklug/runtime/http_client.py
@@ -1,4 +1,4 @@
-"""Outgoing HTTP calls over kept connections."""
+"""Outgoing HTTP calls over pooled connections."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -21,9 +21,9 @@
 _NO_BODY_STATUSES = (204, 304)
 _HEAD_METHOD = HTTPMethod.HEAD.value
 
-# Delivers an event about a call unless the call was cancelled meanwhile; the awaitable, if
-# any, ends once the receiver can take more.
 Deliver = Callable[[ev.Event, Callable[[], bool]], Awaitable[None] | None]
+"""Delivers an event about a call unless the call was cancelled meanwhile; the awaitable, if
+any, ends once the receiver can take more."""
 
 
 class _ClientConnection(HTTP1Connection):
@@ -49,12 +49,12 @@
         self._client = client
         self._send_state = ev.SendState.NOT_SENT
         self._stream: ClientStream | None = None
-        self._ended = False
+        self._finished = False
         self._cancelled = False
         self._status = 0
         self._headers: dict[str, str] = {}
         self._body: list[bytes] = []
-        self._whole = False
+        self._complete = False
         self._keep = False
         self._timers = [client.loop.call_later(effect.deadline_s, self._fail, "deadline")]
         if effect.first_byte_deadline_s > 0:
@@ -70,7 +70,7 @@
             await self._attempt()
         except ConnectError as problem:
             self._end(self._failure(str(problem)))
-        except Exception as problem:  # a fault of ours: the call still ends once
+        except Exception as problem:  # a fault of this program: the call must still end once
             self._fail(f"fault: {problem!r}")
             raise
 
@@ -108,7 +108,7 @@
         return None
 
     def finish(self) -> None:
-        """The message is over; one without a length is whole if its connection was closed."""
+        """The message is over; one without a length is complete if its connection was closed."""
         framed = (
             "content-length" in self._headers
             or "transfer-encoding" in self._headers
@@ -116,8 +116,8 @@
             or self.effect.method == _HEAD_METHOD
         )
         self._keep = self._keep and framed
-        self._whole = framed or (self._stream.closed() and self._stream.error is None)
-        if not self._whole:
+        self._complete = framed or (self._stream.closed() and self._stream.error is None)
+        if not self._complete:
             return
         self._end(self._success())
         if self._stream.writing():  # answered before the whole request was sent
@@ -162,7 +162,7 @@
         await connection.read_response(self)
 
     def _end_exchange(self) -> None:
-        if not self._whole:
+        if not self._complete:
             self._fail("the connection ended before the answer did")
         elif self._keep and not self._cancelled:
             idle_s = keep_alive_s(self._headers.get("keep-alive", ""))
@@ -192,13 +192,13 @@
         self._drop()
 
     def _end(self, event: ev.Event) -> None:
-        if self._ended:
+        if self._finished:
             return
         self._finish()
         self._deliver(event)
 
     def _finish(self) -> None:
-        self._ended = True
+        self._finished = True
         for timer in self._timers:
             timer.cancel()
         self._client.calls.pop(self.effect.call_id, None)
@@ -214,7 +214,7 @@
 
 
 class HttpClient:
-    """Obeys ``HttpCall`` and ``CancelHttpCall``."""
+    """Executes ``HttpCall`` and ``CancelHttpCall``."""
 
     def __init__(
         self,
@@ -242,7 +242,7 @@
             call.cancel()
 
     def close(self) -> None:
-        """Cancel every call and close kept connections."""
+        """Cancel every call and close the pooled connections."""
         for call in list(self.calls.values()):
             call.cancel()
         self.pool.close()
--- a/rooklug/runtime/http_exchange.py
+++ b/rooklug/runtime/http_exchange.py
@@ -4,39 +4,61 @@
 import json
 import socket
 from collections import deque
-from collections.abc import Awaitable
+from collections.abc import Awaitable, Callable, Iterator
 from http.client import responses
-from typing import TYPE_CHECKING
 from urllib.parse import parse_qsl
 
+import attrs
 from tornado import httputil
 
-from rooklug.engine.events import HttpRequestArrived, HttpRequestBody, HttpRequestClosed
+from rooklug.engine.events import Event, HttpRequestArrived, HttpRequestBody, HttpRequestClosed
 from rooklug.model.constants import MAX_REQUEST_BODY_BYTES
 from rooklug.runtime.metrics import CONTENT_TYPE
 
-if TYPE_CHECKING:
-    from rooklug.runtime.http_server import HttpPort
+HTTP_OK = 200
+HTTP_TOO_LARGE = 413
 
 METRICS_PATH = "/metrics"
 _DISCARDED_BODY_BYTES = 64 * 1024
 _DISCARD_BODY_S = 2.0
 _LINGER_S = 1.0
-# Above the first mark what feeds a stream should pause; at the second the caller is cut off.
 _HIGH_WATER_BYTES = 256 * 1024
+"""With more unsent bytes than this, whoever feeds a stream should wait (backpressure)."""
 _MAX_UNSENT_BYTES = 16 * 1024 * 1024
+"""With more unsent bytes than this, the caller's connection is closed."""
+
+
+@attrs.define(eq=False)
+class OpenExchanges:
+    """What the exchanges of one HTTP port share.
+
+    ``by_request_id``: exchanges that aren't answered yet; ``finishing``: answered, but not all
+    bytes written; ``lingering``: answered before the request was read, to be closed late.
+    """
+
+    identifiers: Iterator[int]
+    head_first_paths: tuple[str, ...]
+    deliver: Callable[[Event], None]
+    render_metrics: Callable[[], bytes]
+    by_request_id: dict[int, "HttpExchange"] = attrs.field(factory=dict)
+    finishing: set["HttpExchange"] = attrs.field(factory=set)
+    lingering: set["HttpExchange"] = attrs.field(factory=set)
 
 
 class HttpExchange(httputil.HTTPMessageDelegate):
-    """Reads a request, delivers its events, and writes what the reducer answers."""
+    """Reads a request, delivers its events, and writes what the reducer answers.
+
+    ``unsent_bytes`` of a streamed answer wait for the caller; ``written`` is done once the
+    whole answer has been written.
+    """
 
     def __init__(
-        self, port: "HttpPort", connection: httputil.HTTPConnection, listener: str = ""
+        self, exchanges: OpenExchanges, connection: httputil.HTTPConnection, listener: str = ""
     ) -> None:
         self._listener = listener
-        self.unsent_bytes = 0  # of a streamed answer, waiting for the caller
+        self.unsent_bytes = 0
         self.written: asyncio.Future | None = None
-        self._port = port
+        self._exchanges = exchanges
         self._connection = connection
         self._request_id = 0
         self._start: httputil.RequestStartLine | None = None
@@ -52,7 +74,7 @@
         self._writing = False
         self._writing_bytes = 0
         self._ending = False
-        self._room_waiters: list[asyncio.Future] = []
+        self._writable_waiters: list[asyncio.Future] = []
 
     # What the connection reports -----------------------------------------
 
@@ -62,22 +84,22 @@
         """Take the head; a withheld body is not read until this future is done."""
         self._start = start_line
         self._headers = headers
-        self._request_id = next(self._port.identifiers)
-        self._port.exchanges[self._request_id] = self
+        self._request_id = next(self._exchanges.identifiers)
+        self._exchanges.by_request_id[self._request_id] = self
         if self._announced_length() > MAX_REQUEST_BODY_BYTES:
             self._body_wanted = asyncio.get_running_loop().create_future()
             self._refuse_large_body()
             return self._body_wanted
         path = start_line.path.partition("?")[0]
-        if self._listener or not path.startswith(self._port.head_first_paths):
+        if self._listener or not path.startswith(self._exchanges.head_first_paths):
             return None
         self._head_first = True
         self._body_wanted = asyncio.get_running_loop().create_future()
-        self._port.deliver(self._arrived(b"", body_withheld=True))
+        self._exchanges.deliver(self._arrived(b"", body_withheld=True))
         return self._body_wanted
 
     def data_received(self, chunk: bytes) -> None:
-        """Take a piece of the body."""
+        """Take some bytes of the body."""
         if self._discarding or self._answered:
             return
         self._body_bytes += len(chunk)
@@ -98,21 +120,21 @@
         body = b"".join(self._body)
         self._body.clear()
         if self._head_first:
-            self._port.deliver(HttpRequestBody(self._request_id, body))
+            self._exchanges.deliver(HttpRequestBody(self._request_id, body))
         elif not self._listener and self._start.path.partition("?")[0] == METRICS_PATH:
-            self.respond(200, {"content-type": CONTENT_TYPE}, self._port.metrics())
+            self.respond(HTTP_OK, {"content-type": CONTENT_TYPE}, self._exchanges.render_metrics())
         else:
-            self._port.deliver(self._arrived(body, body_withheld=False))
+            self._exchanges.deliver(self._arrived(body, body_withheld=False))
 
     def on_connection_close(self) -> None:
-        """The connection ended; tell the reducer unless the answer was complete."""
-        self._port.finishing.discard(self)
-        if not self._forget() or self._answered:
+        """The connection ended; deliver that unless the answer was complete."""
+        self._exchanges.finishing.discard(self)
+        if not self._close_exchange() or self._answered:
             return
         self._answered = True
-        self._port.deliver(HttpRequestClosed(self._request_id))
+        self._exchanges.deliver(HttpRequestClosed(self._request_id))
 
-    # What the reducer wants ----------------------------------------------
+    # What the reducer asks for --------------------------------------------
 
     def read_body(self) -> None:
         """Read on."""
@@ -124,7 +146,7 @@
         if self._answered:
             return
         self._answered = True
-        self._forget()
+        self._close_exchange()
         lines = _header_lines(headers, "application/json")
         lines["content-length"] = str(len(body))
         if self._read_finished:
@@ -140,7 +162,7 @@
         self._write_head(status, _header_lines(headers, "application/x-ndjson"), None)
 
     def send_chunk(self, data: bytes) -> None:
-        """Send one piece, after those before it."""
+        """Send one chunk, after those before it."""
         if not data or self._ending:
             return
         self._unsent.append(data)
@@ -152,25 +174,25 @@
         self._write_unsent()
 
     def end_stream(self) -> None:
-        """Send the final chunk after the pieces."""
+        """Send the final chunk after the others."""
         self._ending = True
         self._finish_with(asyncio.get_running_loop().create_future())
         self._write_unsent()
 
-    def room(self) -> asyncio.Future | None:
-        """Return None while the caller keeps up, else a future that ends when it has."""
+    def writable(self) -> asyncio.Future | None:
+        """Return None while the caller keeps up, else a future that ends once it does again."""
         if self.unsent_bytes <= _HIGH_WATER_BYTES:
             return None
         waiter = asyncio.get_running_loop().create_future()
-        self._room_waiters.append(waiter)
+        self._writable_waiters.append(waiter)
         return waiter
 
     def abort(self) -> None:
         """Close the connection without the final chunk."""
         self._answered = True
-        self._port.lingering.discard(self)
+        self._exchanges.lingering.discard(self)
         self._unsent.clear()
-        self._forget()
+        self._close_exchange()
         self._connection.close()
         self.read_body()
 
@@ -210,11 +232,11 @@
         return written
 
     def _finish_with(self, written: asyncio.Future) -> None:
-        """Note what ends when the whole answer has been written."""
+        """Remember the future that is done when the whole answer has been written."""
         self.written = written
         if not written.done():
-            self._port.finishing.add(self)
-            written.add_done_callback(lambda _: self._port.finishing.discard(self))
+            self._exchanges.finishing.add(self)
+            written.add_done_callback(lambda _: self._exchanges.finishing.discard(self))
 
     def _write_unsent(self) -> None:
         while self._unsent and not self._writing:
@@ -228,7 +250,7 @@
             written.add_done_callback(self._written)
         if self._ending and not self._unsent and not self._writing and not self._answered:
             self._answered = True
-            self._forget()
+            self._close_exchange()
             self._connection.finish()
 
     def _written(self, _written: asyncio.Future) -> None:
@@ -239,25 +261,25 @@
             self._release_waiters()
 
     def _release_waiters(self) -> None:
-        waiters, self._room_waiters = self._room_waiters, []
+        waiters, self._writable_waiters = self._writable_waiters, []
         for waiter in waiters:
             if not waiter.done():
                 waiter.set_result(None)
 
-    def _forget(self) -> bool:
-        """End the exchange; tell whether it was not ended before."""
+    def _close_exchange(self) -> bool:
+        """Close the exchange; return whether it was still open."""
         self._release_waiters()
         if self._ending and not self.written.done():
             self.written.set_result(None)
-        return self._port.exchanges.pop(self._request_id, None) is not None
+        return self._exchanges.by_request_id.pop(self._request_id, None) is not None
 
     def _refuse_large_body(self) -> None:
         message = f"the body is larger than {MAX_REQUEST_BODY_BYTES} bytes"
         error = {"error": {"code": "too_large", "message": message}}
-        self.respond(413, {}, json.dumps(error).encode())
+        self.respond(HTTP_TOO_LARGE, {}, json.dumps(error).encode())
 
     def _discard_body(self, status: int, headers: httputil.HTTPHeaders, body: bytes) -> None:
-        """Answer, and let a small body pass by, so that the connection can be kept."""
+        """Answer, and read and drop a small body, so that the connection can be kept."""
         self._discarding = True
         self._connection.set_body_timeout(_DISCARD_BODY_S)
         self._write_head(status, headers, body)
@@ -268,7 +290,7 @@
         headers["connection"] = "close"
         written = self._write_head(status, headers, body)
         written.add_done_callback(self._end_writing)
-        self._port.lingering.add(self)
+        self._exchanges.lingering.add(self)
         asyncio.get_running_loop().call_later(_LINGER_S, self.abort)
 
     def _end_writing(self, _written: asyncio.Future) -> None:
--- a/rooklug/runtime/http_server.py
+++ b/rooklug/runtime/http_server.py
@@ -1,4 +1,4 @@
-"""The HTTP port: delivers requests as events, obeys the answers."""
+"""The HTTP port: delivers requests as events, and executes the answers' effects."""
 
 import asyncio
 from collections.abc import Callable, Iterator
@@ -9,7 +9,7 @@
 from rooklug.engine import effects as fx
 from rooklug.engine.events import Event
 from rooklug.model.constants import MAX_REQUEST_BODY_BYTES
-from rooklug.runtime.http_exchange import HttpExchange
+from rooklug.runtime.http_exchange import HttpExchange, OpenExchanges
 
 _IDLE_CONNECTION_S = 120.0
 _BODY_LIMIT_S = 60.0
@@ -17,60 +17,44 @@
 
 
 class HttpPort(httputil.HTTPServerConnectionDelegate):
-    """Accepts connections and keeps the exchanges that are not answered yet."""
+    """Accepts connections, and keeps the exchanges that are not answered yet."""
 
     def __init__(
         self,
         identifiers: Iterator[int],
         head_first_paths: tuple[str, ...],
         deliver: Callable[[Event], None],
-        metrics: Callable[[], bytes],
+        render_metrics: Callable[[], bytes],
     ) -> None:
-        self.head_first_paths = head_first_paths
-        self.deliver = deliver
-        self.metrics = metrics
-        self.identifiers = identifiers
-        self.exchanges: dict[int, HttpExchange] = {}
+        self.exchanges = OpenExchanges(identifiers, head_first_paths, deliver, render_metrics)
         self._named: list[HTTPServer] = []
-        self.lingering: set[HttpExchange] = set()
-        self.finishing: set[HttpExchange] = set()  # answered, but not all written
-        self.server = self._server(self)
+        self.server = _server(self)
 
     def listener(self, name: str) -> HTTPServer:
         """Return a server whose requests carry ``name``; the caller binds its sockets."""
-        server = self._server(_NamedListener(self, name))
+        server = _server(_NamedListener(self.exchanges, name))
         self._named.append(server)
         return server
 
-    def _server(self, delegate: httputil.HTTPServerConnectionDelegate) -> HTTPServer:
-        return HTTPServer(
-            delegate,
-            idle_connection_timeout=_IDLE_CONNECTION_S,
-            max_header_size=_MAX_HEADER_BYTES,
-            # The exchange refuses larger bodies itself, with a typed error.
-            max_body_size=4 * MAX_REQUEST_BODY_BYTES,
-            body_timeout=_BODY_LIMIT_S,
-        )
-
     def start_request(
         self, server_conn: object, request_conn: httputil.HTTPConnection
     ) -> httputil.HTTPMessageDelegate:
         """Begin an exchange."""
-        return HttpExchange(self, request_conn)
+        return HttpExchange(self.exchanges, request_conn)
 
     def on_close(self, server_conn: object) -> None:
-        """A connection ended; its exchange was told."""
+        """A connection ended; its exchange has its own callback."""
 
-    def obey(self, effect: fx.Effect) -> None:
-        """Carry out an answer's effect; those of an ended exchange are ignored."""
-        exchange = self.exchanges.get(effect.request_id)
+    def execute(self, effect: fx.Effect) -> None:
+        """Execute an answer's effect; those of a closed exchange are ignored."""
+        exchange = self.exchanges.by_request_id.get(effect.request_id)
         if exchange is not None:
-            _OBEDIENCE[type(effect)](exchange, effect)
+            _ACTION_BY_EFFECT[type(effect)](exchange, effect)
 
-    def room(self, request_id: int) -> asyncio.Future | None:
+    def writable(self, request_id: int) -> asyncio.Future | None:
         """Return None, or what to await before more is fed to a streamed answer."""
-        exchange = self.exchanges.get(request_id)
-        return exchange.room() if exchange is not None else None
+        exchange = self.exchanges.by_request_id.get(request_id)
+        return exchange.writable() if exchange is not None else None
 
     def stop(self) -> None:
         """Take no new connections."""
@@ -79,13 +63,14 @@
 
     async def flush(self, limit_s: float) -> None:
         """Wait until whole answers have been written, at most ``limit_s``."""
-        waiting = [exchange.written for exchange in self.finishing]
+        waiting = [exchange.written for exchange in self.exchanges.finishing]
         if waiting:
             await asyncio.wait(waiting, timeout=limit_s)
 
     async def close(self) -> None:
         """Close every connection."""
-        for exchange in [*self.exchanges.values(), *self.lingering]:
+        unfinished = [*self.exchanges.by_request_id.values(), *self.exchanges.lingering]
+        for exchange in unfinished:
             exchange.abort()
         for server in (self.server, *self._named):
             await server.close_all_connections()
@@ -94,21 +79,32 @@
 class _NamedListener(httputil.HTTPServerConnectionDelegate):
     """Begins the exchanges of one named listener."""
 
-    def __init__(self, port: HttpPort, name: str) -> None:
-        self._port = port
+    def __init__(self, exchanges: OpenExchanges, name: str) -> None:
+        self._exchanges = exchanges
         self._name = name
 
     def start_request(
         self, server_conn: object, request_conn: httputil.HTTPConnection
     ) -> httputil.HTTPMessageDelegate:
         """Begin an exchange."""
-        return HttpExchange(self._port, request_conn, self._name)
+        return HttpExchange(self._exchanges, request_conn, self._name)
 
     def on_close(self, server_conn: object) -> None:
-        """A connection ended; its exchange was told."""
+        """A connection ended; its exchange has its own callback."""
+
+
+def _server(delegate: httputil.HTTPServerConnectionDelegate) -> HTTPServer:
+    return HTTPServer(
+        delegate,
+        idle_connection_timeout=_IDLE_CONNECTION_S,
+        max_header_size=_MAX_HEADER_BYTES,
+        # The exchange refuses larger bodies itself, with a typed error.
+        max_body_size=4 * MAX_REQUEST_BODY_BYTES,
+        body_timeout=_BODY_LIMIT_S,
+    )
 
 
-_OBEDIENCE = {
+_ACTION_BY_EFFECT = {
     fx.ReadRequestBody: lambda exchange, effect: exchange.read_body(),
     fx.HttpRespond: lambda exchange, effect: exchange.respond(
         effect.status, effect.headers, effect.body
@@ -120,4 +116,5 @@
     fx.HttpStreamEnd: lambda exchange, effect: exchange.end_stream(),
     fx.HttpStreamAbort: lambda exchange, effect: exchange.abort(),
 }
-SERVER_EFFECTS = tuple(_OBEDIENCE)
+SERVER_EFFECTS = tuple(_ACTION_BY_EFFECT)
+"""The effects that an HTTP port executes."""
--- a/rooklug/runtime/metrics.py
+++ b/rooklug/runtime/metrics.py
@@ -1,4 +1,4 @@
-"""``GET /metrics``: a reducer's figures in the Prometheus text format."""
+"""``GET /metrics``: a reducer's samples in the Prometheus text format."""
 
 from collections.abc import Iterable
 
@@ -9,8 +9,10 @@
 
 
 def render_metrics(samples: Iterable[MetricSample]) -> bytes:
-    """Return the exposition of all samples, one family a name."""
-    from prometheus_client.exposition import generate_latest  # only who is asked pays for it
+    """Return the text of all samples, one family a name."""
+    from prometheus_client.exposition import (
+        generate_latest,  # imported at the first request, it takes memory
+    )
 
     return generate_latest(_Collected(samples))
 
--- a/rooklug/runtime/process_metrics.py
+++ b/rooklug/runtime/process_metrics.py
@@ -1,4 +1,4 @@
-"""Figures of the process itself: what control costs a node."""
+"""Metrics of the process itself: processor time, memory, bytes of the internal channel."""
 
 import os
 import resource
@@ -13,13 +13,13 @@
 
 @attrs.define
 class ProcessMetrics:
-    """Counts of one host, and the process's processor time and memory."""
+    """Counters of one host, and the process's processor time and memory."""
 
     events_handled: int = 0
     channel: ChannelMetrics = attrs.field(factory=ChannelMetrics)
 
     def samples(self) -> list[MetricSample]:
-        """Return the figures of this moment."""
+        """Return the samples of this moment."""
         usage = resource.getrusage(resource.RUSAGE_SELF)
         processor_s = usage.ru_utime + usage.ru_stime
         return [
--- a/rooklug/runtime/rpc_client.py
+++ b/rooklug/runtime/rpc_client.py
@@ -1,4 +1,4 @@
-"""Outgoing thrift calls: one kept connection a peer, answers matched by id."""
+"""Outgoing thrift calls: one connection a peer, answers matched by id."""
 
 import asyncio
 from collections.abc import Callable
@@ -27,7 +27,7 @@
     """The connection to one address, with the calls that wait for an answer on it.
 
     A peer is retired when a call went unanswered and nothing was received since it was
-    written: its path may be silently cut. New calls then use a new connection.
+    written: its path may drop packets silently. New calls then use a new connection.
     """
 
     def __init__(self, client: "RpcClient", address: str) -> None:
@@ -59,7 +59,7 @@
             deadlines.failed(self.address)
             self._client.peer_closed(self, str(problem))
             return
-        except Exception as problem:  # a fault of ours must not make the peer unreachable for ever
+        except Exception as problem:  # a fault of this program must not make the peer unreachable
             self._client.peer_closed(self, f"fault while connecting: {problem!r}")
             raise
         deadlines.connected(self.address)
@@ -94,7 +94,7 @@
 
 
 class RpcClient:
-    """Obeys ``Call``; ends each in exactly one ``CallAnswered`` or ``CallFailed``."""
+    """Executes ``Call``; ends each in exactly one ``CallAnswered`` or ``CallFailed``."""
 
     def __init__(
         self,
@@ -135,7 +135,7 @@
             peer.close("this process stops")
 
     def may_write(self, call: _PendingCall) -> bool:
-        """Tell, right before the send, whether the call may still be sent."""
+        """Return, right before the send, whether the call may still be sent."""
         if call.finished:
             return False
         now = self.loop.time()
@@ -146,7 +146,7 @@
         return True
 
     def finish(self, call: _PendingCall, event: CallAnswered | CallFailed) -> None:
-        """Deliver the call's only end."""
+        """Deliver the one event that ends the call."""
         if call.finished:
             return
         call.finished = True
--- a/rooklug/runtime/rpc_server.py
+++ b/rooklug/runtime/rpc_server.py
@@ -1,7 +1,8 @@
-"""The internal port: peers' thrift requests and the answers to them."""
+"""The internal port: thrift requests of peers, and the answers to them."""
 
 from collections.abc import Callable, Iterator
 
+import attrs
 from tornado.iostream import IOStream
 from tornado.tcpserver import TCPServer
 
@@ -12,8 +13,16 @@
 from rooklug.wire.frames import Message, encode_frame
 
 
+@attrs.frozen(eq=False)
+class _UnansweredCall:
+    """Where an answer goes, and the id by which the caller knows its call."""
+
+    connection: FramedConnection
+    caller_id: int
+
+
 class RpcServer(TCPServer):
-    """Delivers ``CallArrived`` and obeys ``Answer``.
+    """Delivers ``CallArrived`` and executes ``Answer``.
 
     Garbage closes its connection and is logged; nothing else is affected.
     """
@@ -32,7 +41,7 @@
         self._identifiers = identifiers
         self._deliver = deliver
         self._log = log
-        self._unanswered: dict[int, tuple[FramedConnection, int]] = {}
+        self._unanswered: dict[int, _UnansweredCall] = {}
         self._connections: dict[FramedConnection, str] = {}
 
     def handle_stream(self, stream: IOStream, address: tuple) -> None:
@@ -43,14 +52,14 @@
 
     def answer(self, effect: Answer) -> None:
         """Send an answer; dropped when the caller's connection is gone."""
-        connection, caller_id = self._unanswered.pop(effect.call_id, (None, 0))
-        if connection is None:
+        call = self._unanswered.pop(effect.call_id, None)
+        if call is None:
             return
-        frame = encode_frame(Message(caller_id, True, self._node_id, effect.answer))
+        frame = encode_frame(Message(call.caller_id, True, self._node_id, effect.answer))
         if frame.is_error():
             self._log("error", "answer not sent", {"reason": frame.error.message})
             return
-        connection.send(OutgoingFrame(frame.ok, lambda: True))
+        call.connection.send(OutgoingFrame(frame.ok, lambda: True))
 
     def close_connections(self) -> None:
         """Close every connection."""
@@ -62,13 +71,15 @@
             connection.close_for("garbage frame: an answer from the calling side")
             return
         call_id = next(self._identifiers)
-        self._unanswered[call_id] = (connection, message.call_id)
+        self._unanswered[call_id] = _UnansweredCall(connection, message.call_id)
         self._deliver(CallArrived(call_id, message.sender, message.body))
 
     def _closed(self, connection: FramedConnection, reason: str) -> None:
         peer = self._connections.pop(connection)
         if reason.startswith("garbage"):
             self._log("warning", "connection closed", {"peer": peer, "reason": reason})
-        gone = [key for key, entry in self._unanswered.items() if entry[0] is connection]
-        for call_id in gone:
-            del self._unanswered[call_id]
+        self._unanswered = {
+            call_id: call
+            for call_id, call in self._unanswered.items()
+            if call.connection is not connection
+        }
--- a/rooklug/runtime/tasks.py
+++ b/rooklug/runtime/tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that are kept until they end, and whose faults are logged."""
+"""Background tasks: referenced until they are done, their exceptions logged."""
 
 import asyncio
 import traceback
@@ -9,7 +9,10 @@
 
 
 class BackgroundTasks:
-    """Starts tasks and holds them; an exception that ends one is logged as a fault."""
+    """Starts tasks and keeps a reference to each, so that none is collected while it runs.
+
+    An exception that ends a task is a fault of this program: it is logged with its traceback.
+    """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, log: LogWriter) -> None:
         self._loop = loop
@@ -20,10 +23,10 @@
         """Run a coroutine as a task."""
         task = self._loop.create_task(coroutine)
         self._tasks.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._on_done)
         return task
 
-    def _ended(self, task: asyncio.Task) -> None:
+    def _on_done(self, task: asyncio.Task) -> None:
         self._tasks.discard(task)
         if task.cancelled() or task.exception() is None:
             return
--- a/rooklug/runtime/timers.py
+++ b/rooklug/runtime/timers.py
@@ -10,7 +10,7 @@
 
 @attrs.define(eq=False)
 class _Timer:
-    """One setting of a name; replaced or cancelled settings never fire."""
+    """One start of a named timer; a replaced or cancelled one never fires."""
 
     name: str
     handle: asyncio.TimerHandle | None = None
@@ -34,21 +34,21 @@
 
     def start(self, effect: StartTimer) -> None:
         """Set a timer, replacing one of the same name."""
-        self._forget(effect.name)
+        self._cancel(effect.name)
         timer = _Timer(effect.name)
         timer.handle = self._loop.call_later(max(effect.delay_s, 0.0), self._due, timer)
         self._timers[effect.name] = timer
 
     def cancel(self, effect: CancelTimer) -> None:
-        """Forget a timer."""
-        self._forget(effect.name)
+        """Cancel a timer; unknown names are ignored."""
+        self._cancel(effect.name)
 
     def close(self) -> None:
-        """Forget all."""
+        """Cancel all timers."""
         for name in list(self._timers):
-            self._forget(name)
+            self._cancel(name)
 
-    def _forget(self, name: str) -> None:
+    def _cancel(self, name: str) -> None:
         timer = self._timers.pop(name, None)
         if timer is not None:
             timer.handle.cancel()
--- a/rooklug/storage/folder.py
+++ b/rooklug/storage/folder.py
@@ -1,6 +1,7 @@
 """A node's data folder: its identity, its lock, and its record files.
 
-Blocking; a runtime calls it from a thread of its own. Nothing lasts until it is synced.
+Blocking; the runtime calls it from a thread of its own. An append is durable only once its
+file is synced.
 """
 
 import fcntl
@@ -23,26 +24,35 @@
 _FILE_NAME = re.compile(r"[a-z0-9][a-z0-9_.-]*")
 
 PROBLEM_BLANK = "blank"
+"""Begins the problem of a folder that was made just now."""
 PROBLEM_DAMAGED = "damaged"
+"""Begins the problem of a folder with damaged files."""
 
 
 @attrs.frozen
 class FolderError:
-    """The folder can't be used: foreign, in use by another process, or not a folder."""
+    """The folder can't be used: another node's, in use by another process, or no folder."""
 
     message: str
 
 
 class BrokenFileError(OSError):
-    """An earlier failure left a file in an unknown state; only a rewrite mends it."""
+    """An earlier failure left a file in an unknown state; only a rewrite repairs it."""
 
 
 @attrs.frozen
 class FolderContents:
-    """What was found. ``problem`` begins with ``PROBLEM_BLANK`` or ``PROBLEM_DAMAGED``, or is "".
-
-    A damaged file's records are left out of ``records``, and it takes no appends until it
-    is rewritten; a copy of it is kept beside it.
+    """What an opened folder holds.
+
+    Attributes
+    ----------
+    disk_identity
+        32 hexadecimal digits, drawn when the folder was made.
+    problem
+        Begins with ``PROBLEM_BLANK`` or ``PROBLEM_DAMAGED``; "" if there is none.
+    records
+        Payloads by file name. A damaged file is left out and takes no appends until it is
+        rewritten; its bytes are preserved beside it, with the suffix ``.damaged``.
     """
 
     disk_identity: str
@@ -71,7 +81,7 @@
         Raises
         ------
         OSError
-            Nothing was kept, or the file is broken (``BrokenFileError``).
+            Nothing was appended, or the file is broken (``BrokenFileError``).
         """
         file = self._open(name)
         if file.broken:
@@ -90,7 +100,7 @@
         Raises
         ------
         OSError
-            The appends may or may not last; the file is broken until it is rewritten.
+            The appends may or may not be durable; the file is broken until it is rewritten.
         """
         file = self._open(name)
         try:
@@ -105,7 +115,7 @@
         Raises
         ------
         OSError
-            The old or the new content stands.
+            The file has its old or its new content.
         """
         target = self._file_path(name)
         _replace_file(target, encode_records(payloads))
@@ -114,14 +124,14 @@
             os.close(old.descriptor)
 
     def close(self) -> None:
-        """Close every file and give the lock back."""
+        """Close every file and release the lock."""
         for file in self._files.values():
             os.close(file.descriptor)
         self._files.clear()
         os.close(self._lock)
 
     def load(self) -> tuple[dict[str, tuple[bytes, ...]], list[str]]:
-        """Read every record file, cutting torn tails; also return what is damaged."""
+        """Read every record file and truncate torn tails; also return what is damaged."""
         records = {}
         damages = []
         for path in sorted(self._path.glob(f"*{RECORDS_SUFFIX}")):
@@ -130,11 +140,11 @@
             if result.is_ok():
                 records[name] = result.ok.payloads
                 if result.ok.torn_bytes:
-                    self._cut(name, result.ok.valid_bytes)
+                    self._truncate(name, result.ok.valid_bytes)
             else:
                 damages.append(f"{path.name}: {result.error.message}")
                 self._open(name).broken = result.error.message
-                _keep_copy(path)
+                _preserve_damaged(path)
         return records, damages
 
     def _file_path(self, name: str) -> Path:
@@ -152,7 +162,7 @@
                 _sync_folder(self._path)
         return self._files[name]
 
-    def _cut(self, name: str, length: int) -> None:
+    def _truncate(self, name: str, length: int) -> None:
         file = self._open(name)
         os.ftruncate(file.descriptor, length)
         os.fsync(file.descriptor)
@@ -166,7 +176,7 @@
 
 
 def open_folder(path: str, node_id: str) -> Result[tuple[DataFolder, FolderContents], FolderError]:
-    """Open a node's data folder, making it at first use."""
+    """Open and lock a node's data folder; it is made at first use."""
     folder = Path(path)
     try:
         folder.mkdir(parents=True, exist_ok=True)
@@ -246,7 +256,7 @@
     _sync_folder(target.parent)
 
 
-def _keep_copy(path: Path) -> None:
+def _preserve_damaged(path: Path) -> None:
     path.with_name(path.name + ".damaged").write_bytes(path.read_bytes())
 
 
--- a/rooklug/storage/records.py
+++ b/rooklug/storage/records.py
@@ -1,4 +1,4 @@
-"""Record files as bytes: ``length | crc32c | payload``, both numbers 4 bytes big-endian.
+"""The format of record files: ``length | crc32c | payload``, both numbers 4 bytes big-endian.
 
 The checksum covers the length and the payload, so that a damaged length is found too.
 """
@@ -20,7 +20,7 @@
 
 @attrs.frozen
 class DamagedRecord:
-    """A record that is wrong with whole records after it: not a torn write."""
+    """An invalid record that is no torn write; ``offset`` in bytes from the file's begin."""
 
     offset: int
     message: str
@@ -28,7 +28,7 @@
 
 @attrs.frozen
 class ReadRecords:
-    """Whole records, and how many bytes they take; what follows is a torn tail."""
+    """The valid records at the head of a file and their size; what follows is a torn tail."""
 
     payloads: tuple[bytes, ...]
     valid_bytes: int
@@ -50,10 +50,10 @@
 def read_records(data: bytes) -> Result[ReadRecords, DamagedRecord]:
     """Read a file's records.
 
-    What follows the last whole record is a torn tail, to be cut, when it is shorter than
-    its record, or a disk sector of it was never written (reads as zeros). Any other wrong
-    record, and any wrong record with a whole one after it, is damage. A damaged length of
-    the very last record can't be told from a torn tail.
+    What follows the last valid record is a torn tail, to be truncated, when it is shorter
+    than its record or one of its disk sectors was never written (reads as zeros). Any other
+    invalid record, and any invalid record with a valid one after it, is damage. A damaged
+    length of the very last record can't be distinguished from a torn tail.
     """
     payloads = []
     offset = 0
--- a/rooklug/wire/channel.py
+++ b/rooklug/wire/channel.py
@@ -12,7 +12,7 @@
 
 @attrs.frozen(eq=False)
 class OutgoingFrame:
-    """Bytes of a frame; ``may_write`` is asked right before its first byte is written."""
+    """Bytes of a frame; ``may_write`` is called right before its first byte is written."""
 
     data: bytes
     may_write: Callable[[], bool]
@@ -20,7 +20,7 @@
 
 @attrs.define(eq=False)
 class ChannelMetrics:
-    """Bytes of frames, counted over all connections that share the object."""
+    """Bytes of frames, summed over all connections that share the object."""
 
     sent_bytes: int = 0
     received_bytes: int = 0
@@ -38,13 +38,13 @@
         stream: IOStream,
         on_message: Callable[["FramedConnection", Message], None],
         on_closed: Callable[["FramedConnection", str], None],
-        figures: ChannelMetrics,
+        metrics: ChannelMetrics,
     ) -> None:
-        self._figures = figures
+        self._metrics = metrics
         self._stream = stream
         self._on_message = on_message
         self._on_closed = on_closed
-        self._waiting: deque[OutgoingFrame] = deque()
+        self._queued: deque[OutgoingFrame] = deque()
         self._writing = False
         self._close_reason = ""
         self._reader: asyncio.Task | None = None
@@ -56,21 +56,21 @@
 
     def send(self, frame: OutgoingFrame) -> None:
         """Write the frame once those before it are in the kernel's buffer."""
-        self._waiting.append(frame)
+        self._queued.append(frame)
         if not self._writing:
-            self._write_waiting()
+            self._write_queued()
 
     def close_for(self, reason: str) -> None:
         """Close; ``reason`` is what ``on_closed`` gets."""
         self._close_reason = self._close_reason or reason
         self._stream.close()
 
-    def _write_waiting(self) -> None:
-        while self._waiting and not self._stream.closed():
-            frame = self._waiting.popleft()
+    def _write_queued(self) -> None:
+        while self._queued and not self._stream.closed():
+            frame = self._queued.popleft()
             if not frame.may_write():
                 continue
-            self._figures.sent_bytes += len(frame.data)
+            self._metrics.sent_bytes += len(frame.data)
             written = self._stream.write(frame.data)
             if not written.done():
                 self._writing = True
@@ -80,7 +80,7 @@
     def _write_done(self, written: asyncio.Future) -> None:
         self._writing = False
         if not written.cancelled() and written.exception() is None:
-            self._write_waiting()
+            self._write_queued()
 
     async def _read(self) -> None:
         try:
@@ -90,7 +90,7 @@
             pass
         finally:
             self._stream.close()
-            self._waiting.clear()
+            self._queued.clear()
             self._on_closed(self, self._close_reason or "connection closed by the peer")
 
     async def _read_one(self) -> bool:
@@ -99,12 +99,14 @@
         if length.is_error():
             return self._refuse(length.error.message)
         payload = await self._stream.read_bytes(length.ok)
-        self._figures.received_bytes += LENGTH_BYTES + len(payload)
+        self._metrics.received_bytes += LENGTH_BYTES + len(payload)
         message = decode_payload(payload)
         if message.is_error():
             return self._refuse(message.error.message)
         self._on_message(self, message.ok)
-        return not self._close_reason  # frames in the buffer of a closed connection don't count
+        return (
+            not self._close_reason
+        )  # frames that a closed connection still has buffered are dropped
 
     def _refuse(self, reason: str) -> bool:
         self.close_for(f"garbage frame: {reason}")
--- a/rooklug/wire/codec.py
+++ b/rooklug/wire/codec.py
@@ -23,7 +23,7 @@
     Raises
     ------
     TProtocolException
-        When a required field is unset: a fault of the program, never of the input.
+        A required field is unset: a fault of this program, never of the input.
     """
     struct.validate()
     buffer = TMemoryBuffer()
--- a/rooklug/wire/frames.py
+++ b/rooklug/wire/frames.py
@@ -6,11 +6,12 @@
 import attrs
 from expression import Error, Ok, Result
 
-from rooklug.model.constants import MAX_FRAME_BYTES
 from rooklug.wire.codec import WireError, decode, encode
 from rooklug.wire.generated.envelope.ttypes import Envelope
 from rooklug.wire.registry import struct_classes
 
+MAX_FRAME_BYTES = 16 * 1024 * 1024
+"""Bound of an envelope's size, without the length before it."""
 LENGTH_BYTES = 4
 _LENGTH = struct.Struct(">I")
 
--- a/rooklug/wire/packing.py
+++ b/rooklug/wire/packing.py
@@ -1,4 +1,4 @@
-"""Compressed bodies: what goes to every node is long and repeats the same names.
+"""Compression of bodies that go to every node: they are long and repeat the same names.
 
 A packed body begins with the byte of a zlib stream (RFC 1950), which no compact struct with
 a first field begins with; short bodies stay as they are. Readers take both.
@@ -9,8 +9,8 @@
 
 from expression import Error, Ok, Result
 
-from rooklug.model.constants import MAX_FRAME_BYTES
 from rooklug.wire.codec import WireError, decode, encode
+from rooklug.wire.frames import MAX_FRAME_BYTES
 
 Struct = TypeVar("Struct")
 
--- a/rooklug/wire/registry.py
+++ b/rooklug/wire/registry.py
@@ -8,14 +8,18 @@
 from rooklug.wire import generated
 
 
+class DuplicateStructError(Exception):
+    """Two thrift structs have one name; frames identify a struct by its name alone."""
+
+
 @cache
 def struct_classes() -> dict[str, type]:
     """Return every generated struct class by its name.
 
     Raises
     ------
-    ValueError
-        When two definitions use one name: a fault of the IDL files.
+    DuplicateStructError
+        Two definitions use one name: a fault of the IDL files.
     """
     classes: dict[str, type] = {}
     for package in pkgutil.iter_modules(generated.__path__, generated.__name__ + "."):
@@ -24,6 +28,6 @@
             if struct_class.__module__ != module.__name__:
                 continue
             if name in classes:
-                raise ValueError(f"two thrift structs are named {name}")
+                raise DuplicateStructError(f"two thrift structs are named {name}")
             classes[name] = struct_class
     return classes
--- a/rooklug_lab/gateway/shape.py
+++ b/rooklug_lab/gateway/shape.py
@@ -14,13 +14,13 @@
 
     ``zones`` maps each zone to its region, and ``core_zones`` names the zone of each core, the
     three seeds first. ``client_rate_per_s`` counts for each region, ``cold_rate_per_s`` for
-    each replica of a model. ``minimum_copies``: disks that must hold a change before it is
+    each replica of a model. ``min_in_sync_replicas``: disks that must hold a change before it is
     acknowledged; one less may be lost at once.
     """
 
     zones: dict[str, str]
     core_zones: tuple[str, ...]
-    minimum_copies: int = 2
+    min_in_sync_replicas: int = 2
     fronts_a_zone: int = 3
     models_a_zone: int = 2
     region_delay_s: float = 0.02
@@ -35,7 +35,7 @@
     @property
     def tolerance(self) -> int:
         """Return how many disks may be lost at once."""
-        return self.minimum_copies - 1
+        return self.min_in_sync_replicas - 1
 
 
 def zones_of(regions: tuple[str, ...], letters: str) -> dict[str, str]:
@@ -51,7 +51,7 @@
 WIDE_SHAPE = SiteShape(
     zones=WIDE_ZONES,
     core_zones=tuple(WIDE_ZONES),
-    minimum_copies=3,
+    min_in_sync_replicas=3,
     fronts_a_zone=5,
     models_a_zone=4,
     region_delay_s=0.055,
@@ -64,7 +64,7 @@
 LARGE_SHAPE = SiteShape(
     zones=LARGE_ZONES,
     core_zones=tuple(LARGE_ZONES),
-    minimum_copies=3,
+    min_in_sync_replicas=3,
     fronts_a_zone=33,
     models_a_zone=10,
     region_delay_s=0.02,
@@ -84,7 +84,7 @@
     return SiteShape(
         zones=zones,
         core_zones=core_zones,
-        minimum_copies=2 if len(core_zones) < 5 else random.choice([2, 3]),
+        min_in_sync_replicas=2 if len(core_zones) < 5 else random.choice([2, 3]),
         fronts_a_zone=random.randint(2, 4),
         models_a_zone=models,
         region_delay_s=random.uniform(0.005, 0.05),
--- a/rooklug_lab/gateway/site.py
+++ b/rooklug_lab/gateway/site.py
@@ -314,7 +314,10 @@
 
         def build_core(context):
             settings = CoreSettings(
-                core, members, self._first_start, minimum_copies=self.shape.minimum_copies
+                core,
+                members,
+                self._first_start,
+                min_in_sync_replicas=self.shape.min_in_sync_replicas,
             )
             return compose_gateway_core(settings, context, control_dialect())
 
--- a/rooklug_lab/hollow/sharing.py
+++ b/rooklug_lab/hollow/sharing.py
@@ -65,7 +65,7 @@
         if self._newest is None:
             return False
         held = self._newest.sources
-        names = ("configuration", "emptied_zones", "replicas", "plan")
+        names = ("configuration", "drained_zones", "replicas", "plan")
         return all(getattr(held, name) is getattr(sources, name) for name in names)
 
 
--- a/tests/core_cluster.py
+++ b/tests/core_cluster.py
@@ -122,9 +122,9 @@
         delay: tuple[float, float] = (0.0005, 0.003),
         sync: tuple[float, float] = (0.001, 0.004),
         core_ids: tuple[str, ...] = CORE_IDS,
-        minimum_copies: int = 2,
+        min_in_sync_replicas: int = 2,
     ) -> None:
-        self.minimum_copies = minimum_copies
+        self.min_in_sync_replicas = min_in_sync_replicas
         self.exits_on_failed_write = False
         self.size = len(core_ids)
         self.first_start = True
@@ -188,7 +188,7 @@
         core.recorder = Recorder()
         founders = {seed: ADDRESSES[seed] for seed in self.seeds}
         settings = CoreSettings(
-            node, founders, self.first_start, self.minimum_copies, self.exits_on_failed_write
+            node, founders, self.first_start, self.min_in_sync_replicas, self.exits_on_failed_write
         )
         components = build_core_components(settings, context, STAND_IN_CHECKER)
         core.reducer = CompositeReducer([*components, core.recorder])
--- a/tests/core_faults.py
+++ b/tests/core_faults.py
@@ -178,10 +178,10 @@
     mean_s: float = 2.0,
     kind: type[Faults] = Faults,
     core_ids: tuple[str, ...] = CORE_IDS,
-    minimum_copies: int = 2,
+    min_in_sync_replicas: int = 2,
 ) -> tuple[Oracle, Faults]:
     """Run one seeded history and judge it; the oracle raises on a broken promise."""
-    cluster = Cluster(seed, core_ids=core_ids, minimum_copies=minimum_copies)
+    cluster = Cluster(seed, core_ids=core_ids, min_in_sync_replicas=min_in_sync_replicas)
     cluster.late = 0.01
     oracle = Oracle(cluster)
     random = Random(seed)
--- a/tests/runtime_support.py
+++ b/tests/runtime_support.py
@@ -68,10 +68,10 @@
         await host.stopped()
 
 
-def obey(host: Host, *effects: fx.Effect) -> None:
+def execute(host: Host, *effects: fx.Effect) -> None:
     """Let a host carry out effects, as if its reducer had returned them."""
     for effect in effects:
-        host._obey(effect)
+        host._execute(effect)
 
 
 async def raw_exchange(address: str, data: bytes) -> bytes:
--- a/tests/test_channel.py
+++ b/tests/test_channel.py
@@ -11,17 +11,23 @@
 
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
-from rooklug.model.constants import MAX_FRAME_BYTES
 from rooklug.runtime.addresses import ConnectError, connect_stream
 from rooklug.wire.codec import encode
-from rooklug.wire.frames import LENGTH_BYTES, Message, decode_payload, encode_frame, payload_length
+from rooklug.wire.frames import (
+    LENGTH_BYTES,
+    MAX_FRAME_BYTES,
+    Message,
+    decode_payload,
+    encode_frame,
+    payload_length,
+)
 from rooklug.wire.generated.control.ttypes import (
     ConfigurationBody,
     ReadStatusRequest,
     VersionMark,
 )
 from rooklug.wire.generated.envelope.ttypes import Envelope
-from tests.runtime_support import FunctionReducer, HostCase, obey, raw_exchange
+from tests.runtime_support import FunctionReducer, HostCase, execute, raw_exchange
 
 
 class FramesTest(unittest.TestCase):
@@ -78,11 +84,11 @@
         caller = FunctionReducer()
         host = await self.start_host(caller)
         with mock.patch("rooklug.runtime.rpc_client.connect_stream", side_effect=RuntimeError("x")):
-            obey(host, fx.Call(1, server_host.internal_address, ReadStatusRequest(), 5.0))
+            execute(host, fx.Call(1, server_host.internal_address, ReadStatusRequest(), 5.0))
             failed = await caller.wait_for(ev.CallFailed, call_id=1)
         self.assertFalse(failed.maybe_delivered)
         self.assertIn("RuntimeError", host.log_text.getvalue())
-        obey(host, fx.Call(2, server_host.internal_address, ReadStatusRequest(), 5.0))
+        execute(host, fx.Call(2, server_host.internal_address, ReadStatusRequest(), 5.0))
         await caller.wait_for(ev.CallAnswered, call_id=2)
 
 
@@ -118,7 +124,7 @@
         caller = FunctionReducer()
         host = await self.start_host(caller)
         port = server.sockets[0].getsockname()[1]
-        obey(host, fx.Call(1, f"127.0.0.1:{port}", ReadStatusRequest(), 60.0))
+        execute(host, fx.Call(1, f"127.0.0.1:{port}", ReadStatusRequest(), 60.0))
         failed = await caller.wait_for(ev.CallFailed, call_id=1)
         self.assertTrue(failed.maybe_delivered)
 
@@ -126,7 +132,7 @@
         caller = FunctionReducer()
         host = await self.start_host(caller)
         body = ConfigurationBody(1, "", b"x" * MAX_FRAME_BYTES)
-        obey(host, fx.Call(1, self.host.internal_address, body, 5.0))
+        execute(host, fx.Call(1, self.host.internal_address, body, 5.0))
         failed = await caller.wait_for(ev.CallFailed, call_id=1)
         self.assertFalse(failed.maybe_delivered)
 
@@ -134,17 +140,17 @@
         self.server.respond = lambda event: []
         caller = FunctionReducer()
         host = await self.start_host(caller)
-        obey(host, fx.Call(1, self.host.internal_address, ReadStatusRequest(), 0.05))
+        execute(host, fx.Call(1, self.host.internal_address, ReadStatusRequest(), 0.05))
         await caller.wait_for(ev.CallFailed, call_id=1)
-        self.assertEqual(host._calls_out._peers, {})
+        self.assertEqual(host._rpc_client._peers, {})
         self.server.respond = self._answer
-        obey(host, fx.Call(2, self.host.internal_address, ReadStatusRequest(), 5.0))
+        execute(host, fx.Call(2, self.host.internal_address, ReadStatusRequest(), 5.0))
         await caller.wait_for(ev.CallAnswered, call_id=2)
 
     async def _call_is_answered(self) -> None:
         caller = FunctionReducer()
         host = await self.start_host(caller)
-        obey(host, fx.Call(1, self.host.internal_address, ReadStatusRequest(), 5.0))
+        execute(host, fx.Call(1, self.host.internal_address, ReadStatusRequest(), 5.0))
         await caller.wait_for(ev.CallAnswered, call_id=1)
 
     def _answer(self, event: ev.Event) -> list[fx.Effect]:
--- a/tests/test_core_members.py
+++ b/tests/test_core_members.py
@@ -14,7 +14,7 @@
 
 class MemberCase(unittest.TestCase):
     def begin(self, core_ids=CORE_IDS, copies=2, seed=1) -> None:
-        self.cluster = Cluster(seed, core_ids=core_ids, minimum_copies=copies)
+        self.cluster = Cluster(seed, core_ids=core_ids, min_in_sync_replicas=copies)
         self.oracle = Oracle(self.cluster)
         self.cluster.start_all()
 
@@ -214,7 +214,7 @@
     def test_no_seed_breaks_a_promise_with_six(self):
         for seed in range(4):
             with self.subTest(seed=seed):
-                oracle, _ = run_seed(seed, core_ids=SIX, minimum_copies=3)
+                oracle, _ = run_seed(seed, core_ids=SIX, min_in_sync_replicas=3)
                 self.assertTrue(oracle.acknowledged)
 
 
--- a/tests/test_front_path.py
+++ b/tests/test_front_path.py
@@ -152,7 +152,7 @@
         front.usual()
         front.empty_zones()
         self.assertEqual(front.topic("zones", ZonesBody(["n1"]), VersionMark(0, 9)), [])
-        self.assertFalse(front.by_name["routing-view"].view.own_zone_emptied)
+        self.assertFalse(front.by_name["routing-view"].view.own_zone_drained)
 
 
 class HomeTest(unittest.TestCase):
--- a/tests/test_gateway_balancing.py
+++ b/tests/test_gateway_balancing.py
@@ -99,7 +99,7 @@
             replica(3, "model", region="south", zone="south-a"),
         ]
         front = GatewayFront([home], replicas)
-        front.decision.take_view(_with(front.view, emptied_zones=frozenset({"emptied"})))
+        front.decision.take_view(_with(front.view, drained_zones=frozenset({"emptied"})))
         (answer,) = front.request("/s/1")
         self.assertEqual(answer.status, 503)
         self.assertGreater(float(answer.headers["retry-after"]), 0.0)
--- a/tests/test_hollow_packing.py
+++ b/tests/test_hollow_packing.py
@@ -5,9 +5,9 @@
 from random import Random
 
 from rooklug.distribution.held_topics import HeldTopics
-from rooklug.model.constants import MAX_FRAME_BYTES
 from rooklug.model.topics import MEMBERS, PLAN, REPLICAS
 from rooklug.wire.codec import encode
+from rooklug.wire.frames import MAX_FRAME_BYTES
 from rooklug.wire.generated.control.ttypes import (
     MembersBody,
     PlanBody,
--- a/tests/test_hollow_view_cost.py
+++ b/tests/test_hollow_view_cost.py
@@ -60,7 +60,7 @@
         weights = attrs.evolve(document.regions["isle"], zones=("isle-a", f"z{random.random()}"))
         return {
             "configuration": attrs.evolve(document, regions={**document.regions, "isle": weights}),
-            "emptied_zones": frozenset(random.sample(["north-a", "isle-a", "lake-b"], 2)),
+            "drained_zones": frozenset(random.sample(["north-a", "isle-a", "lake-b"], 2)),
             "nodes": sources.nodes[1:] if half else (*sources.nodes, sources.nodes[0]),
             "replicas": sources.replicas[1:] if half else sources.replicas[::-1],
             "plan": copy.copy(sources.plan) if half else None,
--- a/tests/test_once_front.py
+++ b/tests/test_once_front.py
@@ -67,7 +67,7 @@
         sources = ViewSources(
             configuration=read_configuration(json.dumps(document).encode()).ok,
             nodes=nodes,
-            emptied_zones=emptied,
+            drained_zones=emptied,
             replicas=(),
         )
         context = ProcessContext("front-1", "i", Random(1), Identifiers())
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -59,7 +59,7 @@
 
         self.assertEqual(self.run_host(FunctionReducer(respond)), exit_codes.OK)
         lines = [json.loads(line) for line in self.log.getvalue().splitlines()]
-        self.assertEqual([line["message"] for line in lines], ["started", "bye", "stops"])
+        self.assertEqual([line["message"] for line in lines], ["started", "bye", "stopping"])
         self.assertEqual((lines[1]["node"], lines[1]["change"]), ("core-1", 3))
 
     def test_a_second_sigterm_changes_nothing(self) -> None:
--- a/tests/test_runtime_connect_timeouts.py
+++ b/tests/test_runtime_connect_timeouts.py
@@ -5,8 +5,8 @@
 
 from rooklug.runtime.addresses import ConnectError, connect_stream
 from rooklug.runtime.connect_timeouts import (
-    FIRST_DEADLINE_S,
-    LAST_DEADLINE_S,
+    FIRST_TIMEOUT_S,
+    MAX_TIMEOUT_S,
     ConnectTimeouts,
 )
 
@@ -22,14 +22,14 @@
             seen.append(deadlines.next("a:1"))
             deadlines.failed("a:1")
         self.assertEqual(seen, sorted(seen))
-        self.assertEqual(seen[-1], LAST_DEADLINE_S)
-        self.assertEqual(deadlines.next("b:1"), FIRST_DEADLINE_S)
+        self.assertEqual(seen[-1], MAX_TIMEOUT_S)
+        self.assertEqual(deadlines.next("b:1"), FIRST_TIMEOUT_S)
 
     def test_a_connection_begins_anew(self):
         deadlines = ConnectTimeouts()
         deadlines.failed("a:1")
         deadlines.connected("a:1")
-        self.assertEqual(deadlines.next("a:1"), FIRST_DEADLINE_S)
+        self.assertEqual(deadlines.next("a:1"), FIRST_TIMEOUT_S)
 
     def test_a_peer_that_does_not_answer_is_given_up_in_time(self):
         """A listener with a full queue takes no more connections, as if packets were lost."""
@@ -42,5 +42,5 @@
             ip, port = listener.getsockname()
             began = time.monotonic()
             with self.assertRaises(ConnectError):
-                asyncio.run(connect_stream(f"{ip}:{port}", "", FIRST_DEADLINE_S))
+                asyncio.run(connect_stream(f"{ip}:{port}", "", FIRST_TIMEOUT_S))
             self.assertLess(time.monotonic() - began, 5.0)
--- a/tests/test_runtime_host.py
+++ b/tests/test_runtime_host.py
@@ -6,14 +6,14 @@
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
 from rooklug.wire.generated.control.ttypes import ReadStatusRequest, VersionMark
-from tests.runtime_support import FunctionReducer, HostCase, obey
+from tests.runtime_support import FunctionReducer, HostCase, execute
 
 
 class HostTest(HostCase, unittest.IsolatedAsyncioTestCase):
     async def test_timer_fires_once_and_is_replaced_and_cancelled(self) -> None:
         reducer = FunctionReducer()
         host = await self.start_host(reducer)
-        obey(
+        execute(
             host,
             fx.StartTimer("a", 0.0),
             fx.StartTimer("a", 0.001),
@@ -29,7 +29,7 @@
             lambda event: [fx.CancelTimer("b")] if event == ev.TimerFired("a") else []
         )
         host = await self.start_host(reducer)
-        obey(host, fx.StartTimer("a", 0.0), fx.StartTimer("b", 0.0), fx.StartTimer("c", 0.01))
+        execute(host, fx.StartTimer("a", 0.0), fx.StartTimer("b", 0.0), fx.StartTimer("c", 0.01))
         await reducer.wait_for(ev.TimerFired, name="c")
         self.assertNotIn(ev.TimerFired("b"), reducer.events)
 
@@ -44,7 +44,7 @@
         server_host = await self.start_host(server)
         caller = FunctionReducer()
         host = await self.start_host(caller, node_id="caller")
-        obey(host, *[self._call(number, server_host.internal_address) for number in range(50)])
+        execute(host, *[self._call(number, server_host.internal_address) for number in range(50)])
         for number in range(50):
             answered = await caller.wait_for(ev.CallAnswered, call_id=number)
             self.assertEqual(answered.answer, VersionMark(4, 2))
@@ -57,7 +57,7 @@
         await gone.stopped()
         caller = FunctionReducer()
         host = await self.start_host(caller)
-        obey(host, self._call(1, address))
+        execute(host, self._call(1, address))
         failed = await caller.wait_for(ev.CallFailed, call_id=1)
         self.assertFalse(failed.maybe_delivered)
 
@@ -65,7 +65,7 @@
         server_host = await self.start_host(FunctionReducer())
         caller = FunctionReducer()
         host = await self.start_host(caller)
-        obey(host, self._call(1, server_host.internal_address, deadline_s=0.05))
+        execute(host, self._call(1, server_host.internal_address, deadline_s=0.05))
         failed = await caller.wait_for(ev.CallFailed, call_id=1)
         self.assertTrue(failed.maybe_delivered)
 
@@ -77,7 +77,7 @@
         late = fx.Call(
             1, server_host.internal_address, ReadStatusRequest(), 5.0, not_after=host._loop.time()
         )
-        obey(host, late, self._call(2, server_host.internal_address))
+        execute(host, late, self._call(2, server_host.internal_address))
         await server.wait_for(ev.CallArrived)
         failed = await caller.wait_for(ev.CallFailed, call_id=1)
         self.assertFalse(failed.maybe_delivered)
@@ -86,7 +86,7 @@
     async def test_compute_gives_its_result_or_error(self) -> None:
         reducer = FunctionReducer()
         host = await self.start_host(reducer)
-        obey(host, fx.Compute(1, sum, (1, 2)), fx.Compute(2, int, "x"))
+        execute(host, fx.Compute(1, sum, (1, 2)), fx.Compute(2, int, "x"))
         self.assertEqual((await reducer.wait_for(ev.Computed, ticket=1)).result, 3)
         self.assertIn("ValueError", (await reducer.wait_for(ev.Computed, ticket=2)).error)
 
@@ -94,8 +94,8 @@
         with tempfile.TemporaryDirectory() as folder:
             reducer = FunctionReducer()
             host = await self.start_host(reducer, data_folder=folder)
-            obey(host, *[fx.WriteRecords(n, "log", (bytes([n]),)) for n in range(5)])
-            obey(host, fx.RewriteFile(9, "state", (b"x", b"y")))
+            execute(host, *[fx.WriteRecords(n, "log", (bytes([n]),)) for n in range(5)])
+            execute(host, fx.RewriteFile(9, "state", (b"x", b"y")))
             for ticket in (*range(5), 9):
                 await reducer.wait_for(ev.WriteFinished, ticket=ticket)
             identity = reducer.of_type(ev.Started)[0].disk_identity
@@ -111,7 +111,7 @@
     async def test_write_without_a_folder_fails(self) -> None:
         reducer = FunctionReducer()
         host = await self.start_host(reducer)
-        obey(host, fx.WriteRecords(1, "log", (b"",)))
+        execute(host, fx.WriteRecords(1, "log", (b"",)))
         await reducer.wait_for(ev.WriteFailed, ticket=1)
 
     async def test_exception_is_a_broken_invariant(self) -> None:
@@ -137,12 +137,12 @@
     async def test_a_machine_without_a_disk_keeps_its_state_in_memory(self) -> None:
         reducer = FunctionReducer()
         host = await self.start_host(reducer, memory_only=True)
-        obey(host, fx.WriteRecords(7, "file", (b"a",)), fx.RewriteFile(8, "file", (b"b",)))
+        execute(host, fx.WriteRecords(7, "file", (b"a",)), fx.RewriteFile(8, "file", (b"b",)))
         await reducer.wait_for(ev.WriteFinished, ticket=7)
         await reducer.wait_for(ev.WriteFinished, ticket=8)
 
     async def test_a_process_that_should_have_a_folder_fails_without_one(self) -> None:
         reducer = FunctionReducer()
         host = await self.start_host(reducer)
-        obey(host, fx.WriteRecords(7, "file", (b"a",)))
+        execute(host, fx.WriteRecords(7, "file", (b"a",)))
         await reducer.wait_for(ev.WriteFailed, ticket=7)
--- a/tests/test_runtime_http.py
+++ b/tests/test_runtime_http.py
@@ -15,7 +15,7 @@
     TEST_LIMIT_S,
     FunctionReducer,
     HostCase,
-    obey,
+    execute,
     raw_exchange,
 )
 
@@ -52,7 +52,7 @@
 
     def call(self, call_id: int, path: str, body: bytes = b"", **options: object) -> None:
         settings = {"deadline_s": 10.0, "address": self.address, "method": "POST", **options}
-        obey(self.host, fx.HttpCall(call_id=call_id, path=path, body=body, **settings))
+        execute(self.host, fx.HttpCall(call_id=call_id, path=path, body=body, **settings))
 
 
 class HttpTest(HttpCase):
@@ -126,7 +126,7 @@
     async def test_cancelled_call_says_nothing_more_and_closes(self) -> None:
         self.call(1, "/never")
         await self.server.wait_for(ev.HttpRequestArrived)
-        obey(self.host, fx.CancelHttpCall(1))
+        execute(self.host, fx.CancelHttpCall(1))
         await self.server.wait_for(ev.HttpRequestClosed)
         self.assertEqual(self.caller.events[1:], [])
 
@@ -191,14 +191,14 @@
         self.server.respond = relay
         reader, _ = await self.open_stream("/relay")
         arrived = await source.wait_for(ev.HttpRequestArrived)
-        obey(source_host, fx.HttpStreamStart(arrived.request_id, 200))
+        execute(source_host, fx.HttpStreamStart(arrived.request_id, 200))
         for _ in range(12):
-            obey(source_host, fx.HttpStreamChunk(arrived.request_id, piece))
-        obey(source_host, fx.HttpStreamEnd(arrived.request_id))
+            execute(source_host, fx.HttpStreamChunk(arrived.request_id, piece))
+        execute(source_host, fx.HttpStreamEnd(arrived.request_id))
         await self.server.wait_for(ev.HttpBodyChunk)
-        exchange = self.server_host._http_port.exchanges[self.caller_request]
+        exchange = self.server_host._http_port.exchanges.by_request_id[self.caller_request]
         async with asyncio.timeout(TEST_LIMIT_S):
-            while exchange.room() is None:
+            while exchange.writable() is None:
                 await asyncio.sleep(0)
         self.assertEqual(self.server.of_type(ev.HttpResponseCompleted), [])
         self.assertLess(exchange.unsent_bytes, 2 * len(piece))
@@ -212,7 +212,7 @@
         await self.open_stream("/any")
         arrived = await self.server.wait_for(ev.HttpRequestArrived)
         piece = fx.HttpStreamChunk(arrived.request_id, b"x" * 1024 * 1024)
-        obey(self.server_host, fx.HttpStreamStart(arrived.request_id, 200), *[piece] * 40)
+        execute(self.server_host, fx.HttpStreamStart(arrived.request_id, 200), *[piece] * 40)
         await self.server.wait_for(ev.HttpRequestClosed)
 
     async def test_stopping_lets_a_whole_answer_out(self) -> None:
@@ -220,7 +220,7 @@
         reader, _ = await self.open_stream("/any")
         arrived = await self.server.wait_for(ev.HttpRequestArrived)
         answer = fx.HttpRespond(arrived.request_id, 200, b"x" * 8 * 1024 * 1024)
-        obey(self.server_host, answer, fx.StopProcess(0, "test"))
+        execute(self.server_host, answer, fx.StopProcess(0, "test"))
         received = 0
         while chunk := await asyncio.wait_for(reader.read(1 << 20), 20.0):
             received += chunk.count(b"x")
