--- a/rooklug/core/backup.py
+++ b/rooklug/core/backup.py
@@ -1,4 +1,4 @@
-"""The member's side of replication: what a core answers to a primary."""
+"""The backup's side of replication: what a core answers to a primary."""
 
 from collections.abc import Callable
 
@@ -13,7 +13,7 @@
     runs_from_wire,
     view_from_wire,
 )
-from rooklug.core.store import CopyStore
+from rooklug.core.store import ReplicaStore
 from rooklug.core.types import Position
 from rooklug.core.witness import Witness
 from rooklug.wire.generated.core import ttypes as wire
@@ -21,53 +21,53 @@
 
 @attrs.define(eq=False)
 class IncomingSnapshot:
-    """Parts received so far of the snapshot that ``epoch``'s primary sends."""
+    """Chunks received so far of the snapshot that ``epoch``'s primary sends."""
 
     epoch: int
     position: Position | None = None
-    parts: list[bytes] = attrs.field(factory=list)
+    chunks: list[bytes] = attrs.field(factory=list)
 
 
 class Backup:
     """Follows one primary at a time.
 
     ``verified_epoch``: the epoch whose primary has compared this log with its own; only
-    its entries and commits are taken. ``on_heard(epoch, primary_id, now)`` follows each
-    sign of life of a primary that isn't outdated.
+    its entries and commits are taken. ``on_primary_seen(epoch, primary_id, now)`` follows each
+    message of a primary that isn't outdated, ``on_diverged(reason, now)`` a broken invariant.
     """
 
     def __init__(
         self,
         outbox: Outbox,
         witness: Witness,
-        store: CopyStore,
-        on_heard: Callable[[int, str, float], None],
+        store: ReplicaStore,
+        on_primary_seen: Callable[[int, str, float], None],
         on_diverged: Callable[[str, float], None],
     ) -> None:
         self._outbox = outbox
         self._witness = witness
         self._store = store
-        self._on_heard = on_heard
+        self._on_primary_seen = on_primary_seen
         self._on_diverged = on_diverged
         self._incoming: IncomingSnapshot | None = None
-        self.heard_epoch = 0
+        self.latest_primary_epoch = 0
         self.verified_epoch = 0
 
     @property
-    def _promised(self) -> int:
+    def _promised_epoch(self) -> int:
         return self._witness.state.promised_epoch
 
     def on_heartbeat(self, call_id: int, request: wire.HeartbeatRequest, now: float) -> None:
-        """Support the primary for another quiet time."""
-        ok = request.epoch >= max(self._promised, self.heard_epoch)
+        """Support the primary: its lease is guarded for another ``LEASE_GUARD_S``."""
+        ok = request.epoch >= max(self._promised_epoch, self.latest_primary_epoch)
         if ok:
             primary = disk_from_wire(request.primary)
-            self._witness.hear(primary, request.epoch, now)
-            self._heard(request.epoch, primary.core_id, now)
+            self._witness.record_heartbeat(primary, request.epoch, now)
+            self._record_primary(request.epoch, primary.core_id, now)
             self._commit(request.epoch, request.committed)
         answer = wire.HeartbeatAnswer(
             ok=ok,
-            promised_epoch=self._promised,
+            promised_epoch=self._promised_epoch,
             member=disk_to_wire(self._witness.state.own),
             voting=self._witness.state.voting,
             # Support that a restart would forget doesn't count: see ``Witness.load``.
@@ -76,20 +76,20 @@
         self._outbox.answer(call_id, answer)
 
     def on_start_view(self, call_id: int, request: wire.StartViewRequest, now: float) -> None:
-        """Compare this log with the primary's, and cut what it doesn't have."""
+        """Compare this log with the primary's, and truncate what that doesn't have."""
         view = view_from_wire(request.view)
         state = witness_rules.learn_view(self._witness.state, view)
         if state is None:
             self._outbox.answer(call_id, self._start_answer(False, False))
             return
-        self._heard(view.epoch, view.primary_id, now)
+        self._record_primary(view.epoch, view.primary_id, now)
         needs_snapshot = not self._match(view.epoch, request, now)
         answer = self._start_answer(not needs_snapshot, needs_snapshot)
         self._witness.save(state, now, lambda now: self._outbox.answer(call_id, answer))
 
     def on_append(self, call_id: int, request: wire.AppendRequest, now: float) -> None:
         """Append what this log lacks; answer once it is synced."""
-        outdated = request.epoch < self._promised or request.epoch != self.verified_epoch
+        outdated = request.epoch < self._promised_epoch or request.epoch != self.verified_epoch
         if outdated or not self._follows(request.previous):
             self._outbox.answer(call_id, self._append_answer(False))
             return
@@ -103,40 +103,42 @@
             fresh, now, lambda now: self._outbox.answer(call_id, self._append_answer(True))
         )
 
-    def on_snapshot_part(self, call_id: int, request: wire.SnapshotPartRequest, now: float) -> None:
-        """Gather a snapshot; install it with its last part."""
+    def on_snapshot_chunk(
+        self, call_id: int, request: wire.SnapshotPartRequest, now: float
+    ) -> None:
+        """Collect a snapshot's chunks; install it with the last one."""
         incoming = self._incoming
-        wanted = incoming is not None and request.epoch == incoming.epoch >= self._promised
-        if not wanted or not _take_part(incoming, request):
-            self._outbox.answer(call_id, self._part_answer(False))
+        wanted = incoming is not None and request.epoch == incoming.epoch >= self._promised_epoch
+        if not wanted or not _take_chunk(incoming, request):
+            self._outbox.answer(call_id, self._chunk_answer(False))
             return
-        if len(incoming.parts) < request.parts:
-            self._outbox.answer(call_id, self._part_answer(True))
+        if len(incoming.chunks) < request.parts:
+            self._outbox.answer(call_id, self._chunk_answer(True))
             return
         self._incoming = None
-        problem = self._store.install(incoming.position, incoming.parts, now)
+        problem = self._store.install(incoming.position, incoming.chunks, now)
         if problem:
-            self._outbox.log("error", "a snapshot can't be read", problem=problem)
-            self._outbox.answer(call_id, self._part_answer(False))
+            self._outbox.log("error", "snapshot unreadable", problem=problem)
+            self._outbox.answer(call_id, self._chunk_answer(False))
             return
         self.verified_epoch = request.epoch
         self._store.after_entries(
-            [], now, lambda now: self._outbox.answer(call_id, self._part_answer(True))
+            [], now, lambda now: self._outbox.answer(call_id, self._chunk_answer(True))
         )
 
-    def _heard(self, epoch: int, primary_id: str, now: float) -> None:
-        self.heard_epoch = max(self.heard_epoch, epoch)
-        self._on_heard(epoch, primary_id, now)
+    def _record_primary(self, epoch: int, primary_id: str, now: float) -> None:
+        self.latest_primary_epoch = max(self.latest_primary_epoch, epoch)
+        self._on_primary_seen(epoch, primary_id, now)
 
     def _commit(self, epoch: int, committed: int) -> None:
         if epoch == self.verified_epoch:
             self._store.commit_to(committed)
 
     def _match(self, epoch: int, request: wire.StartViewRequest, now: float) -> bool:
-        """Make this log a prefix of the primary's; False when it needs a snapshot.
+        """Make this log a prefix of the primary's; return False when it needs a snapshot.
 
-        Entries of the view's own epoch come from its primary: they are never cut, also not
-        by a request that was late.
+        Entries of the view's own epoch come from its primary: they are never truncated, not
+        even by a request that was late.
         """
         if self.verified_epoch == epoch or self._store.last.epoch == epoch:
             self.verified_epoch = epoch
@@ -152,7 +154,7 @@
         if matched < self._store.committed:
             self._on_diverged(f"committed entries after {matched} aren't the primary's", now)
             return False
-        self._store.cut_after(matched, now)
+        self._store.truncate_after(matched, now)
         self.verified_epoch = epoch
         return True
 
@@ -164,25 +166,27 @@
     def _start_answer(self, ok: bool, needs_snapshot: bool) -> wire.StartViewAnswer:
         return wire.StartViewAnswer(
             ok=ok,
-            promised_epoch=self._promised,
+            promised_epoch=self._promised_epoch,
             member=disk_to_wire(self._witness.state.own),
             needs_snapshot=needs_snapshot,
             matched=self._store.last.sequence,
         )
 
     def _append_answer(self, ok: bool) -> wire.AppendAnswer:
-        return wire.AppendAnswer(ok=ok, promised_epoch=self._promised, synced=self._store.synced)
+        return wire.AppendAnswer(
+            ok=ok, promised_epoch=self._promised_epoch, synced=self._store.synced
+        )
 
-    def _part_answer(self, ok: bool) -> wire.SnapshotPartAnswer:
-        return wire.SnapshotPartAnswer(ok=ok, promised_epoch=self._promised)
+    def _chunk_answer(self, ok: bool) -> wire.SnapshotPartAnswer:
+        return wire.SnapshotPartAnswer(ok=ok, promised_epoch=self._promised_epoch)
 
 
-def _take_part(incoming: IncomingSnapshot, request: wire.SnapshotPartRequest) -> bool:
+def _take_chunk(incoming: IncomingSnapshot, request: wire.SnapshotPartRequest) -> bool:
     position = position_from_wire(request.position)
     if request.index == 0:
         incoming.position = position
-        incoming.parts = []
-    if position != incoming.position or request.index != len(incoming.parts):
+        incoming.chunks = []
+    if position != incoming.position or request.index != len(incoming.chunks):
         return False
-    incoming.parts.append(request.record)
+    incoming.chunks.append(request.record)
     return True
--- a/rooklug/core/build.py
+++ b/rooklug/core/build.py
@@ -1,7 +1,7 @@
-"""Builds the parts of the core role that keep the control state."""
+"""Builds the components of the core role that keep the control state."""
 
+from rooklug.core.control_state_component import ControlStateComponent
 from rooklug.core.documents import DocumentChecker
-from rooklug.core.node import ControlStateComponent
 from rooklug.engine.component import Component
 from rooklug.engine.reducer import ProcessContext
 from rooklug.model.settings import CoreSettings
@@ -10,7 +10,7 @@
 def build_core_components(
     settings: CoreSettings, context: ProcessContext, checker: DocumentChecker | None = None
 ) -> list[Component]:
-    """Return the parts; ``checker`` replaces the functions of ``rooklug.config`` in tests."""
+    """Return the components; ``checker`` replaces the functions of ``rooklug.config`` in tests."""
     return [ControlStateComponent(settings, context, checker or _default_checker())]
 
 
--- a/rooklug/core/ledger.py
+++ b/rooklug/core/change_history.py
@@ -1,4 +1,7 @@
-"""Which changes are taken: the committed ones, and those appended but not yet committed."""
+"""Identities of changes that were taken: committed ones, and appended ones that may yet commit.
+
+It makes operators' requests idempotent: the same request again gets the first answer again.
+"""
 
 from collections.abc import Iterable
 from enum import Enum
@@ -8,23 +11,24 @@
 from rooklug.core.control_state import ControlState
 from rooklug.wire.generated.core.ttypes import ConfigurationChange, LogEntry, ZoneChange
 
-COMMITTED = 0
+ALREADY_COMMITTED = 0
+"""The sequence that a classification depends on when no entry is open."""
 
 
 class Verdict(Enum):
-    """What is to be done with a submitted change."""
+    """What is known of a submitted change."""
 
-    FRESH = "take it"
-    REPEATED = "it is taken already"
-    CONFLICT = "another change stands in its way"
+    FRESH = "its identity is new"
+    REPEATED = "the same change was taken already"
+    CONFLICT = "another change has its identity, or a newer version exists"
 
 
 @attrs.frozen
-class Judgement:
-    """A verdict that holds once the entry ``evidence`` is committed."""
+class Classification:
+    """A verdict that holds once the entry with the sequence ``depends_on`` is committed."""
 
     verdict: Verdict
-    evidence: int = COMMITTED
+    depends_on: int = ALREADY_COMMITTED
 
 
 @attrs.frozen
@@ -43,8 +47,8 @@
     sequence: int
 
 
-class Ledger:
-    """Judges identities: (version, digest) of changes, ids of zone orders."""
+class ChangeHistory:
+    """Classifies by identity: (version, digest) of a change, the operation id of a zone order."""
 
     def __init__(self, state: ControlState, uncommitted: Iterable[LogEntry]) -> None:
         self._state = state
@@ -55,7 +59,7 @@
             self.add(entry)
 
     def add(self, entry: LogEntry) -> None:
-        """Note an appended entry."""
+        """Add an appended entry."""
         if entry.configuration is not None:
             self._newest = PendingChange(entry.configuration, entry.sequence)
             self._changes[entry.configuration.version] = self._newest
@@ -63,7 +67,7 @@
             self._zones[entry.zone.operation_id] = PendingZone(entry.zone, entry.sequence)
 
     def forget_committed(self, committed: int) -> None:
-        """Drop what the committed state tells by itself."""
+        """Drop entries that the committed state covers."""
         self._changes = {v: p for v, p in self._changes.items() if p.sequence > committed}
         self._zones = {i: p for i, p in self._zones.items() if p.sequence > committed}
         if self._newest is not None and self._newest.sequence <= committed:
@@ -74,31 +78,33 @@
         """The newest change taken, committed or not."""
         return self._newest.change if self._newest else self._state.configuration
 
-    def judge_change(self, version: int, digest: str, base_version: int | None) -> Judgement:
-        """Judge a change; ``base_version`` is None for a whole document."""
+    def classify_change(
+        self, version: int, digest: str, base_version: int | None
+    ) -> Classification:
+        """Classify a change; ``base_version`` is None for a complete document."""
         pending = self._changes.get(version)
         if pending is not None:
-            return _same(pending.change.digest == digest, pending.sequence)
+            return _repeat_or_conflict(pending.change.digest == digest, pending.sequence)
         committed = self._state.changes.get(version)
         if committed is not None:
-            return _same(committed.hex() == digest, COMMITTED)
+            return _repeat_or_conflict(committed.hex() == digest, ALREADY_COMMITTED)
         newest_version = self.newest.version if self.newest else 0
         outdated = base_version is not None and base_version != newest_version
         if version <= newest_version or outdated:
-            evidence = self._newest.sequence if self._newest else COMMITTED
-            return Judgement(Verdict.CONFLICT, evidence)
-        return Judgement(Verdict.FRESH)
+            depends_on = self._newest.sequence if self._newest else ALREADY_COMMITTED
+            return Classification(Verdict.CONFLICT, depends_on)
+        return Classification(Verdict.FRESH)
 
-    def judge_zone(self, change: ZoneChange) -> Judgement:
-        """Judge a zone order; an id that was used for another order is a conflict."""
+    def classify_zone(self, change: ZoneChange) -> Classification:
+        """Classify a zone order; an id that was used for another order is a conflict."""
         pending = self._zones.get(change.operation_id)
         if pending is not None:
-            return _same(pending.change == change, pending.sequence)
+            return _repeat_or_conflict(pending.change == change, pending.sequence)
         committed = self._state.operations.get(change.operation_id)
         if committed is not None:
-            return _same(committed == change, COMMITTED)
-        return Judgement(Verdict.FRESH)
+            return _repeat_or_conflict(committed == change, ALREADY_COMMITTED)
+        return Classification(Verdict.FRESH)
 
 
-def _same(same: bool, evidence: int) -> Judgement:
-    return Judgement(Verdict.REPEATED if same else Verdict.CONFLICT, evidence)
+def _repeat_or_conflict(is_same: bool, depends_on: int) -> Classification:
+    return Classification(Verdict.REPEATED if is_same else Verdict.CONFLICT, depends_on)
--- a/rooklug/core/changes.py
+++ b/rooklug/core/changes.py
@@ -1,20 +1,22 @@
-"""Takes operators' changes at the primary, and answers each when its fate is known.
+"""Takes operators' changes at the primary, and answers each once its outcome is certain.
 
-Answers: "unknown" only for a change that is appended and may yet commit, "unavailable"
-only for one that certainly isn't taken by this request.
+A change that is appended and may yet commit is never answered as refused: if the primary steps
+down meanwhile, its outcome is ``UNKNOWN``. ``UNAVAILABLE`` is said only of a change that this
+request certainly doesn't bring about.
 """
 
 import hashlib
 from collections import deque
+from enum import Enum
 
 import attrs
 
+from rooklug.core.change_history import ChangeHistory, Classification, Verdict
 from rooklug.core.constants import MAX_NAME_LENGTH, MAX_WAITING_CHANGES, QUORUM_WAIT_S
 from rooklug.core.documents import CheckOutcome, CheckTask, DocumentChecker
-from rooklug.core.leader import Leader
-from rooklug.core.ledger import Judgement, Ledger, Verdict
 from rooklug.core.outbox import Outbox
-from rooklug.core.store import CopyStore
+from rooklug.core.primary import Primary
+from rooklug.core.store import ReplicaStore
 from rooklug.engine import effects as fx
 from rooklug.model.constants import MAX_SAFE_INTEGER
 from rooklug.model.versions import is_newer
@@ -27,9 +29,24 @@
 from rooklug.wire.generated.core.ttypes import ConfigurationChange, LogEntry, ZoneChange
 
 
+class Outcome(Enum):
+    """The outcome of a request; the values travel in the answer."""
+
+    ACCEPTED = "accepted"
+    CONFLICT = "conflict"
+    INVALID = "invalid"
+    NOT_PRIMARY = "not_primary"
+    UNAVAILABLE = "unavailable"
+    UNKNOWN = "unknown"
+
+
 @attrs.define(eq=False)
 class Submission:
-    """One operator's request. ``sequence`` is set once its fate hangs on that entry."""
+    """One operator's request.
+
+    ``sequence`` is the log entry that must be committed before ``outcome`` may be answered;
+    ``repeated``: that entry came with an earlier request of the same identity.
+    """
 
     call_id: int
     request: SubmitChangeRequest | SetZoneRequest
@@ -37,7 +54,7 @@
     checked: bool = False
     document: bytes = b""
     sequence: int = 0
-    outcome: str = "accepted"
+    outcome: Outcome = Outcome.ACCEPTED
     repeated: bool = False
 
     @property
@@ -55,16 +72,16 @@
     """Checks, appends in order of arrival, and answers."""
 
     def __init__(
-        self, outbox: Outbox, store: CopyStore, leader: Leader, checker: DocumentChecker
+        self, outbox: Outbox, store: ReplicaStore, primary: Primary, checker: DocumentChecker
     ) -> None:
         self._outbox = outbox
         self._store = store
-        self._leader = leader
+        self._primary = primary
         self._checker = checker
-        self._ledger: Ledger | None = None
-        self._checking: dict[int, Submission] = {}
-        self._waiting: deque[Submission] = deque()
-        self._undecided: deque[Submission] = deque()
+        self._history: ChangeHistory | None = None
+        self._in_check: dict[int, Submission] = {}
+        self._queue: deque[Submission] = deque()
+        self._uncommitted: deque[Submission] = deque()
         self.accepted_count = 0
 
     def submit(
@@ -74,13 +91,13 @@
         submission = Submission(call_id, request, now)
         problems = _request_problems(request)
         if problems:
-            self._answer(submission, "invalid", problems=problems)
-        elif self._decided(submission, self._judge(submission)):
+            self._answer(submission, Outcome.INVALID, problems=problems)
+        elif self._is_answered_by_history(submission, self._classify(submission)):
             return
-        elif self._is_outdated(request) or len(self._waiting) >= MAX_WAITING_CHANGES:
-            self._answer(submission, "unavailable")
+        elif self._is_overtaken(request) or len(self._queue) >= MAX_WAITING_CHANGES:
+            self._answer(submission, Outcome.UNAVAILABLE)
         else:
-            self._waiting.append(submission)
+            self._queue.append(submission)
             if isinstance(request, SubmitChangeRequest):
                 self._check(submission, request)
             else:
@@ -89,107 +106,109 @@
 
     def computed(self, ticket: int, outcome: CheckOutcome | None, error: str, now: float) -> None:
         """Take the result of a check."""
-        submission = self._checking.pop(ticket, None)
+        submission = self._in_check.pop(ticket, None)
         if submission is None:
             return
         if error or outcome is None:
-            self._outbox.log("error", "a check failed", error=error)
-            self._waiting.remove(submission)
-            self._answer(submission, "unavailable")
+            self._outbox.log("error", "configuration check failed", error=error)
+            self._queue.remove(submission)
+            self._answer(submission, Outcome.UNAVAILABLE)
         elif outcome.problems:
-            self._waiting.remove(submission)
-            self._answer(submission, "invalid", problems=outcome.problems)
+            self._queue.remove(submission)
+            self._answer(submission, Outcome.INVALID, problems=outcome.problems)
         submission.checked = True
         submission.document = outcome.document if outcome else b""
         self.append_ready(now)
 
     def append_ready(self, now: float) -> None:
         """Append what is checked, in order of arrival, when the primary may append."""
-        if not self._leader.may_append(now):
+        if not self._primary.may_append(now):
             return
-        while self._waiting and self._waiting[0].checked:
-            submission = self._waiting.popleft()
-            if not self._decided(submission, self._judge(submission)):
+        while self._queue and self._queue[0].checked:
+            submission = self._queue.popleft()
+            if not self._is_answered_by_history(submission, self._classify(submission)):
                 self._append(submission)
-        self._leader.replicator.pump(now)
+        self._primary.replicator.pump(now)
 
     def committed(self, now: float) -> None:
-        """Answer everything that hangs on committed entries."""
+        """Answer every request whose entry is committed now."""
         committed = self._store.committed
-        if self._ledger is not None:
-            self._ledger.forget_committed(committed)
-        waiting, self._undecided = self._undecided, deque()
+        if self._history is not None:
+            self._history.forget_committed(committed)
+        waiting, self._uncommitted = self._uncommitted, deque()
         for submission in waiting:
             if submission.sequence <= committed:
                 self._deliver(submission)
             else:
-                self._undecided.append(submission)
+                self._uncommitted.append(submission)
 
     def tick(self, now: float) -> None:
-        """Refuse what has waited too long for a second member in sync."""
+        """Refuse requests that have waited for a quorum longer than ``QUORUM_WAIT_S``."""
         self.append_ready(now)
-        while self._waiting and self._waiting[0].checked:
-            if now < self._waiting[0].arrived_at + QUORUM_WAIT_S:
+        while self._queue and self._queue[0].checked:
+            if now < self._queue[0].arrived_at + QUORUM_WAIT_S:
                 return
-            self._answer(self._waiting.popleft(), "unavailable")
+            self._answer(self._queue.popleft(), Outcome.UNAVAILABLE)
 
     def stopped(self, now: float) -> None:
-        """The primary acts no more: appended changes are unknown, others aren't taken."""
-        for submission in self._undecided:
-            lost = submission.outcome == "conflict"
-            self._answer(submission, "unavailable" if lost else "unknown")
-        for submission in self._waiting:
-            self._answer(submission, "unavailable")
-        self._undecided.clear()
-        self._checking.clear()
-        self._waiting.clear()
-        self._ledger = None
-
-    def _is_outdated(self, request: SubmitChangeRequest | SetZoneRequest) -> bool:
-        """Tell whether a zone order was held up on its way while later ones were taken.
-
-        Its operator has long gone on: carried out now, it would undo what came after it.
+        """The primary has stepped down: appended changes are unknown, others aren't taken."""
+        for submission in self._uncommitted:
+            conflicts = submission.outcome is Outcome.CONFLICT
+            self._answer(submission, Outcome.UNAVAILABLE if conflicts else Outcome.UNKNOWN)
+        for submission in self._queue:
+            self._answer(submission, Outcome.UNAVAILABLE)
+        self._uncommitted.clear()
+        self._in_check.clear()
+        self._queue.clear()
+        self._history = None
+
+    def _is_overtaken(self, request: SubmitChangeRequest | SetZoneRequest) -> bool:
+        """Return whether a zone order was delayed on its way while later ones were taken.
+
+        Executed now, it would undo what came after it.
         """
         if not isinstance(request, SetZoneRequest) or request.known_zones is None:
             return False
         return is_newer(self._store.state.zones_version(), request.known_zones)
 
-    def _judge(self, submission: Submission) -> Judgement:
-        if self._ledger is None:
+    def _classify(self, submission: Submission) -> Classification:
+        if self._history is None:
             uncommitted = self._store.log.after(self._store.committed)
-            self._ledger = Ledger(self._store.state, uncommitted)
+            self._history = ChangeHistory(self._store.state, uncommitted)
         request = submission.request
         if isinstance(request, SetZoneRequest):
-            return self._ledger.judge_zone(submission.zone_change)
-        rests_on_base = request.is_patch or request.base_required
-        base_version = request.base_version if rests_on_base else None
-        return self._ledger.judge_change(request.version, request.digest, base_version)
-
-    def _decided(self, submission: Submission, judgement: Judgement) -> bool:
-        """Answer a repeat or a conflict, once what it rests on is committed."""
-        if judgement.verdict is Verdict.FRESH:
+            return self._history.classify_zone(submission.zone_change)
+        depends_on_base = request.is_patch or request.base_required
+        base_version = request.base_version if depends_on_base else None
+        return self._history.classify_change(request.version, request.digest, base_version)
+
+    def _is_answered_by_history(
+        self, submission: Submission, classification: Classification
+    ) -> bool:
+        """Answer a repeat or a conflict, once the entry that it depends on is committed."""
+        if classification.verdict is Verdict.FRESH:
             return False
-        submission.repeated = judgement.verdict is Verdict.REPEATED
-        submission.outcome = "accepted" if submission.repeated else "conflict"
-        submission.sequence = judgement.evidence
-        if judgement.evidence <= self._store.committed:
+        submission.repeated = classification.verdict is Verdict.REPEATED
+        submission.outcome = Outcome.ACCEPTED if submission.repeated else Outcome.CONFLICT
+        submission.sequence = classification.depends_on
+        if classification.depends_on <= self._store.committed:
             self._deliver(submission)
         else:
-            self._undecided.append(submission)
+            self._uncommitted.append(submission)
         return True
 
     def _check(self, submission: Submission, request: SubmitChangeRequest) -> None:
         base_document = None
         if request.is_patch:
-            newest = self._ledger.newest
+            newest = self._history.newest
             base_document = newest.document if newest else b""
         ticket = self._outbox.identifiers.next()
-        self._checking[ticket] = submission
+        self._in_check[ticket] = submission
         task = CheckTask(request.body, base_document)
         self._outbox.add(fx.Compute(ticket, self._checker.check, task))
 
     def _append(self, submission: Submission) -> None:
-        entry = LogEntry(epoch=self._leader.epoch, sequence=self._store.last.sequence + 1)
+        entry = LogEntry(epoch=self._primary.epoch, sequence=self._store.last.sequence + 1)
         request = submission.request
         if isinstance(request, SubmitChangeRequest):
             entry.configuration = ConfigurationChange(
@@ -199,40 +218,48 @@
             entry.zone = submission.zone_change
         if not self._store.log.append(entry):
             raise AssertionError("an entry of the primary doesn't follow its own log")
-        self._ledger.add(entry)
+        self._history.add(entry)
         submission.sequence = entry.sequence
-        self._undecided.append(submission)
+        self._uncommitted.append(submission)
 
     def _deliver(self, submission: Submission) -> None:
-        if submission.outcome == "accepted" and not submission.repeated:
+        if submission.outcome is Outcome.ACCEPTED and not submission.repeated:
             self.accepted_count += 1
         self._answer(submission, submission.outcome)
 
-    def _answer(self, submission: Submission, outcome: str, problems: tuple[str, ...] = ()) -> None:
+    def _answer(
+        self, submission: Submission, outcome: Outcome, problems: tuple[str, ...] = ()
+    ) -> None:
         request = submission.request
         if isinstance(request, SubmitChangeRequest):
             answer = self._change_answer(request, outcome, submission.repeated, problems)
         else:
-            if outcome == "conflict":
-                outcome = "invalid"
+            if outcome is Outcome.CONFLICT:
+                outcome = Outcome.INVALID
                 problems = ("operation_id: it was used for another order",)
-            answer = SetZoneAnswer(outcome=outcome, primary_address="", problems=list(problems))
+            answer = SetZoneAnswer(
+                outcome=outcome.value, primary_address="", problems=list(problems)
+            )
         self._outbox.answer(submission.call_id, answer)
 
     def _change_answer(
-        self, request: SubmitChangeRequest, outcome: str, repeated: bool, problems: tuple[str, ...]
+        self,
+        request: SubmitChangeRequest,
+        outcome: Outcome,
+        repeated: bool,
+        problems: tuple[str, ...],
     ) -> SubmitChangeAnswer:
         version, digest = request.version, request.digest
-        if outcome == "conflict":
+        if outcome is Outcome.CONFLICT:
             version = self._store.state.version
             digest = self._store.state.changes.get(request.version, b"").hex()
         return SubmitChangeAnswer(
-            outcome=outcome,
+            outcome=outcome.value,
             version=version,
             digest=digest,
             problems=list(problems),
             primary_address="",
-            repeated=repeated and outcome == "accepted",
+            repeated=repeated and outcome is Outcome.ACCEPTED,
         )
 
 
--- a/rooklug/core/control_state.py
+++ b/rooklug/core/control_state.py
@@ -1,11 +1,11 @@
-"""The committed control state: configuration, accepted changes, zones, operations."""
+"""The committed control state: configuration, identities of changes, zones, zone orders."""
 
 import hashlib
 from collections.abc import Iterable
 from itertools import islice
 from typing import TypeVar
 
-from rooklug.core.constants import CHANGES_PER_PART, OPERATIONS_PER_PART
+from rooklug.core.constants import CHANGES_PER_CHUNK, OPERATIONS_PER_CHUNK
 from rooklug.core.records import position_from_wire, position_to_wire
 from rooklug.core.types import START, Position
 from rooklug.model.versions import ZERO_VERSION
@@ -72,43 +72,43 @@
         return VersionMark(epoch=self.zones_position.epoch, counter=self.zones_position.sequence)
 
     def zones_body(self) -> ZonesBody:
-        """Return the emptied zones."""
+        """Return the drained zones."""
         return ZonesBody(emptied_zones=sorted(self.drained_zones))
 
-    def snapshot_parts(self) -> list[LogRecord]:
-        """Return records that rebuild this state, each of bounded size."""
-        parts = [
+    def snapshot_chunks(self) -> list[LogRecord]:
+        """Return records that rebuild this state, each of bounded size (a snapshot's chunks)."""
+        chunks = [
             SnapshotPart(changes=b"".join(map(_pack_change, group)))
-            for group in _groups(self.changes.items(), CHANGES_PER_PART)
+            for group in _groups(self.changes.items(), CHANGES_PER_CHUNK)
         ]
-        parts += [
+        chunks += [
             SnapshotPart(operations=list(group))
-            for group in _groups(self.operations.values(), OPERATIONS_PER_PART)
+            for group in _groups(self.operations.values(), OPERATIONS_PER_CHUNK)
         ]
         if self.configuration is not None:
-            parts.append(
+            chunks.append(
                 SnapshotPart(
                     configuration=self.configuration, configuration_epoch=self.configuration_epoch
                 )
             )
-        parts.append(
+        chunks.append(
             SnapshotPart(
                 emptied_zones=sorted(self.drained_zones),
                 zones_position=position_to_wire(self.zones_position),
             )
         )
-        return [LogRecord(part=part) for part in parts]
+        return [LogRecord(part=chunk) for chunk in chunks]
 
-    def load_part(self, part: SnapshotPart) -> None:
-        """Take one part of a snapshot."""
-        self.changes.update(_unpack_changes(part.changes or b""))
-        for operation in part.operations or ():
+    def load_chunk(self, chunk: SnapshotPart) -> None:
+        """Take one chunk of a snapshot."""
+        self.changes.update(_unpack_changes(chunk.changes or b""))
+        for operation in chunk.operations or ():
             self.operations[operation.operation_id] = operation
-        if part.configuration is not None:
-            self._set_configuration(part.configuration, part.configuration_epoch or 0)
-        if part.zones_position is not None:
-            self.drained_zones = frozenset(part.emptied_zones or ())
-            self.zones_position = position_from_wire(part.zones_position)
+        if chunk.configuration is not None:
+            self._set_configuration(chunk.configuration, chunk.configuration_epoch or 0)
+        if chunk.zones_position is not None:
+            self.drained_zones = frozenset(chunk.emptied_zones or ())
+            self.zones_position = position_from_wire(chunk.zones_position)
 
     def _set_configuration(self, change: ConfigurationChange, epoch: int) -> None:
         self.configuration = change
--- a/rooklug/core/disk.py
+++ b/rooklug/core/disk.py
@@ -1,4 +1,4 @@
-"""Writes under way on this core's disk, and what waits for them."""
+"""Writes in flight on this core's disk, and the continuations that wait for them."""
 
 from collections.abc import Callable, Sequence
 
@@ -19,7 +19,7 @@
 
 
 class Disk:
-    """Issues writes and tells when they are synced. After a failed write it stays broken."""
+    """Issues writes and runs continuations once they are synced; broken after a failed write."""
 
     def __init__(self, outbox: Outbox) -> None:
         self._outbox = outbox
@@ -51,7 +51,7 @@
             then(now)
 
     def finished(self, ticket: int, now: float) -> None:
-        """Note that a write is synced."""
+        """Take the end of a write."""
         if self._issued.pop(ticket, None) is None or self.broken:
             return
         ready = []
@@ -64,12 +64,12 @@
             barrier.then(now)
 
     def failed(self, reason: str) -> None:
-        """Note that a write failed: what the disk holds is uncertain from here on."""
+        """Take the failure of a write: what the disk has is uncertain from here on."""
         self.broken = reason
         self._barriers.clear()
 
     def oldest_age(self, now: float) -> float:
-        """Return for how long the oldest write has waited, 0 when none does."""
+        """Return for how many seconds the oldest write is in flight, 0 without one."""
         return now - min(self._issued.values()) if self._issued else 0.0
 
     def _issue(self, now: float, then: Continuation | None) -> int:
--- /dev/null
+++ b/rooklug/core/disk_identity.py
@@ -0,0 +1,41 @@
+"""Whether a core may trust its disk at the start; a disk that it can't trust is a new one."""
+
+import attrs
+
+from rooklug.core.constants import WITNESS_FILE
+from rooklug.core.records import witness_from_wire
+from rooklug.core.types import MemberDisk, WitnessState
+from rooklug.engine.events import Started
+from rooklug.wire.codec import decode
+from rooklug.wire.generated.core.ttypes import WitnessRecord
+
+
+@attrs.frozen
+class DiskCheck:
+    """The witness state found on disk, or None with the reason why it can't be trusted."""
+
+    witness: WitnessState | None
+    reason: str
+
+
+def check_disk(event: Started, core_id: str) -> DiskCheck:
+    """Return the last witness record, if the disk is intact and this core's own."""
+    records = event.records.get(WITNESS_FILE, ())
+    if not records:
+        return DiskCheck(None, "the disk is blank")
+    if event.disk_problem:
+        return DiskCheck(None, f"the disk is damaged: {event.disk_problem}")
+    decoded = decode(WitnessRecord, records[-1])
+    if decoded.is_error():
+        return DiskCheck(None, f"the witness record is damaged: {decoded.error.message}")
+    state = witness_from_wire(decoded.ok)
+    if state.own.core_id != core_id:
+        return DiskCheck(None, f"the disk belongs to {state.own.core_id}")
+    if state.folder_identity != event.disk_identity:
+        return DiskCheck(None, "the witness record comes from another folder")
+    return DiskCheck(state, "")
+
+
+def new_incarnation(core_id: str, event: Started, incarnation: str) -> MemberDisk:
+    """Return the identity of a disk's new incarnation; no other process start has the same."""
+    return MemberDisk(core_id, f"{event.disk_identity}:{incarnation}")
--- a/rooklug/core/documents.py
+++ b/rooklug/core/documents.py
@@ -1,4 +1,4 @@
-"""Checks submitted documents; runs outside the event loop, without any state."""
+"""Checks submitted documents, outside the event loop and without state."""
 
 from collections.abc import Callable
 from typing import Any
--- a/rooklug/core/formation.py
+++ b/rooklug/core/formation.py
@@ -1,4 +1,4 @@
-"""How a core without a vote gets one: the first start, after a lost disk, or as a new member."""
+"""How a core without a vote gets one: at the first start, after a lost disk, or by joining."""
 
 from collections.abc import Callable
 
@@ -15,14 +15,14 @@
 FIRST_START = "all three disks are blank: forming the first view"
 NO_FIRST_START = "no core that answers has data, and this is no first start: nothing is formed"
 JOINING = "asks the primary to make it a member"
-DISASTER = (
+DATA_LOSS_SUSPECTED = (
     "two disks are blank beside one with data: this is no first start; "
     "nothing starts by itself, run the runbook recover"
 )
 
 
 class Formation:
-    """Reads the other witnesses until this one may vote. ``note`` says what it waits for."""
+    """Reads the other witnesses until this one may vote; ``waits_for`` is shown in the status."""
 
     def __init__(
         self,
@@ -42,10 +42,10 @@
         self._states: dict[str, WitnessState] = {}
         self._forming: View | None = None
         self._formed: set[str] = set()
-        self.note = WAITING
+        self.waits_for = WAITING
 
     def tick(self, now: float) -> None:
-        """Read again from time to time, while this witness doesn't vote."""
+        """Read every ``READ_WITNESS_S``, while this witness doesn't vote."""
         if self._witness.state.voting or now < self._read_at:
             return
         self._read_at = now + READ_WITNESS_S
@@ -71,7 +71,7 @@
 
     def _take(self, core_id: str, answer: wire.ReadWitnessAnswer, now: float) -> None:
         if not answer.registered:
-            self.note = "this disk was replaced by a newer one: empty its data folder"
+            self.waits_for = "this disk was replaced by a newer one: empty its data folder"
             return
         state = witness_from_wire(answer.state)
         self._states[core_id] = state
@@ -81,7 +81,7 @@
         self._decide(now)
 
     def is_member(self) -> bool:
-        """Tell whether the newest view that was read names this core as a member."""
+        """Return whether the newest view that was read names this core as a member."""
         return self._peers.own_id in self._peers.members_of(self._newest_view())
 
     def _newest_view(self) -> View | None:
@@ -91,14 +91,14 @@
     def _decide(self, now: float) -> None:
         newest = self._newest_view()
         if newest is not None and not self.is_member():
-            self.note = JOINING
+            self.waits_for = JOINING
             return
         members = self._peers.members_of(newest)
         states = [self._states[core_id] for core_id in sorted(self._states) if core_id in members]
         recovered = witness_rules.recover(self._witness.state, states, len(members))
         if recovered is not None:
-            self._outbox.log("info", "the witness votes again", disk=recovered.own.disk_id)
-            self._witness.heard_at = now
+            self._outbox.log("info", "witness may vote again", disk=recovered.own.disk_id)
+            self._witness.last_heartbeat_at = now
             self._witness.save(recovered, now, lambda now: None)
             return
         if len(states) < len(members) - 1:
@@ -113,15 +113,15 @@
         views = [state.view for state in states if state.voting and state.view is not None]
         formed = witness_rules.form(self._witness.state, views[0]) if views else None
         if formed is None:
-            self.note = DISASTER
+            self.waits_for = DATA_LOSS_SUSPECTED
             return
         self._witness.save(formed, now, lambda now: None)
 
     def _form(self, states: list[WitnessState], now: float) -> None:
         if not self._first_start:
-            self.note = NO_FIRST_START
+            self.waits_for = NO_FIRST_START
             return
-        self.note = FIRST_START
+        self.waits_for = FIRST_START
         if self._peers.own_id != min(self._peers.founders):
             return
         own = self._witness.state.own
@@ -152,5 +152,5 @@
         if formed is None:
             return
         self._forming = None
-        self._witness.hear(self._witness.state.own, view.epoch, now)
+        self._witness.record_heartbeat(self._witness.state.own, view.epoch, now)
         self._witness.save(formed, now, lambda now: self._on_formed(view, sent_at, now))
--- a/rooklug/core/http_interface.py
+++ b/rooklug/core/http_interface.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from rooklug.core.outbox import Outbox
-from rooklug.core.recovery import Recovery
+from rooklug.core.recovery import Recovery, RecoveryOutcome
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
 from rooklug.wire.generated.control.ttypes import CoreStatus
@@ -23,7 +23,10 @@
 HTTP_INVALID = 400
 HTTP_UNKNOWN_PATH = 404
 HTTP_REFUSED = 409
-_STATUS_BY_OUTCOME = {"plan": HTTP_OK, "recovered": HTTP_OK, "not_needed": HTTP_OK}
+_SUCCESSES = frozenset(
+    outcome.value
+    for outcome in (RecoveryOutcome.PLAN, RecoveryOutcome.RECOVERED, RecoveryOutcome.NOT_NEEDED)
+)
 
 
 class HttpInterface:
@@ -52,14 +55,15 @@
             message = 'the body must be {"plan": TEXT}; an empty text asks for the plan'
             self._refuse(event.request_id, HTTP_INVALID, "invalid", message)
             return
-        self._recovery.begin(plan, lambda answer: self._tell(event.request_id, answer), now)
+        self._recovery.begin(
+            plan, lambda answer: self._respond_recovery(event.request_id, answer), now
+        )
 
-    def _tell(self, request_id: int, answer: RecoverAnswer) -> None:
-        status = _STATUS_BY_OUTCOME.get(answer.outcome)
-        if status is None:
-            self._refuse(request_id, HTTP_REFUSED, answer.outcome, answer.message)
+    def _respond_recovery(self, request_id: int, answer: RecoverAnswer) -> None:
+        if answer.outcome in _SUCCESSES:
+            self._respond(request_id, HTTP_OK, _fields(answer))
         else:
-            self._respond(request_id, status, _fields(answer))
+            self._refuse(request_id, HTTP_REFUSED, answer.outcome, answer.message)
 
     def _refuse(self, request_id: int, status: int, code: str, message: str) -> None:
         self._respond(request_id, status, {"error": {"code": code, "message": message}})
--- a/rooklug/core/joining.py
+++ b/rooklug/core/joining.py
@@ -1,4 +1,4 @@
-"""How a core that is no member becomes one: it asks the primary until a view names it.
+"""How a core that is no member becomes one: it sends requests until a view names it.
 
 A core comes here when it is new, when the members were changed while it was away, or when it
 is one of more cores than the first view is formed of.
@@ -14,8 +14,8 @@
 from rooklug.wire.generated.core import ttypes as wire
 
 
-class Joining:
-    """Asks all cores that it knows of; those that don't lead name the primary's address."""
+class JoinRequester:
+    """Sends join requests to all known cores; those that don't lead name the primary's address."""
 
     def __init__(
         self,
@@ -30,24 +30,24 @@
         self._witness = witness
         self._formation = formation
         self._first_start = first_start
-        self._asked_at = 0.0
+        self._requested_at = 0.0
 
-    def tick(self, is_led: bool, now: float) -> None:
-        """Ask again from time to time, while no view names this core."""
-        if is_led or now < self._asked_at + JOIN_INTERVAL_S or not self._is_outside():
+    def tick(self, has_primary: bool, now: float) -> None:
+        """Send requests every ``JOIN_INTERVAL_S``, while no view names this core."""
+        if has_primary or now < self._requested_at + JOIN_INTERVAL_S or not self._is_outside():
             return
-        self._asked_at = now
+        self._requested_at = now
         addresses = {self._peers.address(core_id) for core_id in self._peers.known_others}
         for address in sorted(addresses):
-            self._ask(address, follow=True)
+            self._request(address, follow=True)
 
     def _is_outside(self) -> bool:
         if self._witness.state.voting:
-            # Nobody leads it: perhaps the members were changed without it.
+            # No primary is in touch: perhaps the members were changed without it.
             return True
         return not self._formation.is_member()
 
-    def _ask(self, address: str, follow: bool) -> None:
+    def _request(self, address: str, follow: bool) -> None:
         own = self._witness.state.own
         member = CoreMember(own.core_id, self._peers.address(own.core_id))
         request = wire.JoinRequest(
@@ -59,6 +59,6 @@
         def answered(answer: wire.JoinAnswer, now: float) -> None:
             known = {self._peers.address(core_id) for core_id in self._peers.addresses}
             if follow and not answer.noted and answer.primary_address not in {"", *known}:
-                self._ask(answer.primary_address, follow=False)
+                self._request(answer.primary_address, follow=False)
 
         self._outbox.call(address, request, MESSAGE_DEADLINE_S, answered)
--- a/rooklug/core/log.py
+++ b/rooklug/core/log.py
@@ -1,4 +1,4 @@
-"""The log in memory: entries after the snapshot, and how two logs are compared."""
+"""The log in memory: the entries after the snapshot, and the comparison of two logs."""
 
 from collections.abc import Iterable, Sequence
 
@@ -7,7 +7,7 @@
 
 
 class ReplicatedLog:
-    """Entries of consecutive sequences after ``base``, which the snapshot stands for."""
+    """Entries of consecutive sequences after ``base``, which the snapshot represents."""
 
     def __init__(self, base: Position = START) -> None:
         self.base = base
@@ -45,12 +45,12 @@
         self.entries.append(entry)
         return True
 
-    def cut_after(self, sequence: int) -> None:
+    def truncate_after(self, sequence: int) -> None:
         """Drop the entries of a higher sequence."""
         del self.entries[max(0, sequence - self.base.sequence) :]
 
     def compact(self, base: Position) -> None:
-        """Drop the entries up to ``base``, which a snapshot stands for now."""
+        """Drop the entries up to ``base``, which a snapshot represents now."""
         del self.entries[: base.sequence - self.base.sequence]
         self.base = base
 
@@ -65,7 +65,7 @@
     def matched_sequence(
         self, base: Position, runs: Sequence[EpochRun], last: Position
     ) -> int | None:
-        """Return up to where this log equals the other one, None if that isn't known.
+        """Return the last sequence up to which this log equals the other one, None if unknown.
 
         The other log has a snapshot at ``base``, entries of ``runs`` after it, and ends at
         ``last``. None: it needs a snapshot, since the logs share no position it still has.
--- a/rooklug/core/outbox.py
+++ b/rooklug/core/outbox.py
@@ -1,4 +1,4 @@
-"""Collects the effects of one event, and keeps what to do when calls end."""
+"""Collects the effects of one event, and keeps the continuations of calls in flight."""
 
 from collections.abc import Callable
 from typing import Any
@@ -13,14 +13,14 @@
 
 @attrs.frozen
 class PendingCall:
-    """What follows the end of a call."""
+    """The two continuations of a call in flight."""
 
     on_answer: Callable[[Any, float], None]
     on_failure: Callable[[float], None]
 
 
 class Outbox:
-    """Effects in order, and the continuations of open calls."""
+    """The effects of one event in order, and the calls in flight."""
 
     def __init__(self, identifiers: Identifiers) -> None:
         self.identifiers = identifiers
@@ -31,12 +31,12 @@
         """Append one effect."""
         self._effects.append(effect)
 
-    def notify(self, event: InternalEvent) -> None:
-        """Tell the other parts of this process."""
+    def emit(self, event: InternalEvent) -> None:
+        """Deliver an internal event to the other components of this process."""
         self.add(EmitEvent(event))
 
     def log(self, level: str, message: str, **fields: Any) -> None:
-        """Write one log line."""
+        """Write one log line; ``fields`` are JSON values."""
         self.add(fx.Log(level, message, fields))
 
     def answer(self, call_id: int, answer: Any) -> None:
@@ -52,13 +52,13 @@
         on_failure: Callable[[float], None] = lambda now: None,
         not_after: float | None = None,
     ) -> None:
-        """Send a request; exactly one of the two continuations follows."""
+        """Send a request to "ip:port"; exactly one of the two continuations follows."""
         call_id = self.identifiers.next()
         self._calls[call_id] = PendingCall(on_answer, on_failure)
         self.add(fx.Call(call_id, address, request, deadline_s, not_after))
 
-    def call_ended(self, event: ev.CallAnswered | ev.CallFailed, now: float) -> None:
-        """Run the continuation of a call."""
+    def complete_call(self, event: ev.CallAnswered | ev.CallFailed, now: float) -> None:
+        """Run the continuation of a call that has ended."""
         pending = self._calls.pop(event.call_id, None)
         if pending is None:
             return
--- a/rooklug/core/peers.py
+++ b/rooklug/core/peers.py
@@ -21,7 +21,7 @@
     def __attrs_post_init__(self) -> None:
         self.founders = self.founders or frozenset(self.addresses)
 
-    def take(self, view: View | None) -> None:
+    def adopt(self, view: View | None) -> None:
         """Follow this core's witness to the view that it holds now."""
         self.view = view
         if view is not None:
@@ -57,12 +57,12 @@
 
     @property
     def known_others(self) -> list[str]:
-        """The ids of all other cores ever heard of, sorted."""
+        """The ids of all other cores ever known, sorted."""
         return sorted(core_id for core_id in self.addresses if core_id != self.own_id)
 
     @property
     def index(self) -> int:
-        """This core's place among the voting ones: it decides which epochs it proposes."""
+        """This core's index among the voting ones: it decides which epochs it proposes."""
         return sorted(self.members | {self.own_id}).index(self.own_id)
 
     def address(self, core_id: str) -> str:
--- /dev/null
+++ b/rooklug/core/primary.py
@@ -0,0 +1,250 @@
+"""The primary's job: commits what every disk in sync has, and changes the view when needed.
+
+The lease (``leadership_lease``), the in-sync set (``in_sync_set``), the voting members
+(``member_changes``) and the shipping of the log (``replicator``) have modules of their own.
+"""
+
+from collections.abc import Callable
+
+from rooklug.core.constants import MESSAGE_DEADLINE_S, PRIMARY_PROMISE_GRACE_S
+from rooklug.core.in_sync_set import EVERYONE_STAYS, InSyncSet
+from rooklug.core.leadership_lease import LeadershipLease
+from rooklug.core.member_changes import MemberChanges
+from rooklug.core.outbox import Outbox
+from rooklug.core.peers import Peers
+from rooklug.core.records import disk_to_wire
+from rooklug.core.replicator import Replicator
+from rooklug.core.store import ReplicaStore
+from rooklug.core.types import CoreMember, View
+from rooklug.core.view_change import ViewChanger
+from rooklug.core.witness import Witness
+from rooklug.core.witness_rules import MemberChange
+from rooklug.model.internal_events import PrimaryLeaseExtended, PrimaryStarted, PrimaryStopped
+from rooklug.wire.generated.core import ttypes as wire
+
+
+class Primary:
+    """Leads while ``view`` is set; may act only while its lease lasts as well.
+
+    ``serving``: everything found at the start of the term is committed, so that reads and
+    leases may be answered. ``on_committed(now)`` follows each advance of the commit,
+    ``on_stopped(now)`` the end of the term.
+    """
+
+    def __init__(
+        self,
+        peers: Peers,
+        outbox: Outbox,
+        witness: Witness,
+        store: ReplicaStore,
+        view_changer: ViewChanger,
+        on_committed: Callable[[float], None],
+        on_stopped: Callable[[float], None],
+        min_in_sync_replicas: int,
+    ) -> None:
+        self._min_in_sync_replicas = min_in_sync_replicas
+        self._peers = peers
+        self._outbox = outbox
+        self._witness = witness
+        self._store = store
+        self._view_changer = view_changer
+        self._on_committed = on_committed
+        self._on_stopped = on_stopped
+        self.replicator = Replicator(
+            peers, outbox, store, self._advance, self._on_refused, lambda: self.lease.until
+        )
+        self.lease = LeadershipLease(
+            peers,
+            outbox,
+            witness,
+            store,
+            self.replicator,
+            self._on_lease_extended,
+            self._on_refused,
+        )
+        self._in_sync_set = InSyncSet(outbox, store, self.replicator)
+        self._member_changes = MemberChanges(self.replicator)
+        self.view: View | None = None
+        self.serving = False
+        self._last_at_start = 0
+
+    # What others read -----------------------------------------------------
+
+    @property
+    def epoch(self) -> int:
+        """The epoch of the view that this core leads, 0 while it leads none."""
+        return self.view.epoch if self.view else 0
+
+    def is_active(self, now: float) -> bool:
+        """Return whether this core leads and its lease is valid at this very moment."""
+        return self.view is not None and self.lease.is_valid(now)
+
+    def may_serve(self, now: float) -> bool:
+        """Return whether it may answer reads and act as the primary."""
+        return self.serving and self.is_active(now)
+
+    def may_append(self, now: float) -> bool:
+        """Return whether a new change may be appended at this moment."""
+        return (
+            self.may_serve(now)
+            and self._is_newest()
+            and len(self.view.in_sync) >= self._required_acks()
+            and self._view_changer.proposal is None
+            and not self._in_sync_set.is_waiting_for_learner
+        )
+
+    # The term -------------------------------------------------------------
+
+    def start(self, view: View, accepts_sent_at: float, now: float) -> None:
+        """Lead ``view``, which a majority has accepted, or go on leading in a new view."""
+        leads_already = self.serving
+        self.view = view
+        self._last_at_start = self._store.last.sequence
+        self._in_sync_set.reset()
+        self.lease.start(view, accepts_sent_at, now)
+        in_sync = sorted(disk.core_id for disk in view.in_sync)
+        self._outbox.log("info", "became primary of a view", epoch=view.epoch, in_sync=in_sync)
+        self.replicator.start(view, now)
+        if leads_already:
+            self._announce()
+        self._advance(now)
+        self.tick(now)
+
+    def step_down(self, reason: str, now: float) -> None:
+        """Stop leading, and free this core's own witness to support another primary."""
+        if self.view is None:
+            return
+        epoch, served = self.epoch, self.serving
+        self.view = None
+        self.serving = False
+        self.lease.stop()
+        self._in_sync_set.reset()
+        self.replicator.stop()
+        self._store.forget_unwritten()
+        self._view_changer.abandon()
+        self._witness.release(now)
+        self._outbox.log("warning", "lost leadership", epoch=epoch, reason=reason)
+        if served:
+            self._outbox.emit(PrimaryStopped(reason))
+        self._on_stopped(now)
+
+    def hand_over(self, reason: str, now: float) -> None:
+        """Step down, and let the others elect a successor before the lease would have ended."""
+        if self.view is None:
+            return
+        own = self._witness.state.own
+        request = wire.HandOverRequest(epoch=self.epoch, primary=disk_to_wire(own))
+        self.step_down(reason, now)
+        for core_id in self._peers.others:
+            address = self._peers.address(core_id)
+            self._outbox.call(address, request, MESSAGE_DEADLINE_S, lambda answer, now: None)
+
+    def tick(self, now: float) -> None:
+        """Send heartbeats and what followers lack, and begin view changes that are due."""
+        if self.view is None or self._view_changer.proposal is not None:
+            return
+        if not self._is_newest():
+            self._change_view(self.replicator.overdue(now), now)
+            return
+        self.lease.send_heartbeats_if_due(now)
+        self._advance(now)
+        if self.view is not None:
+            self._adjust_in_sync_set(now)
+        if self.view is not None and self._view_changer.proposal is None:
+            self._adjust_members(now)
+
+    def request_join(self, member: CoreMember, first_start: bool, now: float) -> None:
+        """Take the request of a core that wants to become a voting member."""
+        if member.core_id not in self._peers.members_of(self.view):
+            self._member_changes.request_join(member, first_start, now)
+
+    def record_draining(self, core_id: str, now: float) -> None:
+        """Take the news that a core is being stopped on purpose."""
+        self._member_changes.record_draining(core_id, now)
+
+    # Commits --------------------------------------------------------------
+
+    def _required_acks(self) -> int:
+        """Return how many disks must have a change before it is acknowledged."""
+        return min(self._min_in_sync_replicas, len(self._peers.members_of(self.view)))
+
+    def _is_newest(self) -> bool:
+        """Return whether this core's own witness has promised nothing beyond this view.
+
+        After a view change that failed half way, the next view may have been accepted by a
+        majority without this core's knowledge: only another proposal can tell.
+        """
+        return self._witness.state.promised_epoch == self.epoch
+
+    def _may_commit(self) -> bool:
+        """Return whether acknowledgements of this view count: it has accepted no later one."""
+        return (
+            self._witness.state.accepted_epoch == self.epoch
+            and len(self.view.in_sync) >= self._required_acks()
+        )
+
+    def _advance(self, now: float) -> None:
+        """Commit what all disks in sync have, then send followers what they lack."""
+        if self.view is None:
+            return
+        acknowledged = self.replicator.acknowledged_by_all()
+        if self._may_commit() and acknowledged > self._store.committed:
+            self._store.commit_to(acknowledged)
+            self._on_committed(now)
+            if self._store.last.sequence == acknowledged and self._view_changer.proposal is None:
+                # Followers learn at once what is committed, not with the next change.
+                self.lease.send_heartbeats(now)
+        self._start_serving()
+        self.replicator.pump(now)
+
+    def _start_serving(self) -> None:
+        if self.serving or self._store.committed < self._last_at_start:
+            return
+        self.serving = True
+        self._announce()
+
+    def _announce(self) -> None:
+        self._outbox.emit(PrimaryStarted(self.epoch))
+        self._outbox.emit(PrimaryLeaseExtended(self.epoch, self.lease.until))
+
+    def _on_lease_extended(self) -> None:
+        if self.serving:
+            self._outbox.emit(PrimaryLeaseExtended(self.epoch, self.lease.until))
+
+    # View changes ---------------------------------------------------------
+
+    def _on_refused(self, epoch: int, now: float) -> None:
+        """Somebody has promised a higher epoch: propose a higher one, if that is possible."""
+        self._view_changer.saw_epoch(epoch)
+        if self._view_changer.proposal is None:
+            self._change_view(EVERYONE_STAYS, now)
+
+    def _adjust_in_sync_set(self, now: float) -> None:
+        excluded = self._in_sync_set.excluded_from_next_view(self.view, self._required_acks(), now)
+        if excluded is not None:
+            self._change_view(excluded, now)
+
+    def _adjust_members(self, now: float) -> None:
+        """Take in a core that asks, in the place of one that is gone."""
+        if not self.view.members or not self.serving:
+            return
+        if self.view.previous:
+            # The new members are in force; this view ends the vote of the old ones.
+            self._change_view(EVERYONE_STAYS, now)
+            return
+        change = self._member_changes.next_change(self.view, self._required_acks(), now)
+        if change is not None:
+            self._change_members(change, now)
+
+    def _change_members(self, change: MemberChange, now: float) -> None:
+        self._outbox.log(
+            "warning",
+            "changing the voting members",
+            joiner=change.joiner.core_id if change.joiner else "",
+            leaver=change.leaver,
+        )
+        excluded = frozenset({change.leaver} - {""})
+        self._view_changer.begin(excluded, now, PRIMARY_PROMISE_GRACE_S, change)
+
+    def _change_view(self, excluded: frozenset[str], now: float) -> None:
+        self._view_changer.begin(excluded, now, PRIMARY_PROMISE_GRACE_S, chosen_view=self.view)
--- a/rooklug/core/quorum.py
+++ b/rooklug/core/quorum.py
@@ -1,4 +1,4 @@
-"""How many votes are enough, and how many copies."""
+"""Quorums: how many votes are enough."""
 
 from collections.abc import Iterable, Set
 
@@ -9,19 +9,19 @@
 
 
 def is_majority(votes: Set[str], members: Set[str]) -> bool:
-    """Tell whether more than half of ``members`` are among ``votes``."""
+    """Return whether more than half of ``members`` are among ``votes``."""
     return len(votes & members) >= majority(len(members))
 
 
-def agree(votes: Set[str], electorates: Iterable[Set[str]]) -> bool:
-    """Tell whether there is a majority in every one of the electorates."""
+def has_quorum(votes: Set[str], electorates: Iterable[Set[str]]) -> bool:
+    """Return whether the votes are a majority in every one of the electorates."""
     return all(is_majority(votes, members) for members in electorates)
 
 
 def readers_needed(count: int) -> int:
     """Return how many other members a member with a lost disk must read before it votes.
 
-    Any majority that its lost disk was part of has another member among so many others, so
+    Any majority that its lost disk belonged to has another member among so many others, so
     nothing that was chosen with the lost vote stays unknown; with three it is both others.
     """
     return count - majority(count) + 1
--- a/rooklug/core/recovery.py
+++ b/rooklug/core/recovery.py
@@ -1,12 +1,13 @@
-"""Executes the runbook "recover": goes on from one data copy after a disaster.
+"""Executes the runbook "recover": goes on from one replica after a disaster.
 
 Normally a view needs the promises of two witnesses and a disk in sync. When two disks are
 lost, or every disk in sync is, nothing starts by itself. An operator may then tell the
-core with the best copy to go on: it first says what may be lost, as a plan; the same plan
+core with the best replica to go on: it first says what may be lost, as a plan; the same plan
 sent back is the confirmation.
 """
 
 from collections.abc import Callable
+from enum import Enum
 
 import attrs
 
@@ -21,7 +22,7 @@
     view_to_wire,
     witness_from_wire,
 )
-from rooklug.core.store import CopyStore
+from rooklug.core.store import ReplicaStore
 from rooklug.core.types import Position, View, WitnessState
 from rooklug.core.witness import Witness
 from rooklug.wire.generated.core import ttypes as wire
@@ -29,9 +30,26 @@
 AnswerTo = Callable[[wire.RecoverAnswer], None]
 
 
+class RecoveryOutcome(Enum):
+    """What became of a recover request; the values travel in the answer."""
+
+    PLAN = "plan"
+    RECOVERED = "recovered"
+    NOT_NEEDED = "not_needed"
+    REFUSED = "refused"
+
+
+@attrs.frozen
+class Refusal:
+    """Why a recovery isn't planned; ``message`` is for the operator."""
+
+    outcome: RecoveryOutcome
+    message: str
+
+
 @attrs.frozen
 class Survivor:
-    """What a core that answers holds."""
+    """The state of a core that has answered."""
 
     state: WitnessState
     last: Position
@@ -44,7 +62,7 @@
     answer: AnswerTo
     confirmed_plan: str
     survivors: dict[str, Survivor] = attrs.field(factory=dict)
-    ended: int = 0
+    completed: int = 0
 
 
 class Recovery:
@@ -55,15 +73,15 @@
         peers: Peers,
         outbox: Outbox,
         witness: Witness,
-        store: CopyStore,
-        is_led: Callable[[float], bool],
+        store: ReplicaStore,
+        has_primary: Callable[[float], bool],
         on_recovered: Callable[[View, float, float], None],
     ) -> None:
         self._peers = peers
         self._outbox = outbox
         self._witness = witness
         self._store = store
-        self._is_led = is_led
+        self._has_primary = has_primary
         self._on_recovered = on_recovered
 
     def on_request(self, call_id: int, request: wire.RecoverRequest, now: float) -> None:
@@ -73,53 +91,59 @@
     def begin(self, confirmed_plan: str, answer: AnswerTo, now: float) -> None:
         """Ask the others what they hold, then plan or act, and ``answer`` once."""
         survey = Survey(answer, confirmed_plan)
-        if self._is_led(now):
-            self._answer(survey, "not_needed", "a primary is at work")
+        if self._has_primary(now):
+            self._answer(survey, RecoveryOutcome.NOT_NEEDED, "a primary is at work")
             return
         read = wire.ReadWitnessRequest(reader=disk_to_wire(self._witness.state.own))
         for core_id in self._peers.others:
-            self._ask(survey, core_id, read)
+            self._read_witness(survey, core_id, read)
 
-    def _ask(self, survey: Survey, core_id: str, read: wire.ReadWitnessRequest) -> None:
+    def _read_witness(self, survey: Survey, core_id: str, read: wire.ReadWitnessRequest) -> None:
         def answered(answer: wire.ReadWitnessAnswer, now: float) -> None:
             state = witness_from_wire(answer.state)
             survey.survivors[core_id] = Survivor(state, position_from_wire(answer.last))
-            ended(now)
+            completed(now)
 
-        def ended(now: float) -> None:
-            survey.ended += 1
-            if survey.ended == len(self._peers.others):
+        def completed(now: float) -> None:
+            survey.completed += 1
+            if survey.completed == len(self._peers.others):
                 self._decide(survey, now)
 
         address = self._peers.address(core_id)
-        self._outbox.call(address, read, MESSAGE_DEADLINE_S, answered, ended)
+        self._outbox.call(address, read, MESSAGE_DEADLINE_S, answered, completed)
 
     def _decide(self, survey: Survey, now: float) -> None:
         refusal = self._refusal(survey, now)
         if refusal is not None:
-            self._answer(survey, *refusal)
+            self._answer(survey, refusal.outcome, refusal.message)
             return
         plan = self._plan(survey)
         if survey.confirmed_plan != plan:
             message = "nothing is done yet: send the plan back to confirm it"
-            self._answer(survey, "plan", message, plan, self._losses(survey))
+            self._answer(survey, RecoveryOutcome.PLAN, message, plan, self._losses(survey))
             return
         self._adopt(survey, plan, now)
 
-    def _refusal(self, survey: Survey, now: float) -> tuple[str, str] | None:
-        """Return why nothing is to be done: (outcome, message)."""
+    def _refusal(self, survey: Survey, now: float) -> Refusal | None:
+        """Return why nothing is to be done, if so."""
         own = self._witness.state
-        if self._is_led(now):
-            return "not_needed", "a primary is at work"
+        if self._has_primary(now):
+            return Refusal(RecoveryOutcome.NOT_NEEDED, "a primary is at work")
         if not own.voting and not self._store.last.sequence:
-            return "refused", "this core has no data: ask one that has"
+            return Refusal(RecoveryOutcome.REFUSED, "this core has no data: ask one that has")
         if not survey.survivors:
-            return "refused", "no other core answers: start one more, a majority is needed"
+            return Refusal(
+                RecoveryOutcome.REFUSED,
+                "no other core answers: start one more, a majority is needed",
+            )
         for core_id, survivor in sorted(survey.survivors.items()):
             if survivor.last > self._store.last:
-                return "refused", f"{core_id} holds more: ask that core"
+                return Refusal(RecoveryOutcome.REFUSED, f"{core_id} holds more: ask that core")
         if self._can_go_on_alone(survey):
-            return "not_needed", "two witnesses and a disk in sync are there: it starts by itself"
+            return Refusal(
+                RecoveryOutcome.NOT_NEEDED,
+                "two witnesses and a disk in sync are there: it starts by itself",
+            )
         return None
 
     def _can_go_on_alone(self, survey: Survey) -> bool:
@@ -184,14 +208,14 @@
         disks = tuple(sorted([own, *(state.own for state in states)]))
         adopted = witness_rules.adopt(self._witness.state, own, view, disks)
         if adopted is None:
-            self._answer(survey, "refused", "the state has changed: ask again")
+            self._answer(survey, RecoveryOutcome.REFUSED, "the state has changed: ask again")
             return
         request = wire.AdoptViewRequest(
             proposer=disk_to_wire(own),
             view=view_to_wire(view),
             disks=[disk_to_wire(disk) for disk in disks],
         )
-        self._outbox.log("warning", "an operator's recovery begins", plan=plan, epoch=epoch)
+        self._outbox.log("warning", "operator-confirmed recovery started", plan=plan, epoch=epoch)
         self._witness.save(
             adopted, now, lambda now: self._order_others(survey, plan, request, view, now)
         )
@@ -200,7 +224,7 @@
         self, survey: Survey, plan: str, request: wire.AdoptViewRequest, view: View, sent_at: float
     ) -> None:
         done = False
-        self._witness.hear(self._witness.state.own, view.epoch, sent_at)
+        self._witness.record_heartbeat(self._witness.state.own, view.epoch, sent_at)
 
         def answered(answer: wire.AdoptViewAnswer, now: float) -> None:
             nonlocal done
@@ -208,7 +232,7 @@
                 return
             done = True
             losses = self._losses(survey)
-            self._answer(survey, "recovered", "this core leads", plan, losses)
+            self._answer(survey, RecoveryOutcome.RECOVERED, "this core leads", plan, losses)
             self._on_recovered(view, sent_at, now)
 
         for core_id in sorted(survey.survivors):
@@ -218,12 +242,12 @@
     def _answer(
         self,
         survey: Survey,
-        outcome: str,
+        outcome: RecoveryOutcome,
         message: str,
         plan: str = "",
         losses: list[str] | None = None,
     ) -> None:
         answer = wire.RecoverAnswer(
-            outcome=outcome, plan=plan, may_be_lost=losses or [], message=message
+            outcome=outcome.value, plan=plan, may_be_lost=losses or [], message=message
         )
         survey.answer(answer)
--- a/rooklug/core/status.py
+++ b/rooklug/core/status.py
@@ -1,48 +1,71 @@
 """One core's replication status, for ``rooklug ctl status``."""
 
-from typing import TYPE_CHECKING
+import attrs
 
+from rooklug.core.announcer import Announcer
+from rooklug.core.formation import Formation
+from rooklug.core.peers import Peers
+from rooklug.core.primary import Primary
+from rooklug.core.store import ReplicaStore
+from rooklug.core.view_change import ViewChanger
+from rooklug.core.witness import Witness
 from rooklug.wire.generated.control.ttypes import CoreStatus
 
-if TYPE_CHECKING:
-    from rooklug.core.node import ControlStateComponent
-
 BOTH_BLANK = "both other disks are blank: nothing starts by itself, run the runbook recover-cores"
 
 
-def core_status(component: "ControlStateComponent", now: float) -> CoreStatus:
+@attrs.frozen
+class StatusSources:
+    """The modules of a core that its status is read from.
+
+    ``failure`` says why the core has stopped participating, "" while it participates.
+    """
+
+    peers: Peers
+    witness: Witness
+    store: ReplicaStore
+    primary: Primary
+    view_changer: ViewChanger
+    formation: Formation
+    announcer: Announcer
+    failure: str
+
+
+def core_status(sources: StatusSources, now: float) -> CoreStatus:
     """Return the status as this core sees it."""
-    state = component.witness.state
+    state = sources.witness.state
     in_sync = state.view.in_sync if state.view else ()
     return CoreStatus(
-        node_id=component.peers.own_id,
-        phase=_phase(component, now),
+        node_id=sources.peers.own_id,
+        phase=_phase(sources, now),
         epoch=state.promised_epoch,
-        primary_id=component.announcer.primary_id,
+        primary_id=sources.announcer.primary_id,
         in_sync=[disk.core_id for disk in in_sync],
-        committed_sequence=component.store.committed,
-        configuration_version=component.store.state.version,
-        note=_note(component),
+        committed_sequence=sources.store.committed,
+        configuration_version=sources.store.state.version,
+        note=_explanation(sources),
     )
 
 
-def _phase(component: "ControlStateComponent", now: float) -> str:
-    state = component.witness.state
-    if component.failure:
+def _phase(sources: StatusSources, now: float) -> str:
+    state = sources.witness.state
+    if sources.failure:
         return "failed"
     if not state.voting:
         return "blank"
-    if component.leader.may_serve(now):
+    if sources.primary.may_serve(now):
         return "primary"
     return "backup" if state.view and state.view.has(state.own) else "joining"
 
 
-def _note(component: "ControlStateComponent") -> str:
-    if component.failure:
-        return component.failure
-    if not component.witness.state.voting:
-        return component.formation.note
-    led = component.announcer.primary_id
-    if not led and len(component.changer.blank_others) == len(component.peers.others):
+def _explanation(sources: StatusSources) -> str:
+    """Return what an operator should know beside the phase, "" if nothing."""
+    if sources.failure:
+        return sources.failure
+    if not sources.witness.state.voting:
+        return sources.formation.waits_for
+    no_primary = not sources.announcer.primary_id
+    blank_others = sources.view_changer.blank_others
+    if no_primary and len(blank_others) == len(sources.peers.others):
         return BOTH_BLANK
     return ""
--- a/rooklug/core/store.py
+++ b/rooklug/core/store.py
@@ -1,6 +1,6 @@
-"""The data copy: the log on disk and in memory, and the committed state.
+"""One core's replica: the log on disk and in memory, and the committed state.
 
-Records of the file: entries, cuts of uncommitted tails, and a snapshot at its head.
+The file has a snapshot at its head, then entries and truncations of uncommitted tails.
 """
 
 from collections.abc import Iterable, Sequence
@@ -21,11 +21,11 @@
 )
 
 
-class CopyStore:
-    """One core's data copy.
+class ReplicaStore:
+    """One core's replica of the control state.
 
-    ``written`` is the last sequence given to the disk, ``synced`` the last one that is safe
-    there, ``committed`` the last one known to be committed; those are applied to ``state``.
+    ``written`` is the last sequence given to the disk, ``synced`` the last one that is durable,
+    ``committed`` the last one known to be committed; those are applied to ``state``.
     """
 
     def __init__(self, disk: Disk) -> None:
@@ -78,24 +78,24 @@
         self._append(records, now, self._when_synced(last, then))
 
     def after_entries(self, entries: Sequence[LogEntry], now: float, then: Continuation) -> None:
-        """Write ``entries``, if any, and go on once everything issued so far is synced."""
+        """Write ``entries``, if any, and call ``then`` once everything issued so far is synced."""
         if entries:
             self.write_entries(entries, now)
         self._disk.after_sync(now, then)
 
-    def cut_after(self, sequence: int, now: float) -> None:
-        """Void the entries of a higher sequence, in memory and in the file."""
+    def truncate_after(self, sequence: int, now: float) -> None:
+        """Drop the entries of a higher sequence, in memory and in the file."""
         if sequence >= self.last.sequence:
             return
-        self.log.cut_after(sequence)
+        self.log.truncate_after(sequence)
         self.synced = min(self.synced, sequence)
         self.written = min(self.written, sequence)
         self._generation += 1
         self._append([encode(LogRecord(cut=CutRecord(after=sequence)))], now, None)
 
     def forget_unwritten(self) -> None:
-        """Drop the entries that were never given to the disk: nobody may count on them."""
-        self.log.cut_after(self.written)
+        """Drop the entries that were never given to the disk: nobody has acknowledged them."""
+        self.log.truncate_after(self.written)
 
     def commit_to(self, sequence: int) -> list[LogEntry]:
         """Apply entries up to ``sequence`` and return them."""
@@ -107,10 +107,10 @@
             self.state.apply(entry)
         return entries
 
-    def install(self, position: Position, parts: Sequence[bytes], now: float) -> str:
-        """Replace the whole copy by a snapshot; return what is wrong with it, "" if nothing."""
-        header = SnapshotHeader(position=position_to_wire(position), parts=len(parts))
-        records = [encode(LogRecord(snapshot=header)), *parts]
+    def install(self, position: Position, chunks: Sequence[bytes], now: float) -> str:
+        """Replace the replica by a snapshot; return what is wrong with it, "" if nothing."""
+        header = SnapshotHeader(position=position_to_wire(position), parts=len(chunks))
+        records = [encode(LogRecord(snapshot=header)), *chunks]
         reader = RecordReader()
         for record in records:
             problem = reader.read(record)
@@ -127,16 +127,16 @@
         self._rewrite([*self.snapshot_records(), *self._entry_records()], now)
 
     def compact_if_long(self, now: float) -> None:
-        """Rewrite the file when it is much longer than the state it stands for."""
+        """Rewrite the file once it is much longer than the state that it represents."""
         if self._file_bytes > REWRITE_BYTES + 2 * self._snapshot_bytes:
             self.rewrite_all(now)
 
     def snapshot_records(self) -> list[bytes]:
-        """Return the committed state as records: a header, then its parts."""
-        parts = [encode(part) for part in self.state.snapshot_parts()]
+        """Return the committed state as records: a header, then its chunks."""
+        chunks = [encode(chunk) for chunk in self.state.snapshot_chunks()]
         position = position_to_wire(self.state.position)
-        header = SnapshotHeader(position=position, parts=len(parts))
-        return [encode(LogRecord(snapshot=header)), *parts]
+        header = SnapshotHeader(position=position, parts=len(chunks))
+        return [encode(LogRecord(snapshot=header)), *chunks]
 
     def _entry_records(self) -> list[bytes]:
         committed = self.committed
@@ -168,13 +168,13 @@
 
 
 class RecordReader:
-    """Rebuilds a copy from the records of its file, in order."""
+    """Rebuilds a replica from the records of its file, in order."""
 
     def __init__(self) -> None:
         self.log = ReplicatedLog()
         self.state = ControlState()
         self.committed = 0
-        self._parts_missing = 0
+        self._chunks_missing = 0
 
     def read(self, data: bytes) -> str:
         """Take one record; return what is wrong with it, "" if nothing."""
@@ -183,20 +183,20 @@
             return decoded.error.message
         record = decoded.ok
         if record.part is not None:
-            return self._read_part(record)
-        if self._parts_missing:
-            return "a snapshot part is missing"
+            return self._read_chunk(record)
+        if self._chunks_missing:
+            return "a snapshot chunk is missing"
         if record.snapshot is not None:
             return self._read_snapshot(record.snapshot)
         if record.entry is not None:
             return self._read_entry(record.entry)
         if record.cut is not None:
-            return self._read_cut(record.cut)
+            return self._read_truncation(record.cut)
         return "an empty record"
 
     def unfinished(self) -> str:
         """Return what is wrong with the end, "" if nothing."""
-        if not self._parts_missing:
+        if not self._chunks_missing:
             return ""
         self.log, self.state, self.committed = ReplicatedLog(), ControlState(), 0
         return "the snapshot is incomplete"
@@ -208,14 +208,14 @@
         self.log = ReplicatedLog(position)
         self.state.position = position
         self.committed = position.sequence
-        self._parts_missing = header.parts
+        self._chunks_missing = header.parts
         return ""
 
-    def _read_part(self, record: LogRecord) -> str:
-        if not self._parts_missing:
-            return "a snapshot part without its header"
-        self.state.load_part(record.part)
-        self._parts_missing -= 1
+    def _read_chunk(self, record: LogRecord) -> str:
+        if not self._chunks_missing:
+            return "a snapshot chunk without its header"
+        self.state.load_chunk(record.part)
+        self._chunks_missing -= 1
         return ""
 
     def _read_entry(self, record: EntryRecord) -> str:
@@ -224,8 +224,8 @@
         self.committed = max(self.committed, record.committed)
         return ""
 
-    def _read_cut(self, record: CutRecord) -> str:
+    def _read_truncation(self, record: CutRecord) -> str:
         if not self.committed <= record.after <= self.log.last.sequence:
             return f"a cut after {record.after} of committed or missing entries"
-        self.log.cut_after(record.after)
+        self.log.truncate_after(record.after)
         return ""
--- a/rooklug/core/types.py
+++ b/rooklug/core/types.py
@@ -5,7 +5,7 @@
 
 @attrs.frozen(order=True, cache_hash=True)
 class MemberDisk:
-    """One life of one core's disk."""
+    """One incarnation of one core's disk; a lost or wiped disk comes back with a new id."""
 
     core_id: str
     disk_id: str
@@ -13,7 +13,7 @@
 
 @attrs.frozen(order=True)
 class Position:
-    """The end of a log, or one entry's place. Equal positions mean equal logs up to there."""
+    """An entry's position in a log. Equal positions mean equal logs up to there."""
 
     epoch: int
     sequence: int
@@ -32,7 +32,7 @@
 
 @attrs.frozen(cache_hash=True)
 class View:
-    """Who is the primary of ``epoch``, and whose disks hold every committed change.
+    """Who is the primary of ``epoch``, and whose disks have every committed change.
 
     ``members`` (sorted) are the cores that vote; empty: the ones of the settings.
     ``previous``: set while the members change; a majority of these is needed as well, until a
@@ -56,7 +56,7 @@
         return _ids(self.previous)
 
     def has(self, member: MemberDisk) -> bool:
-        """Tell whether this very disk is in sync."""
+        """Return whether this very disk is in sync."""
         return member in self.in_sync
 
 
@@ -66,7 +66,7 @@
 
 @attrs.frozen(cache_hash=True)
 class WitnessState:
-    """Everything a witness remembers durably. ``disks`` and ``retired`` are sorted."""
+    """The durable state of a witness. ``disks`` and ``retired`` are sorted."""
 
     own: MemberDisk
     folder_identity: str = ""
--- a/rooklug/core/views.py
+++ b/rooklug/core/view_change.py
@@ -1,4 +1,9 @@
-"""A view change: one two-phase round at the witnesses, run by the core that proposes."""
+"""A view change: a two-phase proposal (prepare, accept) to the witnesses, as in Paxos.
+
+The core that wants to lead, or to change the view that it leads, is the proposer. A proposal
+has an epoch, the ballot number of Paxos; a witness that has promised an epoch answers no lower
+one any more.
+"""
 
 from collections.abc import Callable
 from enum import Enum
@@ -8,11 +13,11 @@
 from rooklug.core.constants import (
     MESSAGE_DEADLINE_S,
     PROMISE_GRACE_S,
-    ROUND_DEADLINE_S,
+    PROPOSAL_DEADLINE_S,
 )
 from rooklug.core.outbox import Outbox
 from rooklug.core.peers import Peers
-from rooklug.core.quorum import agree
+from rooklug.core.quorum import has_quorum
 from rooklug.core.records import disk_to_wire, promise_from_wire, view_to_wire
 from rooklug.core.types import Position, Promise, View
 from rooklug.core.witness import Witness
@@ -21,18 +26,28 @@
 
 
 class Phase(Enum):
-    """How far a round has got."""
+    """The phase that a proposal is in."""
 
     PREPARE = "prepare"
     ACCEPT = "accept"
 
 
 @attrs.define(eq=False)
-class Round:
-    """One attempt. ``excluded`` cores are left out of the new view, and not waited for.
+class Proposal:
+    """One attempt to get a view chosen.
 
-    The others are waited for until ``grace_s`` after the first promise. ``change`` is a change
-    of the members that goes with it, ``settled`` the chosen view that it follows, if known.
+    Attributes
+    ----------
+    excluded
+        Cores that are left out of the new view, and whose promises are not waited for.
+    grace_s
+        How long after the first promise the other cores' promises are waited for.
+    change
+        A change of the voting members that the view brings, if any.
+    chosen_view
+        The newest view, if it is known that a majority has accepted it.
+    electorates
+        The sets of members of which each must accept by a majority.
     """
 
     epoch: int
@@ -40,12 +55,12 @@
     grace_s: float
     started_at: float
     change: MemberChange | None = None
-    settled: View | None = None
+    chosen_view: View | None = None
     phase: Phase = Phase.PREPARE
     own: Promise | None = None
-    own_asked: bool = False
+    own_promise_requested: bool = False
     promises: dict[str, Promise] = attrs.field(factory=dict)
-    asked: set[str] = attrs.field(factory=set)
+    requested: set[str] = attrs.field(factory=set)
     answered: set[str] = attrs.field(factory=set)
     electorates: list[frozenset[str]] = attrs.field(factory=list)
     majority_at: float = 0.0
@@ -55,9 +70,10 @@
 
 
 class ViewChanger:
-    """Runs at most one round at a time.
+    """Proposer of view changes; at most one proposal is in progress.
 
-    ``on_chosen(view, sent_at, now)`` follows a success, ``on_failed(reason, now)`` a failure.
+    ``on_chosen(view, accepts_sent_at, now)`` follows a success, ``on_failed(reason, now)`` a
+    failure. ``blank_others``: cores whose witness may not vote, as far as known.
     """
 
     def __init__(
@@ -75,12 +91,12 @@
         self._last = last
         self._on_chosen = on_chosen
         self._on_failed = on_failed
-        self.round: Round | None = None
+        self.proposal: Proposal | None = None
         self.highest_seen = 0
         self.blank_others: set[str] = set()
 
     def saw_epoch(self, epoch: int) -> None:
-        """Note an epoch that somebody has promised."""
+        """Remember an epoch that was promised somewhere: the next proposal needs a higher one."""
         self.highest_seen = max(self.highest_seen, epoch)
 
     def begin(
@@ -89,38 +105,38 @@
         now: float,
         grace_s: float = PROMISE_GRACE_S,
         change: MemberChange | None = None,
-        settled: View | None = None,
+        chosen_view: View | None = None,
     ) -> None:
-        """Ask the other witnesses for promises; its own follows the first of theirs."""
+        """Send prepares to the other witnesses; the own promise follows the first of theirs."""
         after = max(self.highest_seen, self._witness.state.promised_epoch)
         epoch = next_epoch(after, self._peers.index)
         self.saw_epoch(epoch)
-        current = Round(epoch, excluded, grace_s, now, change, settled)
-        self.round = current
+        current = Proposal(epoch, excluded, grace_s, now, change, chosen_view)
+        self.proposal = current
         for core_id in self._peers.others:
             self._prepare(current, core_id)
         if change is not None and change.joiner is not None:
             self._peers.learn((change.joiner,))
             self._prepare(current, change.joiner.core_id, joining=True)
-        if not current.asked:
-            self._ask_own(current, now)
+        if not current.requested:
+            self._request_own_promise(current, now)
 
     def abandon(self) -> None:
-        """Forget the round; late answers to it are ignored."""
-        self.round = None
+        """Give the proposal up; late answers to it are ignored."""
+        self.proposal = None
 
     def tick(self, now: float) -> None:
-        """Go on without those that don't answer, or give up."""
-        current = self.round
+        """Propose without cores that don't answer, or give up after ``PROPOSAL_DEADLINE_S``."""
+        current = self.proposal
         if current is None:
             return
-        if now >= current.started_at + ROUND_DEADLINE_S:
+        if now >= current.started_at + PROPOSAL_DEADLINE_S:
             self._fail(current, "no majority in time", now)
         else:
             self._propose_if_ready(current, now)
 
-    def _prepare(self, current: Round, core_id: str, joining: bool = False) -> None:
-        current.asked.add(core_id)
+    def _prepare(self, current: Proposal, core_id: str, joining: bool = False) -> None:
+        current.requested.add(core_id)
         request = wire.PrepareRequest(
             proposer=disk_to_wire(self._witness.state.own),
             epoch=current.epoch,
@@ -131,82 +147,87 @@
             request,
             MESSAGE_DEADLINE_S,
             lambda answer, now: self._on_promise(current, core_id, answer, now),
-            lambda now: self._on_silence(current, core_id, now),
+            lambda now: self._on_prepare_timeout(current, core_id, now),
         )
 
     def _on_promise(
-        self, current: Round, core_id: str, answer: wire.PrepareAnswer, now: float
+        self, current: Proposal, core_id: str, answer: wire.PrepareAnswer, now: float
     ) -> None:
         self.saw_epoch(answer.promised_epoch)
         if answer.voting:
             self.blank_others.discard(core_id)
         else:
             self.blank_others.add(core_id)
-        if self.round is not current:
+        if self.proposal is not current:
             return
         current.answered.add(core_id)
         if answer.granted:
             promise = promise_from_wire(answer)
             current.promises[core_id] = promise
-            self._ask_newer_members(current, promise.view)
-            self._ask_own(current, now)
-        self._continue(current, now)
+            self._prepare_newer_members(current, promise.view)
+            self._request_own_promise(current, now)
+        self._on_progress(current, now)
 
-    def _ask_newer_members(self, current: Round, view: View | None) -> None:
-        """A promise may tell of a view with members that weren't known here."""
+    def _prepare_newer_members(self, current: Proposal, view: View | None) -> None:
+        """A promise may come with a view whose members weren't known here."""
         if view is None:
             return
         self._peers.learn(view.members)
         self._peers.learn(view.previous)
         for electorate in self._peers.electorates(view):
-            for core_id in sorted(electorate - current.asked - {self._peers.own_id}):
+            for core_id in sorted(electorate - current.requested - {self._peers.own_id}):
                 self._prepare(current, core_id)
 
-    def _on_silence(self, current: Round, core_id: str, now: float) -> None:
-        if self.round is current:
+    def _on_prepare_timeout(self, current: Proposal, core_id: str, now: float) -> None:
+        if self.proposal is current:
             current.answered.add(core_id)
-            self._continue(current, now)
+            self._on_progress(current, now)
 
-    def _ask_own(self, current: Round, now: float) -> None:
-        if not current.own_asked:
-            current.own_asked = True
+    def _request_own_promise(self, current: Proposal, now: float) -> None:
+        if not current.own_promise_requested:
+            current.own_promise_requested = True
             current.majority_at = now
-            self._witness.promise_own(
-                current.epoch, now, lambda granted, now: self._on_own(current, granted, now)
+            self._witness.promise_to_self(
+                current.epoch, now, lambda granted, now: self._on_own_promise(current, granted, now)
             )
 
-    def _on_own(self, current: Round, granted: bool, now: float) -> None:
-        if self.round is not current:
+    def _on_own_promise(self, current: Proposal, granted: bool, now: float) -> None:
+        if self.proposal is not current:
             return
         if not granted or self._witness.state.promised_epoch != current.epoch:
             self._fail(current, "its own witness refused", now)
             return
         state = self._witness.state
         current.own = Promise(state.own, state.view, self._last())
-        self._continue(current, now)
+        self._on_progress(current, now)
 
-    def _continue(self, current: Round, now: float) -> None:
-        everybody = current.answered >= current.asked
-        if everybody and current.asked and not current.promises:
+    def _on_progress(self, current: Proposal, now: float) -> None:
+        all_answered = current.answered >= current.requested
+        if all_answered and current.requested and not current.promises:
             self._fail(current, "no other witness promised", now)
         else:
             self._propose_if_ready(current, now)
 
-    def _propose_if_ready(self, current: Round, now: float) -> None:
+    def _propose_if_ready(self, current: Proposal, now: float) -> None:
         if current.phase is not Phase.PREPARE or current.own is None:
             return
         latest = newest_view(current.own, current.promises.values())
         votes = {self._peers.own_id, *current.promises}
-        if not agree(votes, self._peers.electorates(latest)):
+        if not has_quorum(votes, self._peers.electorates(latest)):
             return
-        everybody = current.answered | current.excluded >= current.asked
-        if everybody or now >= current.majority_at + current.grace_s:
+        all_answered = current.answered | current.excluded >= current.requested
+        if all_answered or now >= current.majority_at + current.grace_s:
             self._propose(current, now)
 
-    def _propose(self, current: Round, now: float) -> None:
+    def _propose(self, current: Proposal, now: float) -> None:
         others = [current.promises[core_id] for core_id in sorted(current.promises)]
         view = choose_view(
-            current.epoch, current.own, others, current.excluded, current.change, current.settled
+            current.epoch,
+            current.own,
+            others,
+            current.excluded,
+            current.change,
+            current.chosen_view,
         )
         if view is None:
             self._fail(current, "this disk isn't in sync in the newest view", now)
@@ -222,13 +243,13 @@
             view=view_to_wire(view),
             promises=[disk_to_wire(voter) for voter in voters],
         )
-        self._witness.accept_own(
+        self._witness.accept_from_self(
             view, voters, now, lambda now: self._on_accepted(current, self._peers.own_id, now)
         )
         for core_id in sorted(current.promises):
             self._send_accept(current, core_id, request)
 
-    def _send_accept(self, current: Round, core_id: str, request: wire.AcceptRequest) -> None:
+    def _send_accept(self, current: Proposal, core_id: str, request: wire.AcceptRequest) -> None:
         def on_answer(answer: wire.AcceptAnswer, now: float) -> None:
             self.saw_epoch(answer.promised_epoch)
             if answer.accepted:
@@ -236,16 +257,16 @@
 
         self._outbox.call(self._peers.address(core_id), request, MESSAGE_DEADLINE_S, on_answer)
 
-    def _on_accepted(self, current: Round, core_id: str, now: float) -> None:
-        if self.round is not current:
+    def _on_accepted(self, current: Proposal, core_id: str, now: float) -> None:
+        if self.proposal is not current:
             return
         current.accepted.add(core_id)
         own = self._peers.own_id in current.accepted
-        if own and agree(current.accepted, current.electorates):
-            self.round = None
+        if own and has_quorum(current.accepted, current.electorates):
+            self.proposal = None
             self._on_chosen(current.view, current.accept_sent_at, now)
 
-    def _fail(self, current: Round, reason: str, now: float) -> None:
-        if self.round is current:
-            self.round = None
+    def _fail(self, current: Proposal, reason: str, now: float) -> None:
+        if self.proposal is current:
+            self.proposal = None
             self._on_failed(reason, now)
--- a/rooklug/core/witness.py
+++ b/rooklug/core/witness.py
@@ -1,11 +1,15 @@
-"""The witness of one core: durable epochs, and the quiet time it grants a primary."""
+"""The witness of one core: the durable acceptor of the epoch protocol.
+
+It also guards the primary's lease: for ``LEASE_GUARD_S`` after a heartbeat it promises nothing
+to any other core, so that no successor is chosen before the lease is over.
+"""
 
 from collections.abc import Callable
 
 import attrs
 
 from rooklug.core import witness_rules
-from rooklug.core.constants import QUIET_S, WITNESS_FILE, WITNESS_REWRITE_RECORDS
+from rooklug.core.constants import LEASE_GUARD_S, WITNESS_FILE, WITNESS_REWRITE_RECORDS
 from rooklug.core.disk import Continuation, Disk
 from rooklug.core.outbox import Outbox
 from rooklug.core.peers import Peers
@@ -27,8 +31,8 @@
 class Witness:
     """Answers promises, accepts and reads; each answer leaves after its state is synced.
 
-    ``heard_at`` is when it last heard from the primary it supports, ``leader``: for
-    ``QUIET_S`` from then it promises nothing to anybody else.
+    ``supported_primary`` is the disk of the primary whose heartbeats it answers, since
+    ``supported_epoch``; the last one came at ``last_heartbeat_at`` (monotonic seconds).
     """
 
     def __init__(
@@ -40,20 +44,20 @@
         self._peers = peers
         self._file_records = 0
         self.state = WitnessState(MemberDisk("", ""))
-        self.leader: MemberDisk | None = None
-        self.leader_epoch = 0
-        self.heard_at = NEVER
+        self.supported_primary: MemberDisk | None = None
+        self.supported_epoch = 0
+        self.last_heartbeat_at = NEVER
 
     def load(self, state: WitnessState, now: float) -> None:
-        """Start from a state that is on disk: an earlier life may have granted quiet time."""
+        """Start from a state that is on disk: before the restart it may have guarded a lease."""
         self.state = state
-        self._peers.take(state.view)
-        self.leader = _primary_disk(state.view)
-        self.leader_epoch = state.accepted_epoch
-        self.heard_at = now
+        self._peers.adopt(state.view)
+        self.supported_primary = _primary_disk(state.view)
+        self.supported_epoch = state.accepted_epoch
+        self.last_heartbeat_at = now
 
     def begin_anew(self, state: WitnessState, now: float) -> None:
-        """Start the first life of a disk."""
+        """Start the first incarnation of a disk."""
         self.load(state, now)
         self._file_records = 1
         self._disk.rewrite(WITNESS_FILE, [encode(witness_to_wire(state))], now)
@@ -62,35 +66,35 @@
         """Take a new state; go on once it, and all writes before it, are synced."""
         if state != self.state:
             self.state = state
-            self._peers.take(state.view)
+            self._peers.adopt(state.view)
             self._write(encode(witness_to_wire(state)), now)
         self._disk.after_sync(now, then)
 
-    def hear(self, leader: MemberDisk, epoch: int, now: float) -> None:
-        """Note a sign of life of the primary of ``epoch``: the quiet time begins anew."""
-        self.leader = leader
-        self.leader_epoch = epoch
-        self.heard_at = now
+    def record_heartbeat(self, supported_primary: MemberDisk, epoch: int, now: float) -> None:
+        """Record a heartbeat of the primary of ``epoch``: the guard of its lease begins anew."""
+        self.supported_primary = supported_primary
+        self.supported_epoch = epoch
+        self.last_heartbeat_at = now
 
-    def is_quiet_for(self, proposer: MemberDisk, now: float) -> bool:
-        """Tell whether a promise to ``proposer`` would break the quiet time of another."""
-        return proposer != self.leader and now < self.heard_at + QUIET_S
+    def blocks_promise_to(self, proposer: MemberDisk, now: float) -> bool:
+        """Return whether a promise to ``proposer`` could break another primary's lease."""
+        return proposer != self.supported_primary and now < self.last_heartbeat_at + LEASE_GUARD_S
 
-    def promise_own(self, epoch: int, now: float, then: Callable[[bool, float], None]) -> None:
-        """Promise to this core's own proposal, by the same rules as for others."""
+    def promise_to_self(self, epoch: int, now: float, then: Callable[[bool, float], None]) -> None:
+        """Promise to this core's own proposal, by the same rules as to others."""
         state = witness_rules.promise(self.state, epoch, self.state.own)
-        if state is None or self.is_quiet_for(self.state.own, now):
+        if state is None or self.blocks_promise_to(self.state.own, now):
             then(False, now)
             return
         self.save(state, now, lambda now: then(True, now))
 
-    def accept_own(
+    def accept_from_self(
         self, view: View, promises: list[MemberDisk], now: float, then: Continuation
     ) -> None:
         """Accept this core's own proposal; nothing follows when it is refused."""
         state = witness_rules.accept(self.state, self.state.own, view, promises)
         if state is not None:
-            self.hear(self.state.own, view.epoch, now)
+            self.record_heartbeat(self.state.own, view.epoch, now)
             self.save(state, now, then)
 
     def on_prepare(self, call_id: int, request: wire.PrepareRequest, now: float) -> None:
@@ -98,10 +102,10 @@
         proposer = disk_from_wire(request.proposer)
         rule = witness_rules.promise_to_join if request.joining else witness_rules.promise
         state = rule(self.state, request.epoch, proposer)
-        if state is None or self.is_quiet_for(proposer, now):
+        if state is None or self.blocks_promise_to(proposer, now):
             self._outbox.answer(call_id, self._prepare_answer(False))
             return
-        self.save(state, now, lambda now: self._answer_promise(call_id, request.epoch))
+        self.save(state, now, lambda now: self._answer_prepare(call_id, request.epoch))
 
     def on_accept(self, call_id: int, request: wire.AcceptRequest, now: float) -> None:
         """Answer a proposer's request to accept a view."""
@@ -112,7 +116,7 @@
         if state is None:
             self._outbox.answer(call_id, self._accept_answer(False))
             return
-        self.hear(proposer, view.epoch, now)
+        self.record_heartbeat(proposer, view.epoch, now)
         self.save(state, now, lambda now: self._outbox.answer(call_id, self._accept_answer(True)))
 
     def on_read(self, call_id: int, request: wire.ReadWitnessRequest, now: float) -> None:
@@ -126,9 +130,13 @@
 
     def _release_if_replaced(self, reader: MemberDisk, now: float) -> None:
         """A primary that comes back with another disk has no lease any more."""
-        leader = self.leader
-        if leader is not None and leader.core_id == reader.core_id and leader != reader:
-            self.heard_at = min(self.heard_at, now - QUIET_S)
+        supported_primary = self.supported_primary
+        if (
+            supported_primary is not None
+            and supported_primary.core_id == reader.core_id
+            and supported_primary != reader
+        ):
+            self.last_heartbeat_at = min(self.last_heartbeat_at, now - LEASE_GUARD_S)
 
     def on_form(self, call_id: int, request: wire.FormViewRequest, now: float) -> None:
         """Answer the request to accept the very first view."""
@@ -136,7 +144,7 @@
         if state is None:
             self._outbox.answer(call_id, wire.FormViewAnswer(accepted=False))
             return
-        self.hear(disk_from_wire(request.proposer), request.view.epoch, now)
+        self.record_heartbeat(disk_from_wire(request.proposer), request.view.epoch, now)
         answer = wire.FormViewAnswer(accepted=True)
         self.save(state, now, lambda now: self._outbox.answer(call_id, answer))
 
@@ -149,23 +157,23 @@
         if state is None:
             self._outbox.answer(call_id, wire.AdoptViewAnswer(adopted=False))
             return
-        self.hear(proposer, view.epoch, now)
+        self.record_heartbeat(proposer, view.epoch, now)
         answer = wire.AdoptViewAnswer(adopted=True)
         self.save(state, now, lambda now: self._outbox.answer(call_id, answer))
 
     def on_hand_over(self, call_id: int, request: wire.HandOverRequest, now: float) -> None:
-        """A primary that stopped acting gives its quiet time back."""
-        matches = self.leader == disk_from_wire(request.primary)
-        if matches and request.epoch == self.leader_epoch:
-            self.heard_at = now - QUIET_S
+        """A primary that stepped down ends its lease early."""
+        matches = self.supported_primary == disk_from_wire(request.primary)
+        if matches and request.epoch == self.supported_epoch:
+            self.last_heartbeat_at = now - LEASE_GUARD_S
         self._outbox.answer(call_id, wire.HandOverAnswer(ok=matches))
 
     def release(self, now: float) -> None:
-        """Give back the quiet time this core granted itself."""
-        if self.leader == self.state.own:
-            self.heard_at = now - QUIET_S
+        """End the guard of this core's own lease."""
+        if self.supported_primary == self.state.own:
+            self.last_heartbeat_at = now - LEASE_GUARD_S
 
-    def _answer_promise(self, call_id: int, epoch: int) -> None:
+    def _answer_prepare(self, call_id: int, epoch: int) -> None:
         self._outbox.answer(call_id, self._prepare_answer(self.state.promised_epoch == epoch))
 
     def _prepare_answer(self, granted: bool) -> wire.PrepareAnswer:
@@ -202,7 +210,7 @@
     """Return the disk of a view's primary.
 
     A witness counts towards a lease only under a view that it has accepted durably, so after
-    a restart the quiet time can only be that primary's, and its own proposal ends it.
+    a restart it can only guard that primary's lease, and that core's own proposal ends it.
     """
     if view is None:
         return None
--- a/rooklug/core/witness_rules.py
+++ b/rooklug/core/witness_rules.py
@@ -170,7 +170,7 @@
     others: Iterable[Promise],
     excluded: frozenset[str] = frozenset(),
     change: MemberChange | None = None,
-    settled: View | None = None,
+    chosen_view: View | None = None,
 ) -> View | None:
     """Return the view to propose, or None when this core may not become the primary.
 
@@ -179,14 +179,14 @@
     ``epoch``, so that no earlier primary changes their logs any more.
 
     Members change in two views: one that both the old and the new members choose, and,
-    once it is ``settled`` (chosen, and nothing newer is known), one without the old ones.
+    once it is ``chosen_view`` (chosen, and nothing newer is known), one without the old ones.
     """
     others = list(others)
     latest = newest_view(own, others)
     if latest is None or not latest.has(own.voter):
         return None
     members, previous = latest.members, latest.previous
-    if previous and latest == settled:
+    if previous and latest == chosen_view:
         previous = ()
     elif change is not None and not previous:
         voters = {promise.voter.core_id for promise in others}
--- a/rooklug/distribution/core_link.py
+++ b/rooklug/distribution/core_link.py
@@ -123,7 +123,7 @@
         """
         grant = self.grant(role_key, now)
         if grant is None:
-            return [fx.Log("warning", "nothing published: no grant", {"role_key": role_key})]
+            return [fx.Log("warning", "publication dropped: no valid grant", {"role_key": role_key})]
         self._publishing.outbox.put(topic, grant, encode_packed(body), decisions)
         return [EmitEvent(PublicationQueued())]
 
--- a/rooklug/distribution/polling.py
+++ b/rooklug/distribution/polling.py
@@ -103,7 +103,7 @@
             return [fx.Compute(ticket, apply_delta, taken.task)]
         if isinstance(taken, TopicProblem):
             fields = {"topic": taken.topic, "problem": taken.message}
-            return [fx.Log("error", "an update can't be taken", fields)]
+            return [fx.Log("error", "topic update rejected", fields)]
         return []
 
     def _pause(self) -> float:
--- a/rooklug/distribution/publishing.py
+++ b/rooklug/distribution/publishing.py
@@ -47,7 +47,7 @@
             self.outbox.taken(sent.request, sent.epoch)
             return self.send(now)
         fields = {"topic": sent.request.topic, "reason": answer.reason}
-        return [fx.Log("warning", "a publication was refused", fields), self._later()]
+        return [fx.Log("warning", "publication rejected", fields), self._later()]
 
     def failed(self, call_id: int) -> list[fx.Effect]:
         """A publication under way got no answer."""
--- a/rooklug/front/once_only/once_only_component.py
+++ b/rooklug/front/once_only/once_only_component.py
@@ -26,7 +26,7 @@
     PayloadDiffers,
 )
 from rooklug.front.once_only.claims import key_digest, shard_of
-from rooklug.front.once_only.limits import COPY_DEADLINE_S, RETRY_AFTER_S
+from rooklug.front.once_only.limits import REPLICATION_DEADLINE_S, RETRY_AFTER_S
 from rooklug.front.once_only.once_decision import OnceDecision
 from rooklug.front.once_only.requests import OnceHead, read_head, read_payload
 from rooklug.front.readiness import DrainingStarted
@@ -217,7 +217,7 @@
             if node.node_id == attempt.claim.copy_id:
                 request = CopyResultRequest(attempt.claim, attempt.payload.digest, result)
                 address = node.internal_address
-                return [self._calls.call(address, request, COPY_DEADLINE_S, lambda *_: [])]
+                return [self._calls.call(address, request, REPLICATION_DEADLINE_S, lambda *_: [])]
         return []
 
     # Ends --------------------------------------------------------------------------------
--- a/rooklug/membership/lease_service.py
+++ b/rooklug/membership/lease_service.py
@@ -57,7 +57,7 @@
         if not gone:
             return effects
         fields = {"nodes": [record.node_id for record in gone]}
-        log = fx.Log("warning", "leases have ended without a renewal", fields)
+        log = fx.Log("warning", "leases expired without renewal", fields)
         return [*effects, log, *self.members_changed(now)]
 
     def members_changed(self, now: float) -> list[fx.Effect]:
--- a/rooklug/placement/greedy.py
+++ b/rooklug/placement/greedy.py
@@ -7,7 +7,7 @@
 from rooklug.placement.assembly import assemble
 from rooklug.placement.facts import LOAD_EPSILON, Destination, all_keys, destinations, key_order
 from rooklug.placement.guardrail import allowed_loads
-from rooklug.placement.ledger import Ledger
+from rooklug.placement.ledger import ChangeHistory
 from rooklug.placement.problem import DemandKey, PlacementPlan, PlacementProblem
 
 SOLVER_NAME = "greedy"
@@ -19,9 +19,9 @@
     return assemble(problem, ledger.assignments, ledger.flow_list(), SOLVER_NAME)
 
 
-def fill(problem: PlacementProblem, moves: int) -> Ledger:
+def fill(problem: PlacementProblem, moves: int) -> ChangeHistory:
     """Return the books of a greedy placement with at most ``moves`` loads."""
-    ledger = Ledger(problem, moves)
+    ledger = ChangeHistory(problem, moves)
     keys = [key for key in problem.demand if key.model in problem.models]
     keys.sort(key=lambda key: _urgency(problem, key))
     for key in keys:
@@ -36,7 +36,7 @@
     return (-problem.models[key.model].priority, -problem.demand[key], key_order(key))
 
 
-def _place(ledger: Ledger, key: DemandKey, load: float) -> None:
+def _place(ledger: ChangeHistory, key: DemandKey, load: float) -> None:
     reach = destinations(ledger.problem, key)
     for group in (_in_time(reach), _late(reach)):
         for destination in group:
@@ -46,13 +46,13 @@
                 load = ledger.pour(key, destination.region, load)
 
 
-def _grow(ledger: Ledger, key: DemandKey, region: str) -> bool:
+def _grow(ledger: ChangeHistory, key: DemandKey, region: str) -> bool:
     if ledger.budget_left(key, region) <= LOAD_EPSILON:
         return False
     return ledger.open_replica(key.model, region)
 
 
-def _keep_in_reach(ledger: Ledger, key: DemandKey) -> None:
+def _keep_in_reach(ledger: ChangeHistory, key: DemandKey) -> None:
     reach = destinations(ledger.problem, key)
     if any(ledger.replicas(key.model, destination.region) for destination in _in_time(reach)):
         return
@@ -61,7 +61,7 @@
             return
 
 
-def _keep_configured(ledger: Ledger) -> None:
+def _keep_configured(ledger: ChangeHistory) -> None:
     problem = ledger.problem
     placed = {model for models in ledger.assignments.values() for model in models}
     for key in all_keys(problem):
--- a/rooklug/placement/ledger.py
+++ b/rooklug/placement/ledger.py
@@ -25,7 +25,7 @@
     load: float
 
 
-class Ledger:
+class ChangeHistory:
     """Tracks what a placement uses; refuses whatever a capacity or a weight doesn't allow."""
 
     def __init__(self, problem: PlacementProblem, moves: int) -> None:
--- a/rooklug/placement/planner.py
+++ b/rooklug/placement/planner.py
@@ -5,7 +5,7 @@
 from rooklug.placement.assembly import assemble
 from rooklug.placement.greedy import fill, plan_greedily
 from rooklug.placement.guardrail import allowed_loads
-from rooklug.placement.ledger import Ledger
+from rooklug.placement.ledger import ChangeHistory
 from rooklug.placement.linear import highs_available
 from rooklug.placement.problem import PlacementPlan, PlacementProblem
 from rooklug.placement.program import Place, PlacementProgram, ProgramAnswer
@@ -94,7 +94,7 @@
     return counts
 
 
-def _greedy(problem: PlacementProblem, ledger: Ledger, note: str) -> PlacementPlan:
+def _greedy(problem: PlacementProblem, ledger: ChangeHistory, note: str) -> PlacementPlan:
     if not problem.slots:
         return plan_greedily(problem)
     return assemble(problem, ledger.assignments, ledger.flow_list(), "greedy", notes=(note,))
--- a/rooklug_lab/hollow/phases.py
+++ b/rooklug_lab/hollow/phases.py
@@ -12,7 +12,7 @@
 from rooklug_lab.hollow.statistics import spread
 from rooklug_lab.hollow.window import difference, take_snapshot
 
-QUIET_S = 4.0
+LEASE_GUARD_S = 4.0
 SETTLE_TIMEOUT_S = 30.0
 FAILOVER_TIMEOUT_S = 40.0
 SINGLE_CHANGES = 5
@@ -39,7 +39,7 @@
         count = await _publications(fleet)
         if count != last:
             last, quiet_since = count, time.monotonic()
-        return time.monotonic() - quiet_since >= QUIET_S
+        return time.monotonic() - quiet_since >= LEASE_GUARD_S
 
     try:
         return {"settled_s": round(await wait_until(quiet, SETTLE_TIMEOUT_S, "a quiet plan"), 1)}
--- a/rooklug_lab/placement/sweep.py
+++ b/rooklug_lab/placement/sweep.py
@@ -29,7 +29,7 @@
 SOLVE_EVERY_TICKS = 10
 EVENT_CHANCE = 0.06
 DURATION_S = 160.0
-QUIET_S = 60.0
+LEASE_GUARD_S = 60.0
 """The last part of a seed, in which everything is back and nothing more happens."""
 SETTLING_S = 10.0
 """After a new placer or new models, a refused load may rest on what it couldn't know yet."""
@@ -73,9 +73,9 @@
         """Run the seed to its end."""
         for tick in range(int(DURATION_S / TICK_S)):
             now = tick * TICK_S
-            if now == DURATION_S - QUIET_S:
+            if now == DURATION_S - LEASE_GUARD_S:
                 self._replicas_return(now)
-            if now < DURATION_S - QUIET_S and self._random.random() < EVENT_CHANCE:
+            if now < DURATION_S - LEASE_GUARD_S and self._random.random() < EVENT_CHANCE:
                 self._something_happens(now)
             self._fleet.advance(now)
             self._executor.observe(dict(self._fleet.reports), now)
--- a/rooklug_lab/sim/mutations.py
+++ b/rooklug_lab/sim/mutations.py
@@ -11,7 +11,7 @@
 
 import attrs
 
-from rooklug.core.replication import Replicator
+from rooklug.core.replicator import Replicator
 from rooklug.distribution.core_link import CoreLink
 from rooklug.distribution.held_topics import HeldTopics
 from rooklug.engine.events import SendState
--- a/scripts/trace_behaviour.py
+++ b/scripts/trace_behaviour.py
@@ -30,7 +30,23 @@
 }
 """Earlier class name to present one, for each class that a trace prints."""
 
-RENAMED_LOG_MESSAGES: dict[str, str] = {}
+RENAMED_LOG_MESSAGES: dict[str, str] = {
+    "a check failed": "configuration check failed",
+    "a publication was refused": "publication rejected",
+    "a snapshot can't be read": "snapshot unreadable",
+    "a view change failed": "view change failed",
+    "an operator's recovery begins": "operator-confirmed recovery started",
+    "an update can't be taken": "topic update rejected",
+    "changes the members": "changing the voting members",
+    "drops members that are late": "removing late members from the in-sync set",
+    "leads a view": "became primary of a view",
+    "leads no more": "lost leadership",
+    "leases have ended without a renewal": "leases expired without renewal",
+    "nothing published: no grant": "publication dropped: no valid grant",
+    "the witness votes again": "witness may vote again",
+    "this core takes part no more": "stopped participating",
+    "this disk begins a new life": "disk starts a new incarnation",
+}
 """Earlier log message to present one."""
 
 
--- a/tests/core_cluster.py
+++ b/tests/core_cluster.py
@@ -10,8 +10,8 @@
 from expression import Error, Ok, Result
 
 from rooklug.core.build import build_core_components
+from rooklug.core.control_state_component import ControlStateComponent
 from rooklug.core.documents import DocumentChecker
-from rooklug.core.node import ControlStateComponent
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
 from rooklug.engine.component import BaseComponent, InternalEvent
@@ -261,7 +261,7 @@
     def primary(self) -> Core | None:
         """Return the core that may serve at this moment."""
         serving = [
-            c for c in self.cores.values() if c.alive and c.component.leader.may_serve(self.now)
+            c for c in self.cores.values() if c.alive and c.component.primary.may_serve(self.now)
         ]
         return serving[0] if serving else None
 
--- a/tests/core_cluster_waits.py
+++ b/tests/core_cluster_waits.py
@@ -14,7 +14,7 @@
 
 def in_sync(cluster: Cluster) -> list[str]:
     primary = cluster.primary()
-    return sorted(d.core_id for d in primary.component.leader.view.in_sync) if primary else []
+    return sorted(d.core_id for d in primary.component.primary.view.in_sync) if primary else []
 
 
 def wait_in_sync(cluster: Cluster, expected: list[str], wait_s: float = 30.0) -> bool:
@@ -46,6 +46,6 @@
     def is_back() -> bool:
         primary = cluster.primary()
         own = cluster.cores[core_id].component.witness.state.own
-        return primary is not None and primary.component.leader.view.has(own)
+        return primary is not None and primary.component.primary.view.has(own)
 
     return cluster.run(cluster.now + wait_s, is_back)
--- a/tests/core_exploration.py
+++ b/tests/core_exploration.py
@@ -187,12 +187,12 @@
 
 
 def may_lead_append(member: Member) -> bool:
-    """As ``Leader.may_append``."""
+    """As ``Primary.may_append``."""
     return member.state.promised_epoch == member.leading.epoch
 
 
 def may_commit(member: Member) -> bool:
-    """As ``Leader.may_commit``."""
+    """As ``Primary.may_commit``."""
     return member.state.accepted_epoch == member.leading.epoch
 
 
--- a/tests/core_failover.py
+++ b/tests/core_failover.py
@@ -37,7 +37,7 @@
 
     def another_serves() -> bool:
         others = [core for core in cluster.cores.values() if core is not old and core.alive]
-        return any(core.component.leader.may_serve(cluster.now) for core in others)
+        return any(core.component.primary.may_serve(cluster.now) for core in others)
 
     if not cluster.run(began + WAIT_S, another_serves):
         raise TimeoutError(f"seed {seed}: nobody serves")
--- a/tests/core_faults.py
+++ b/tests/core_faults.py
@@ -121,7 +121,7 @@
         ]
         if primary is None or not all(core.alive for core in cores):
             return False
-        view = primary.component.leader.view
+        view = primary.component.primary.view
         current = {core.component.witness.state.own for core in cores}
         voting = all(core.component.witness.state.voting for core in cores)
         everybody = len(view.in_sync) == len(view.member_ids) == self.cluster.size
--- a/tests/core_member_exploration.py
+++ b/tests/core_member_exploration.py
@@ -233,7 +233,7 @@
         return
     latest = witness_rules.newest_view(own[0], group)
     votes = {promise.voter.core_id for promise in (own[0], *group)}
-    if not quorum.agree(votes, electorates(latest)):
+    if not quorum.has_quorum(votes, electorates(latest)):
         return
     change = CHANGE if core.changing and not core.leads.previous else None
     view = witness_rules.choose_view(
@@ -280,7 +280,7 @@
             for m in world.messages
             if isinstance(m, Accepted) and m.view == proposal.view
         }
-        if quorum.agree(accepted, proposal.electorates):
+        if quorum.has_quorum(accepted, proposal.electorates):
             index = CORES.index(proposal.view.primary_id)
             core = world.cores[index]
             leads = attrs.evolve(core, leads=proposal.view)
--- a/tests/core_mutations.py
+++ b/tests/core_mutations.py
@@ -8,10 +8,10 @@
 import attrs
 
 from rooklug.core.backup import Backup
+from rooklug.core.change_history import ChangeHistory, Classification, Verdict
 from rooklug.core.disk import Disk
-from rooklug.core.leader import Leader
-from rooklug.core.ledger import Judgement, Ledger, Verdict
-from rooklug.core.replication import Replicator
+from rooklug.core.primary import Primary
+from rooklug.core.replicator import Replicator
 
 
 @attrs.frozen
@@ -32,13 +32,15 @@
     return True
 
 
-def _no_lease(self: Leader, now: float) -> bool:
+def _no_lease(self: Primary, now: float) -> bool:
     return self.view is not None
 
 
-def _newest_only(self: Ledger, version: int, digest: str, base_version: int | None) -> Judgement:
+def _newest_only(
+    self: ChangeHistory, version: int, digest: str, base_version: int | None
+) -> Classification:
     newest = self.newest.version if self.newest else 0
-    return Judgement(Verdict.FRESH if version > newest else Verdict.CONFLICT)
+    return Classification(Verdict.FRESH if version > newest else Verdict.CONFLICT)
 
 
 def _before_the_sync(self: Disk, now: float, then: Any) -> None:
@@ -47,6 +49,6 @@
 
 ONE_DISK = Mutation(Replicator, "acknowledged_by_all", _own_disk_only)
 NO_COMPARISON = Mutation(Backup, "_match", _no_comparison)
-NO_LEASE = Mutation(Leader, "is_active", _no_lease)
-NEWEST_ONLY = Mutation(Ledger, "judge_change", _newest_only)
+NO_LEASE = Mutation(Primary, "is_active", _no_lease)
+NEWEST_ONLY = Mutation(ChangeHistory, "classify_change", _newest_only)
 BEFORE_THE_SYNC = Mutation(Disk, "after_sync", _before_the_sync)
--- a/tests/core_oracle.py
+++ b/tests/core_oracle.py
@@ -1,4 +1,4 @@
-"""What must hold of three cores under faults, judged from answers, events and commits."""
+"""What must hold of three cores under faults, classified from answers, events and commits."""
 
 import hashlib
 from random import Random
@@ -100,7 +100,7 @@
         serving = [
             core.core_id
             for core in self.cluster.cores.values()
-            if core.alive and not core.frozen and core.component.leader.may_serve(now)
+            if core.alive and not core.frozen and core.component.primary.may_serve(now)
         ]
         self.check(len(serving) <= 1, f"two primaries serve: {serving}")
 
@@ -155,7 +155,7 @@
             primary = cluster.primary()
             if primary is None:
                 return False
-            view = primary.component.leader.view
+            view = primary.component.primary.view
             in_sync = {disk.core_id for disk in view.in_sync}
             everybody = in_sync == view.member_ids <= set(cluster.cores)
             return everybody and len(in_sync) == cluster.size and not view.previous
--- a/tests/stored_data.py
+++ b/tests/stored_data.py
@@ -18,7 +18,7 @@
 
 from rooklug.core.disk import Disk
 from rooklug.core.outbox import Outbox
-from rooklug.core.store import CopyStore
+from rooklug.core.store import ReplicaStore
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
 from rooklug.engine.reducer import Identifiers, ProcessContext
@@ -138,17 +138,17 @@
 def cut_log() -> list[str]:
     """Return the records of a log whose uncommitted tail was cut and written again."""
     outbox = Outbox(Identifiers(itertools.count(1)))
-    store = CopyStore(Disk(outbox))
+    store = ReplicaStore(Disk(outbox))
     for epoch, sequence in ((3, 1), (3, 2), (3, 3)):
         _append(store, epoch, sequence)
     store.commit_to(1)
-    store.cut_after(1, 0.0)
+    store.truncate_after(1, 0.0)
     _append(store, 4, 2)
     written = [effect for effect in outbox.take() if isinstance(effect, fx.WriteRecords)]
     return [record.hex() for effect in written for record in effect.records]
 
 
-def _append(store: CopyStore, epoch: int, sequence: int) -> None:
+def _append(store: ReplicaStore, epoch: int, sequence: int) -> None:
     change = ZoneChange(zone=f"zone-{sequence}", emptied=True, operation_id=f"{epoch}/{sequence}")
     entry = LogEntry(epoch=epoch, sequence=sequence, zone=change)
     store.log.append(entry)
--- a/tests/test_controller_fuzz.py
+++ b/tests/test_controller_fuzz.py
@@ -11,7 +11,7 @@
 
 SEEDS = (*range(1, 11), 24, 168)
 STEPS = 40
-QUIET_S = 60.0
+LEASE_GUARD_S = 60.0
 SETTLING_S = 1.0
 
 
@@ -37,7 +37,7 @@
             self.random.choice(self.actions())()
             self.world.run(self.random.uniform(0.1, 4.0))
         self.heal()
-        self.world.run(QUIET_S)
+        self.world.run(LEASE_GUARD_S)
         self.judge()
 
     def actions(self):
--- a/tests/test_core_disks.py
+++ b/tests/test_core_disks.py
@@ -5,7 +5,7 @@
 from typing import Any
 from unittest import mock
 
-from rooklug.core.constants import QUIET_S, QUORUM_WAIT_S
+from rooklug.core.constants import LEASE_GUARD_S, QUORUM_WAIT_S
 from rooklug.wire.generated.core import ttypes as wire
 from tests.core_cluster import CORE_IDS
 from tests.core_cluster_waits import http, in_sync, wait_back, wait_in_sync
@@ -32,7 +32,7 @@
             began + 10.0, lambda: cluster.primary() not in (None, cluster.cores["core-a"])
         )
         self.assertTrue(moved)
-        self.assertLess(cluster.now - began, 1.0 + QUIET_S)
+        self.assertLess(cluster.now - began, 1.0 + LEASE_GUARD_S)
         again = ask(cluster, cluster.primary().core_id, change(1, b"{}"))
         self.assertEqual(again.outcome, "accepted")
 
@@ -62,13 +62,13 @@
         cluster.lose_disk("core-b")
         cluster.start("core-b")
         self.assertTrue(wait_back(cluster, "core-b"))
-        disks = {d.disk_id for d in cluster.primary().component.leader.view.in_sync}
+        disks = {d.disk_id for d in cluster.primary().component.primary.view.in_sync}
         self.assertNotIn("disk-core-b:core-b-1", disks)
         self.assertTrue(any(b"{}" in r for r in cluster.cores["core-b"].disk.files["control-log"]))
 
     def test_copy_by_snapshot_in_parts(self) -> None:
         small_file = mock.patch("rooklug.core.store.REWRITE_BYTES", 1500)
-        small_parts = mock.patch("rooklug.core.control_state.CHANGES_PER_PART", 3)
+        small_parts = mock.patch("rooklug.core.control_state.CHANGES_PER_CHUNK", 3)
         with small_file, small_parts:
             cluster = started()
             for version in range(1, 21):
@@ -161,7 +161,7 @@
         cluster.cores["core-c"].disk.problem = "damaged: control-log"
         cluster.start("core-c")
         self.assertTrue(wait_back(cluster, "core-c"))
-        disks = {d.disk_id for d in cluster.primary().component.leader.view.in_sync}
+        disks = {d.disk_id for d in cluster.primary().component.primary.view.in_sync}
         self.assertNotIn("disk-core-c:core-c-1", disks)
 
     def test_log_with_a_gap_in_the_middle_is_not_in_sync_until_copied(self) -> None:
@@ -173,7 +173,7 @@
         del cluster.cores["core-c"].disk.files["control-log"][2]
         cluster.start("core-c")
         self.assertTrue(wait_back(cluster, "core-c"))
-        disks = {d.disk_id for d in cluster.primary().component.leader.view.in_sync}
+        disks = {d.disk_id for d in cluster.primary().component.primary.view.in_sync}
         self.assertNotIn("disk-core-c:core-c-1", disks)
         log = cluster.cores["core-c"].component.store.log
         self.assertEqual(log.last.sequence, 3)
--- a/tests/test_core_faults.py
+++ b/tests/test_core_faults.py
@@ -6,7 +6,7 @@
 from collections import Counter
 from unittest import mock
 
-from rooklug.core.constants import QUIET_S
+from rooklug.core.constants import LEASE_GUARD_S
 from rooklug.wire.generated.core.ttypes import MemberDisk, PrepareRequest
 from tests import core_mutations
 from tests.core_cluster import CORE_IDS, Cluster
@@ -103,7 +103,7 @@
         self.assertTrue(granted.granted)
         cluster.isolate("core-a")
         cluster.cut("core-b", "core-c")
-        cluster.run(cluster.now + QUIET_S + 0.1)
+        cluster.run(cluster.now + LEASE_GUARD_S + 0.1)
         granted = ask(cluster, "core-c", PrepareRequest(proposer=rival, epoch=7))
         self.assertTrue(granted.granted)
 
--- a/tests/test_core_members.py
+++ b/tests/test_core_members.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from rooklug.core.quorum import agree, majority, readers_needed
+from rooklug.core.quorum import has_quorum, majority, readers_needed
 from rooklug.engine import events as ev
 from tests.core_cluster import CORE_IDS, LATER_IDS, Cluster
 from tests.core_faults import Replacements, run_seed
@@ -20,15 +20,15 @@
 
     def members(self) -> set[str]:
         primary = self.cluster.primary()
-        if primary is None or primary.component.leader.view.previous:
+        if primary is None or primary.component.primary.view.previous:
             return set()
-        return set(primary.component.leader.view.member_ids)
+        return set(primary.component.primary.view.member_ids)
 
     def is_whole(self) -> bool:
         primary = self.cluster.primary()
         if primary is None:
             return False
-        in_sync = {disk.core_id for disk in primary.component.leader.view.in_sync}
+        in_sync = {disk.core_id for disk in primary.component.primary.view.in_sync}
         return in_sync == self.members() == set(self.cluster.cores)
 
     def wait_whole(self, seconds: float) -> None:
@@ -64,7 +64,7 @@
         self.cluster.crash(primary)
         self.cluster.crash(other)
         self.change(2)
-        self.assertGreaterEqual(len(self.cluster.primary().component.leader.view.in_sync), 3)
+        self.assertGreaterEqual(len(self.cluster.primary().component.primary.view.in_sync), 3)
 
     def test_a_core_that_is_gone_for_good_is_replaced(self):
         self.begin()
@@ -77,7 +77,7 @@
         self.cluster.crash(victim)
         self.change(3)
         self.assertIn(
-            "core-d", {d.core_id for d in self.cluster.primary().component.leader.view.in_sync}
+            "core-d", {d.core_id for d in self.cluster.primary().component.primary.view.in_sync}
         )
 
     def test_all_founders_can_be_replaced_in_turn(self):
@@ -223,5 +223,5 @@
         self.assertEqual([majority(n) for n in range(1, 8)], [1, 2, 2, 3, 3, 4, 4])
         self.assertEqual([readers_needed(n) for n in range(1, 8)], [1, 1, 2, 2, 3, 3, 4])
         old, new = {"a", "b", "c"}, {"a", "b", "d"}
-        self.assertFalse(agree({"a", "d"}, [old, new]))
-        self.assertTrue(agree({"a", "b"}, [old, new]))
+        self.assertFalse(has_quorum({"a", "d"}, [old, new]))
+        self.assertTrue(has_quorum({"a", "b"}, [old, new]))
--- a/tests/test_core_scenarios.py
+++ b/tests/test_core_scenarios.py
@@ -4,7 +4,7 @@
 from typing import Any
 from unittest import mock
 
-from rooklug.core.constants import QUIET_S
+from rooklug.core.constants import LEASE_GUARD_S
 from rooklug.core.records import disk_to_wire
 from rooklug.core.types import MemberDisk
 from rooklug.engine import effects as fx
@@ -124,7 +124,7 @@
         began = cluster.now
         cluster.deliver("core-a", ev.StopRequested())
         self.assertTrue(cluster.run(began + 5.0, lambda: cluster.primary() is not None))
-        self.assertLess(cluster.now - began, QUIET_S)
+        self.assertLess(cluster.now - began, LEASE_GUARD_S)
         cluster.run(began + 5.0)
         self.assertFalse(cluster.cores["core-a"].alive)
 
@@ -217,7 +217,9 @@
         cluster.crash("core-a")
 
         def proposing() -> list[Core]:
-            rounds = [(c, c.component.changer.round) for c in cluster.cores.values() if c.alive]
+            rounds = [
+                (c, c.component.view_changer.proposal) for c in cluster.cores.values() if c.alive
+            ]
             return [core for core, current in rounds if current and current.view]
 
         self.assertTrue(cluster.run(cluster.now + 10.0, lambda: bool(proposing())))
@@ -236,7 +238,7 @@
         cluster = started()
         cluster.run(cluster.now + 1.0)
         primary = MemberDisk("core-a", "disk-core-a:core-a-1")
-        cluster.cores["core-c"].component.witness.hear(primary, 9, cluster.now)
+        cluster.cores["core-c"].component.witness.record_heartbeat(primary, 9, cluster.now)
         ask(cluster, "core-c", wire.HandOverRequest(epoch=3, primary=disk_to_wire(primary)))
         rival = wire.MemberDisk(core_id="core-b", disk_id="disk-core-b:core-b-1")
         answer = ask(cluster, "core-c", wire.PrepareRequest(proposer=rival, epoch=10))
--- a/tests/test_core_store.py
+++ b/tests/test_core_store.py
@@ -12,7 +12,7 @@
 from rooklug.core.disk import Disk
 from rooklug.core.log import ReplicatedLog
 from rooklug.core.outbox import Outbox
-from rooklug.core.store import CopyStore, RecordReader
+from rooklug.core.store import RecordReader, ReplicaStore
 from rooklug.core.types import Position
 from rooklug.engine import effects as fx
 from rooklug.engine.reducer import Identifiers
@@ -45,7 +45,7 @@
     def open(self) -> str:
         self.outbox = Outbox(Identifiers(itertools.count(1)))
         self.disk = Disk(self.outbox)
-        self.store = CopyStore(self.disk)
+        self.store = ReplicaStore(self.disk)
         return self.store.load(self.records)
 
     def sync(self) -> None:
@@ -66,7 +66,7 @@
         elif kind == "cut":
             last = max(self.committed, len(self.model) - size)
             del self.model[last:]
-            self.store.cut_after(last, 0.0)
+            self.store.truncate_after(last, 0.0)
         elif kind == "commit":
             self.committed = min(len(self.model), self.committed + size)
             self.store.commit_to(self.committed)
@@ -100,7 +100,7 @@
     @given(STEPS)
     def test_restart_reads_back_what_was_written(self, steps: list[tuple[str, int]]) -> None:
         on_disk = run_steps(steps)
-        with mock.patch.object(control_state, "CHANGES_PER_PART", 2):
+        with mock.patch.object(control_state, "CHANGES_PER_CHUNK", 2):
             on_disk.step("rewrite", 0)
         self.assertEqual(on_disk.open(), "")
         store, model = on_disk.store, on_disk.model
--- a/tests/test_gateway_large.py
+++ b/tests/test_gateway_large.py
@@ -5,7 +5,7 @@
 from typing import Any
 from unittest import mock
 
-from rooklug.core.replication import Replicator
+from rooklug.core.replicator import Replicator
 from rooklug.gateway.retry_budget import RetryBudget
 from rooklug.gateway.view import GatewayView
 from rooklug_lab.gateway.large_days import LARGE_DAYS
--- a/tests/test_gateway_site.py
+++ b/tests/test_gateway_site.py
@@ -8,7 +8,7 @@
 from typing import Any
 from unittest import mock
 
-from rooklug.core.ledger import Judgement, Ledger, Verdict
+from rooklug.core.change_history import ChangeHistory, Classification, Verdict
 from rooklug.engine import effects as fx
 from rooklug.gateway import view_keeper
 from rooklug.gateway.cold_gate import ColdGate
@@ -131,8 +131,8 @@
     return TAKE_CONFIGURATION(keeper, body, now)
 
 
-def _always_fresh(*_: Any) -> Judgement:
-    return Judgement(Verdict.FRESH)
+def _always_fresh(*_: Any) -> Classification:
+    return Classification(Verdict.FRESH)
 
 
 def _always_room(*_: Any) -> Room:
@@ -196,7 +196,7 @@
         self.caught("changes_are_in_force", "calm", *replaced)
 
     def test_a_number_is_taken_once(self) -> None:
-        replaced = (Ledger, "judge_change", _always_fresh)
+        replaced = (ChangeHistory, "classify_change", _always_fresh)
         self.caught("one_change_a_version", "configurations_storm", *replaced)
 
 
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -9,10 +9,10 @@
 from random import Random
 
 from rooklug.core.build import build_core_components
+from rooklug.core.control_state_component import ControlStateComponent
 from rooklug.core.disk import Disk
-from rooklug.core.node import ControlStateComponent
 from rooklug.core.outbox import Outbox
-from rooklug.core.store import CopyStore
+from rooklug.core.store import ReplicaStore
 from rooklug.engine import events as ev
 from rooklug.engine.reducer import Identifiers, ProcessContext
 from rooklug.model.settings import CoreSettings, NodeSettings
@@ -129,7 +129,7 @@
         self.assertEqual(json.loads(CUT_LOG_FILE.read_text()), cut_log())
 
     def test_the_log_is_read(self) -> None:
-        store = CopyStore(Disk(Outbox(Identifiers(itertools.count(1)))))
+        store = ReplicaStore(Disk(Outbox(Identifiers(itertools.count(1)))))
         records = [bytes.fromhex(record) for record in json.loads(CUT_LOG_FILE.read_text())]
         self.assertEqual("", store.load(records))
         entries = [(entry.epoch, entry.sequence) for entry in store.log.entries]
