--- a/rooklug/distribution/core_finder.py
+++ b/rooklug/distribution/core_finder.py
@@ -1,4 +1,4 @@
-"""Which core to talk to: the primary if known, else the seeds in turn."""
+"""Which core to call: the primary if known, else the seeds in turn."""
 
 from random import Random
 
@@ -14,9 +14,9 @@
 
 @attrs.define
 class CoreFinder:
-    """Follows redirects to the primary, moves on when a core fails, and paces the tries.
+    """Follows redirects to the primary, moves on when a core fails, and spaces the attempts.
 
-    ``address`` is the core to ask now. ``confirmed``: it has answered as the primary.
+    ``address`` is the core to call now. ``confirmed``: it has answered as the primary.
     ``starting``: this node has no topic from any core yet.
     """
 
@@ -32,47 +32,47 @@
         self.address = self.seeds[self.random.randrange(len(self.seeds))]
 
     def learn(self, addresses: tuple[str, ...]) -> None:
-        """Go by the cores that there are now, in place of the seeds of the settings."""
+        """Use the present cores in place of the seeds of the settings."""
         if addresses:
             self.seeds = addresses
 
     def answered_as_primary(self, address: str) -> None:
-        """Note that the core at ``address`` acts as the primary."""
+        """The core at ``address`` has answered as the primary."""
         if address != self.address:
             return
         self.confirmed = True
         self._failures = 0
         self._redirects = 0
 
-    def redirected(self, asked: str, primary_address: str) -> float:
-        """Note that ``asked`` isn't the primary and names another or none; return a pause."""
-        if asked != self.address:
-            return self._short_pause()
-        if not primary_address or primary_address == asked:
-            return self.failed(asked)
+    def redirected(self, address: str, primary_address: str) -> float:
+        """The core at ``address`` isn't the primary; return the backoff in seconds."""
+        if address != self.address:
+            return self._short_backoff_s()
+        if not primary_address or primary_address == address:
+            return self.failed(address)
         self.address = primary_address
         self.confirmed = False
         self._redirects += 1
-        # Two cores that name each other must not be asked in a hot loop.
-        return self._short_pause() if self._redirects == 1 else self._backoff()
+        # Two cores that name each other must not be called in a hot loop.
+        return self._short_backoff_s() if self._redirects == 1 else self._backoff_s()
 
-    def failed(self, asked: str) -> float:
-        """Note that ``asked`` doesn't answer or can't reach the primary; return a pause."""
-        if asked == self.address:
-            self.address = self._after(asked)
+    def failed(self, address: str) -> float:
+        """The core at ``address`` failed or has lost the primary; return the backoff in seconds."""
+        if address == self.address:
+            self.address = self._after(address)
             self.confirmed = False
-        return self._backoff()
+        return self._backoff_s()
 
     def _after(self, address: str) -> str:
         if address not in self.seeds:
             return self.seeds[self.random.randrange(len(self.seeds))]
         return self.seeds[(self.seeds.index(address) + 1) % len(self.seeds)]
 
-    def _short_pause(self) -> float:
+    def _short_backoff_s(self) -> float:
         return self.random.uniform(0.0, BACKOFF_FIRST_S)
 
-    def _backoff(self) -> float:
+    def _backoff_s(self) -> float:
         limit_s = START_BACKOFF_LIMIT_S if self.starting else BACKOFF_LIMIT_S
-        pause_s = min(BACKOFF_FIRST_S * BACKOFF_FACTOR**self._failures, limit_s)
+        backoff_s = min(BACKOFF_FIRST_S * BACKOFF_FACTOR**self._failures, limit_s)
         self._failures = min(self._failures + 1, 16)
-        return pause_s * self.random.uniform(0.5, 1.0)
+        return backoff_s * self.random.uniform(0.5, 1.0)
--- a/rooklug/distribution/core_link.py
+++ b/rooklug/distribution/core_link.py
@@ -1,4 +1,4 @@
-"""A node's link to the core: its lease, its roles, the topics, and what it publishes.
+"""A node's link to the core: its lease, its roles, its topics, and its publications.
 
 Validity is always counted from this node's own sends and checked against the ``now`` of the
 caller, so a process that was frozen finds its lease and grants over before it acts.
@@ -8,6 +8,7 @@
 from typing import Any
 
 from rooklug.distribution.core_finder import CoreFinder
+from rooklug.distribution.lease_renewal import LeaseRenewal
 from rooklug.distribution.link_events import PublicationQueued, RenewSoon
 from rooklug.distribution.link_state import (
     POLL_TIMER,
@@ -15,9 +16,8 @@
     RENEW_TIMER,
     LinkState,
 )
-from rooklug.distribution.polling import Polling
+from rooklug.distribution.polling import TopicPolling
 from rooklug.distribution.publishing import Publishing
-from rooklug.distribution.renewing import LeaseRenewing
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
 from rooklug.engine.component import BaseComponent, EmitEvent
@@ -46,8 +46,8 @@
         finder = CoreFinder(settings.seeds, context.random, starting=True)
         self._state = LinkState(settings, context, finder)
         # A front is ready once it serves; other roles are at once.
-        self._renewing = LeaseRenewing(self._state, ready=settings.role != _FRONT)
-        self._polling = Polling(self._state)
+        self._renewing = LeaseRenewal(self._state, ready=settings.role != _FRONT)
+        self._polling = TopicPolling(self._state)
         self._publishing = Publishing(self._state)
         self._now = 0.0
 
@@ -61,19 +61,19 @@
 
     @property
     def connected(self) -> bool:
-        """Tell whether the lease was valid at this part's last event; see ``connected_at``."""
+        """Whether the lease was valid at this component's last event; see ``connected_at``."""
         return self._state.lease.valid(self._now)
 
     def connected_at(self, now: float) -> bool:
-        """Tell whether the node's lease is valid at ``now`` by its own clock."""
+        """Return whether the node's lease is valid at ``now`` by its own clock."""
         return self._state.lease.valid(now)
 
     def version(self, topic: str) -> VersionMark:
-        """Return the version of the body that is held of a topic, or the zero version."""
+        """Return the version of the body that this node has of a topic, or the zero version."""
         return self._state.topics.version(topic)
 
     def body(self, topic: str) -> Any | None:
-        """Return the body that is held of a topic, decoded, or None."""
+        """Return the decoded body that this node has of a topic, or None."""
         return self._state.topics.body(topic)
 
     def grant(self, role_key: str, now: float) -> RoleGrant | None:
@@ -90,12 +90,12 @@
         return list(body.nodes) if body else []
 
     def role_owner(self, role_key: str) -> RoleOwner | None:
-        """Return who holds a role as far as known."""
+        """Return the owner of a role as far as known."""
         body = self.body(MEMBERS)
         owners = body.role_owners if body else []
         return next((owner for owner in owners if owner.role_key == role_key), None)
 
-    # What others ask ---------------------------------------------------------------------
+    # What others request -----------------------------------------------------------------
 
     def set_ready(self, ready: bool) -> list[fx.Effect]:
         """Say whether this node serves.
@@ -107,7 +107,7 @@
         return [EmitEvent(RenewSoon())] if changed else []
 
     def set_draining(self, draining: bool) -> list[fx.Effect]:
-        """Say whether this node is about to go; the effects are as those of ``set_ready``."""
+        """Say whether this node is draining; the effects are as those of ``set_ready``."""
         changed = draining != self._renewing.draining
         self._renewing.draining = draining
         return [EmitEvent(RenewSoon())] if changed else []
@@ -123,7 +123,9 @@
         """
         grant = self.grant(role_key, now)
         if grant is None:
-            return [fx.Log("warning", "publication dropped: no valid grant", {"role_key": role_key})]
+            return [
+                fx.Log("warning", "publication dropped: no valid grant", {"role_key": role_key})
+            ]
         self._publishing.outbox.put(topic, grant, encode_packed(body), decisions)
         return [EmitEvent(PublicationQueued())]
 
@@ -136,19 +138,19 @@
 
     def accepted_sequence(self, topic: str) -> int:
         """Return the highest ``published_sequence`` that a primary has accepted; 0: none."""
-        return self._publishing.outbox.taken_sequence(topic)
+        return self._publishing.outbox.accepted_sequence(topic)
 
     # Events ------------------------------------------------------------------------------
 
     def handle(self, event: ev.Event, now: float) -> list[fx.Effect]:
-        """Take one event; grants that are over are dropped before anything else."""
+        """Take one event; expired grants are dropped before anything else."""
         self._now = now
         return [*self._renewing.expire_grants(now), *self._dispatch(event, now)]
 
     def _dispatch(self, event: ev.Event, now: float) -> list[fx.Effect]:
         if isinstance(event, ev.Started):
-            pause_s = self._state.soon()
-            return [fx.StartTimer(RENEW_TIMER, pause_s), fx.StartTimer(POLL_TIMER, pause_s)]
+            delay_s = self._state.jittered_delay_s()
+            return [fx.StartTimer(RENEW_TIMER, delay_s), fx.StartTimer(POLL_TIMER, delay_s)]
         if isinstance(event, ev.StopRequested):
             return self._leave(now)
         if isinstance(event, ev.TimerFired):
@@ -158,16 +160,16 @@
         if isinstance(event, ev.Computed):
             return self._polling.computed(event, now)
         if isinstance(event, RenewSoon):
-            return [] if self._state.leaving else self._renewing.renew(now)
+            return [] if self._state.stopping else self._renewing.renew(now)
         if isinstance(event, PublicationQueued):
             return self._publishing.send(now)
         return []
 
     def _leave(self, now: float) -> list[fx.Effect]:
-        """Give the lease back. Polls go on: requests that drain need fresh topics, too."""
-        if self._state.leaving:
+        """Release the lease. Polls go on: requests that still run need fresh topics."""
+        if self._state.stopping:
             return []
-        self._state.leaving = True
+        self._state.stopping = True
         return [fx.CancelTimer(PUBLISH_TIMER), *self._renewing.leave(now)]
 
     def _on_timer(self, name: str, now: float) -> list[fx.Effect]:
@@ -201,16 +203,16 @@
         return effects + self._publishing.send(now)
 
     def _on_poll_end(self, event: ev.CallAnswered | ev.CallFailed, now: float) -> list[fx.Effect]:
-        asked = self._state.finder.address
+        called = self._state.finder.address
         if isinstance(event, ev.CallFailed):
             effects = self._polling.failed()
         else:
             effects = self._polling.answered(event.answer, now)
-        moved = self._state.finder.address != asked
+        moved = self._state.finder.address != called
         return effects + self._renewing.follow() if moved else effects
 
     def metrics(self, now: float) -> Iterable[MetricSample]:
-        """Return how this node stands with the core."""
+        """Return the metric samples of this node's link."""
         lease = self._state.lease
         figures = {
             "rooklug_core_lease_valid": (int(lease.valid(now)), "1: the lease is valid"),
--- a/rooklug/distribution/document_delta.py
+++ b/rooklug/distribution/document_delta.py
@@ -15,7 +15,7 @@
 Json = Any
 
 MIN_DOCUMENT_BYTES = 4096
-"""Smaller documents always go out whole."""
+"""Smaller documents are always sent in full."""
 
 MAX_DELTA_SHARE = 0.5
 """A delta that isn't smaller than this share of the document isn't worth its work."""
@@ -31,7 +31,7 @@
 
 @attrs.frozen
 class ApplyTask:
-    """A delta to apply to the document that is held, and the digest of the result."""
+    """A delta to apply to the document that this node has, and the digest of the result."""
 
     base: bytes
     patch: bytes
@@ -96,7 +96,7 @@
 
 
 def apply_delta(task: ApplyTask) -> bytes | None:
-    """Return the new document, or None if the delta doesn't give the one that is meant.
+    """Return the new document, or None if the delta doesn't give the one with the digest.
 
     The plain JSON reader is enough here: the primary has checked the base strictly, and
     the digest tells whether the result is right to the byte.
--- a/rooklug/distribution/renewing.py
+++ b/rooklug/distribution/lease_renewal.py
@@ -1,8 +1,8 @@
-"""Renews the node's lease and role grants, and gives them back at the end."""
+"""Renews the node's lease and role grants, and releases them at the end."""
 
 import attrs
 
-from rooklug.distribution.link_events import LeaseGivenBack
+from rooklug.distribution.link_events import LeaseReleased
 from rooklug.distribution.link_state import EXPIRY_TIMER, RENEW_TIMER, LinkState, SentCall
 from rooklug.distribution.timing import (
     LEAVE_ATTEMPTS,
@@ -22,8 +22,8 @@
 
 
 @attrs.define
-class LeaseRenewing:
-    """One renewal is under way at a time; only the answer to the latest counts."""
+class LeaseRenewal:
+    """One renewal is in flight at a time; only the answer to the latest counts."""
 
     state: LinkState
     ready: bool
@@ -33,7 +33,7 @@
     _leave_attempts: int = 0
 
     def owns(self, call_id: int) -> bool:
-        """Tell whether a call is the renewal under way."""
+        """Return whether a call is the renewal in flight."""
         return self._sent is not None and self._sent.call_id == call_id
 
     def record(self) -> NodeRecord:
@@ -47,61 +47,61 @@
             internal_address=settings.internal_address,
             http_address=settings.http_address,
             incarnation=self.state.context.incarnation,
-            ready=self.ready and not self.state.leaving,
-            draining=self.draining or self.state.leaving,
+            ready=self.ready and not self.state.stopping,
+            draining=self.draining or self.state.stopping,
             configuration=self.state.topics.version(CONFIGURATION),
         )
 
     def renew(self, now: float) -> list[fx.Effect]:
-        """Send a renewal, or another one after that under way."""
+        """Send a renewal, or another one after that in flight."""
         if self._sent is not None:
             self._again = True
             return []
-        request = self.state.lease.request(self.record(), self.state.leaving, now)
+        request = self.state.lease.request(self.record(), self.state.stopping, now)
         self._sent, call = self.state.call(request, RENEWAL_DEADLINE_S, now)
         return [call]
 
     def follow(self) -> list[fx.Effect]:
         """Renew at the core that the poll has found."""
-        if self._sent is not None or self.state.leaving:
+        if self._sent is not None or self.state.stopping:
             return []
-        return [fx.StartTimer(RENEW_TIMER, self.state.soon())]
+        return [fx.StartTimer(RENEW_TIMER, self.state.jittered_delay_s())]
 
     def answered(self, answer: RenewLeaseAnswer, now: float) -> list[fx.Effect]:
-        """Take the answer to the renewal under way."""
+        """Take the answer to the renewal in flight."""
         sent, self._sent = self._sent, None
         lease, finder = self.state.lease, self.state.finder
         if not answer.granted or answer.epoch < lease.epoch:
             address = "" if answer.granted else answer.primary_address
             return self._unsuccessful(finder.redirected(sent.address, address))
         finder.answered_as_primary(sent.address)
-        if self.state.leaving:
-            return [EmitEvent(LeaseGivenBack(confirmed=True))]
+        if self.state.stopping:
+            return [EmitEvent(LeaseReleased(confirmed=True))]
         before = {grant.role_key for grant in lease.grants(now)}
         changed = lease.take(answer, now)
         after = {grant.role_key for grant in lease.grants(now)}
-        at_once = bool(before - after) or self._again or _not_extended(answer)
+        immediately = bool(before - after) or self._again or _not_extended(answer)
         self._again = False
         effects = [self.grants_changed(now)] if changed else []
         effects += self.watch_grants(now)
-        return [*effects, fx.StartTimer(RENEW_TIMER, self._next_renewal(at_once, now))]
+        return [*effects, fx.StartTimer(RENEW_TIMER, self._next_renewal(immediately, now))]
 
     def failed(self) -> list[fx.Effect]:
-        """The renewal under way got no answer."""
+        """The renewal in flight got no answer."""
         sent, self._sent = self._sent, None
         return self._unsuccessful(self.state.finder.failed(sent.address))
 
-    def _unsuccessful(self, pause_s: float) -> list[fx.Effect]:
-        if not self.state.leaving:
-            return [fx.StartTimer(RENEW_TIMER, pause_s)]
+    def _unsuccessful(self, backoff_s: float) -> list[fx.Effect]:
+        if not self.state.stopping:
+            return [fx.StartTimer(RENEW_TIMER, backoff_s)]
         self._leave_attempts += 1
         if self._leave_attempts >= LEAVE_ATTEMPTS:
-            return [EmitEvent(LeaseGivenBack(confirmed=False))]
-        return [fx.StartTimer(RENEW_TIMER, self.state.soon())]
+            return [EmitEvent(LeaseReleased(confirmed=False))]
+        return [fx.StartTimer(RENEW_TIMER, self.state.jittered_delay_s())]
 
-    def _next_renewal(self, at_once: bool, now: float) -> float:
-        if at_once:
-            return self.state.soon()
+    def _next_renewal(self, immediately: bool, now: float) -> float:
+        if immediately:
+            return self.state.jittered_delay_s()
         jitter = 1.0 - RENEWAL_JITTER * self.state.context.random.random()
         end = self.state.lease.next_end()
         if end is None:
@@ -109,7 +109,7 @@
         return min(ROLE_RENEWAL_S * jitter, max((end - now) / 2, RENEW_SOON_S))
 
     def leave(self, now: float) -> list[fx.Effect]:
-        """Stop holding anything, and tell the primary."""
+        """Release the lease and all grants."""
         self._sent = None
         had_grants = self.state.lease.drop_all()
         effects: list[fx.Effect] = [fx.CancelTimer(RENEW_TIMER), fx.CancelTimer(EXPIRY_TIMER)]
@@ -118,7 +118,7 @@
         return effects + self.renew(now)
 
     def expire_grants(self, now: float) -> list[fx.Effect]:
-        """Drop the grants that are over by this node's clock."""
+        """Drop the grants that have expired by this node's clock."""
         return [self.grants_changed(now)] if self.state.lease.expire(now) else []
 
     def watch_grants(self, now: float) -> list[fx.Effect]:
--- a/rooklug/distribution/link_events.py
+++ b/rooklug/distribution/link_events.py
@@ -1,4 +1,4 @@
-"""Events from and to the core link."""
+"""Internal events from and to the core link."""
 
 import attrs
 
@@ -6,10 +6,10 @@
 
 
 @attrs.frozen
-class LeaseGivenBack(InternalEvent):
-    """After ``StopRequested``: the lease and all grants are given back, or nobody answers.
+class LeaseReleased(InternalEvent):
+    """After ``StopRequested``: the lease and all grants are released, or no core answers.
 
-    ``confirmed``: the primary has said so; else it learns by the end of the lease.
+    ``confirmed``: the primary has acknowledged it; else they end with the lease.
     """
 
     confirmed: bool
@@ -17,9 +17,9 @@
 
 @attrs.frozen
 class RenewSoon(InternalEvent):
-    """What the node says of itself has changed; the core link renews its lease at once."""
+    """The node's record has changed; the core link renews its lease immediately."""
 
 
 @attrs.frozen
 class PublicationQueued(InternalEvent):
-    """A publication waits in the core link's outbox."""
+    """A publication is queued in the core link's outbox."""
--- a/rooklug/distribution/link_state.py
+++ b/rooklug/distribution/link_state.py
@@ -1,12 +1,12 @@
-"""What the parts of the core link share."""
+"""The state that the modules of the core link share."""
 
 from typing import Any
 
 import attrs
 
 from rooklug.distribution.core_finder import CoreFinder
-from rooklug.distribution.held_lease import HeldLease
-from rooklug.distribution.held_topics import HeldTopics
+from rooklug.distribution.node_lease import NodeLease
+from rooklug.distribution.subscribed_topics import SubscribedTopics
 from rooklug.distribution.timing import RENEW_SOON_S
 from rooklug.engine import effects as fx
 from rooklug.engine.reducer import ProcessContext
@@ -20,7 +20,7 @@
 
 @attrs.frozen
 class SentCall:
-    """A call under way. ``epoch`` is the highest that was known when it was sent."""
+    """A call in flight. ``epoch`` is the highest that was known when it was sent."""
 
     call_id: int
     address: str
@@ -31,14 +31,14 @@
 
 @attrs.define
 class LinkState:
-    """The node's view of the core, and what it holds from it."""
+    """What the node knows of the core and has from it; ``stopping``: it releases its lease."""
 
     settings: NodeSettings
     context: ProcessContext
     finder: CoreFinder
-    lease: HeldLease = attrs.field(factory=HeldLease)
-    topics: HeldTopics = attrs.field(factory=HeldTopics)
-    leaving: bool = False
+    lease: NodeLease = attrs.field(factory=NodeLease)
+    topics: SubscribedTopics = attrs.field(factory=SubscribedTopics)
+    stopping: bool = False
 
     def call(
         self, request: Any, deadline_s: float, now: float, not_after: float | None = None
@@ -48,6 +48,6 @@
         sent = SentCall(call_id, self.finder.address, request, now, self.lease.epoch)
         return sent, fx.Call(call_id, sent.address, request, deadline_s, not_after)
 
-    def soon(self) -> float:
-        """Return a short, jittered pause in seconds."""
+    def jittered_delay_s(self) -> float:
+        """Return a short, jittered delay in seconds."""
         return RENEW_SOON_S * self.context.random.uniform(0.5, 1.5)
--- a/rooklug/distribution/members_delta.py
+++ b/rooklug/distribution/members_delta.py
@@ -8,8 +8,8 @@
 )
 
 
-def visible_facts(node: NodeRecord) -> tuple:
-    """Return the parts of a record whose change is published to all nodes."""
+def published_fields(node: NodeRecord) -> tuple:
+    """Return the fields of a record whose change is published to all nodes."""
     return (
         node.node_id,
         node.incarnation,
@@ -23,25 +23,25 @@
     )
 
 
-def owner_facts(owner: RoleOwner) -> tuple:
+def owner_fields(owner: RoleOwner) -> tuple:
     """Return a role owner as a value to compare."""
     token = owner.token
     return (owner.role_key, owner.node_id, owner.internal_address, token.epoch, token.counter)
 
 
 def make_members_delta(old: MembersBody, new: MembersBody) -> MembersDelta:
-    """Return what turns ``old`` into ``new``, but for facts that nobody is woken for."""
-    old_nodes = {node.node_id: visible_facts(node) for node in old.nodes}
-    old_owners = {owner.role_key: owner_facts(owner) for owner in old.role_owners}
+    """Return what turns ``old`` into ``new``, but for fields that are not published at once."""
+    old_nodes = {node.node_id: published_fields(node) for node in old.nodes}
+    old_owners = {owner.role_key: owner_fields(owner) for owner in old.role_owners}
     new_ids = {node.node_id for node in new.nodes}
     new_keys = {owner.role_key for owner in new.role_owners}
     return MembersDelta(
-        changed_nodes=[n for n in new.nodes if old_nodes.get(n.node_id) != visible_facts(n)],
+        changed_nodes=[n for n in new.nodes if old_nodes.get(n.node_id) != published_fields(n)],
         gone_nodes=sorted(old_nodes.keys() - new_ids),
         changed_owners=[
             owner
             for owner in new.role_owners
-            if old_owners.get(owner.role_key) != owner_facts(owner)
+            if old_owners.get(owner.role_key) != owner_fields(owner)
         ],
         gone_roles=sorted(old_owners.keys() - new_keys),
         core_addresses=None if old.core_addresses == new.core_addresses else new.core_addresses,
--- a/rooklug/distribution/polling.py
+++ b/rooklug/distribution/polling.py
@@ -3,9 +3,9 @@
 import attrs
 
 from rooklug.distribution.document_delta import apply_delta
-from rooklug.distribution.held_topics import PendingDelta, TakenUpdate, TopicProblem
 from rooklug.distribution.link_events import RenewSoon
 from rooklug.distribution.link_state import POLL_TIMER, LinkState, SentCall
+from rooklug.distribution.subscribed_topics import PendingDelta, RejectedUpdate, TakenUpdate
 from rooklug.distribution.timing import POLL_OVERDUE_S
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
@@ -20,19 +20,19 @@
 
 
 @attrs.define
-class Polling:
-    """One poll is under way at a time, or one delta is being applied."""
+class TopicPolling:
+    """One poll is in flight at a time, or one delta is being applied."""
 
     state: LinkState
     _sent: SentCall | None = None
     _deltas: dict[int, PendingDelta] = attrs.field(factory=dict)
 
     def owns(self, call_id: int) -> bool:
-        """Tell whether a call is the poll under way."""
+        """Return whether a call is the poll in flight."""
         return self._sent is not None and self._sent.call_id == call_id
 
     def poll(self, now: float) -> list[fx.Effect]:
-        """Send a poll; one that is under way counts no more."""
+        """Send a poll; one that is in flight counts no more."""
         request = PollRequest(
             node_id=self.state.settings.node_id,
             held=self.state.topics.poll_versions(),
@@ -48,18 +48,18 @@
         return self.poll(now) if moved else []
 
     def poll_if_behind(self, newest: list[TopicMark], now: float) -> list[fx.Effect]:
-        """Poll again if the one under way should have brought what is known to be there."""
+        """Poll again if the one in flight should have brought what is known to be there."""
         sent = self._sent
         overdue = sent is not None and now - sent.sent_at > POLL_OVERDUE_S
         return self.poll(now) if overdue and self.state.topics.behind(newest) else []
 
     def failed(self) -> list[fx.Effect]:
-        """The poll under way got no answer."""
+        """The poll in flight got no answer."""
         sent, self._sent = self._sent, None
         return [fx.StartTimer(POLL_TIMER, self.state.finder.failed(sent.address))]
 
     def answered(self, answer: PollAnswer, now: float) -> list[fx.Effect]:
-        """Take the answer to the poll under way."""
+        """Take the answer to the poll in flight."""
         sent, self._sent = self._sent, None
         finder = self.state.finder
         if not answer.primary_reachable or answer.epoch < self.state.lease.epoch:
@@ -73,11 +73,11 @@
         progress = any(isinstance(update, TopicChanged) for update in taken)
         if progress:
             finder.starting = False
-        problem = any(isinstance(update, TopicProblem) for update in taken)
+        problem = any(isinstance(update, RejectedUpdate) for update in taken)
         early = now - sent.sent_at < _EARLY_S
         if problem or (early and not progress):
             # Not in a hot loop: a body that can't be read, or a second process of this name.
-            effects.append(fx.StartTimer(POLL_TIMER, self._pause()))
+            effects.append(fx.StartTimer(POLL_TIMER, self._retry_delay_s()))
             # An early end without updates asks for a renewal: a role can move.
             return effects if answer.updates else [*effects, EmitEvent(RenewSoon())]
         return effects + self.poll(now)
@@ -101,10 +101,10 @@
             ticket = self.state.context.identifiers.next()
             self._deltas[ticket] = taken
             return [fx.Compute(ticket, apply_delta, taken.task)]
-        if isinstance(taken, TopicProblem):
+        if isinstance(taken, RejectedUpdate):
             fields = {"topic": taken.topic, "problem": taken.message}
             return [fx.Log("error", "topic update rejected", fields)]
         return []
 
-    def _pause(self) -> float:
+    def _retry_delay_s(self) -> float:
         return self.state.context.random.uniform(0.1, 0.3)
--- a/rooklug/distribution/outbox.py
+++ b/rooklug/distribution/publication_outbox.py
@@ -1,7 +1,7 @@
-"""What this node publishes as a role holder, until the primary has taken it.
+"""What this node publishes as a role owner, until the primary has accepted it.
 
-Per topic the newest body is kept, also after it was taken: a new primary holds nothing,
-so it is announced again there, with the recent decisions.
+Per topic the newest body is retained, also after it was accepted: a new primary knows nothing,
+so it is published again there, with the recent decisions.
 """
 
 from collections import deque
@@ -20,21 +20,21 @@
 
 @attrs.define
 class Publication:
-    """The newest publication of one topic. ``taken_epoch``: the primary that has it, or 0."""
+    """The newest publication of one topic. ``accepted_epoch``: of the primary that has it, or 0."""
 
     topic: str
     role_key: str
     token: VersionMark
     sequence: int
     body: bytes
-    taken_epoch: int = 0
+    accepted_epoch: int = 0
     decisions: deque[DecisionRecord] = attrs.field(factory=lambda: deque(maxlen=RECENT_DECISIONS))
     last_decision: int = 0
-    taken_decision: int = 0
-    taken_sequence: int = 0
+    accepted_decision: int = 0
+    accepted_sequence: int = 0
 
     def add_decision(self, record: DecisionRecord) -> None:
-        """Keep a decision; it is numbered here unless its role has done so, in order."""
+        """Add a decision; it is numbered here unless its role has done so, in order."""
         numbered = record.token == self.token and (record.sequence or 0) > self.last_decision
         if not numbered:
             record.token = self.token
@@ -44,7 +44,7 @@
 
     def request(self, epoch: int) -> PublishRequest:
         """Return the request for the primary of ``epoch``."""
-        first = self.taken_decision + 1 if epoch == self.taken_epoch else 0
+        first = self.accepted_decision + 1 if epoch == self.accepted_epoch else 0
         decisions = [record for record in self.decisions if record.sequence >= first]
         return PublishRequest(
             topic=self.topic,
@@ -57,7 +57,7 @@
 
 
 @attrs.define
-class Outbox:
+class PublicationOutbox:
     """The publications of all topics."""
 
     _publications: dict[str, Publication] = attrs.field(factory=dict)
@@ -77,23 +77,23 @@
             publication.add_decision(record)
         self._changed.add(topic)
 
-    def waiting(self, epoch: int) -> list[Publication]:
+    def unsent(self, epoch: int) -> list[Publication]:
         """Return the publications that the primary of ``epoch`` doesn't have yet."""
         return [
             self._publications[topic]
             for topic in sorted(self._publications)
-            if topic in self._changed or self._publications[topic].taken_epoch != epoch
+            if topic in self._changed or self._publications[topic].accepted_epoch != epoch
         ]
 
-    def taken(self, request: PublishRequest, epoch: int) -> None:
-        """Note that the primary of ``epoch`` has taken ``request``."""
+    def record_accepted(self, request: PublishRequest, epoch: int) -> None:
+        """The primary of ``epoch`` has accepted ``request``."""
         publication = self._publications.get(request.topic)
         if publication is None or publication.token != request.token:
             return
-        publication.taken_epoch = epoch
-        publication.taken_sequence = max(publication.taken_sequence, request.sequence)
+        publication.accepted_epoch = epoch
+        publication.accepted_sequence = max(publication.accepted_sequence, request.sequence)
         last = max((record.sequence for record in request.decisions), default=0)
-        publication.taken_decision = max(publication.taken_decision, last)
+        publication.accepted_decision = max(publication.accepted_decision, last)
         if publication.sequence == request.sequence:
             self._changed.discard(request.topic)
 
@@ -102,12 +102,12 @@
         publication = self._publications.get(topic)
         return publication.sequence if publication is not None else 0
 
-    def taken_sequence(self, topic: str) -> int:
-        """Return the highest sequence of a topic's publications that a primary has taken."""
+    def accepted_sequence(self, topic: str) -> int:
+        """Return the highest sequence of a topic's publications that a primary has accepted."""
         publication = self._publications.get(topic)
-        return publication.taken_sequence if publication is not None else 0
+        return publication.accepted_sequence if publication is not None else 0
 
     def drop(self, topic: str) -> None:
-        """Forget a publication whose grant is over."""
+        """Drop a publication whose grant has expired."""
         self._publications.pop(topic, None)
         self._changed.discard(topic)
--- a/rooklug/membership/build.py
+++ b/rooklug/membership/build.py
@@ -1,4 +1,4 @@
-"""Composition of the core's membership parts."""
+"""Composition of the core's membership components."""
 
 from rooklug.engine.component import Component
 from rooklug.engine.reducer import ProcessContext
@@ -7,8 +7,9 @@
 
 
 def build_membership_components(settings: CoreSettings, context: ProcessContext) -> list[Component]:
-    """Return the parts that keep leases and roles and distribute the topics.
+    """Return the components that keep leases and roles and distribute the topics.
 
-    They run in one ``CompositeReducer`` with the replication parts, whose events they hear.
+    They run in one ``CompositeReducer`` with the components of replication, and subscribe to
+    the events of these.
     """
     return [MembershipComponent(settings, context)]
--- a/rooklug/membership/configuration_topic.py
+++ b/rooklug/membership/configuration_topic.py
@@ -1,4 +1,4 @@
-"""When and how committed configurations go out: in batches, and as deltas if that is less."""
+"""When and how committed configurations are published: in batches, as deltas if smaller."""
 
 from collections import deque
 from enum import Enum
@@ -21,11 +21,11 @@
 PUBLISH_CONFIGURATION = "publish-configuration"
 
 DELTA_BASES = 2
-"""Nodes that hold one of so many previous publications get a delta."""
+"""Nodes that have one of this number of previous publications get a delta."""
 
 
 class _Stage(Enum):
-    """What the newest committed configuration waits for."""
+    """The step that the newest committed configuration is in."""
 
     NOTHING = "nothing waits"
     BATCH = "others that may follow at once"
@@ -39,7 +39,7 @@
     store: TopicStore
     identifiers: Identifiers
     _stage: _Stage = _Stage.NOTHING
-    _waiting: ConfigurationCommitted | None = None
+    _pending: ConfigurationCommitted | None = None
     _in_work: ConfigurationCommitted | None = None
     _bases: tuple[ConfigurationCommitted, ...] = ()
     _ticket: int = 0
@@ -52,19 +52,19 @@
         """Take a committed configuration; an older one than known is ignored."""
         if not is_newer(event.version, self.store.version(CONFIGURATION)):
             return []
-        if self._waiting is None or is_newer(event.version, self._waiting.version):
-            self._waiting = event
+        if self._pending is None or is_newer(event.version, self._pending.version):
+            self._pending = event
         return self.advance(now) if self._stage is _Stage.NOTHING else []
 
     def advance(self, now: float) -> list[fx.Effect]:
-        """Publish what waits, or begin with its deltas, unless it is too soon."""
+        """Publish the pending configuration, or begin with its deltas, unless it is too soon."""
         self._stage = _Stage.NOTHING
-        if self._waiting is None:
+        if self._pending is None:
             return []
         if now < self._next_at:
             self._stage = _Stage.BATCH
             return [fx.StartTimer(PUBLISH_CONFIGURATION, self._next_at - now)]
-        self._in_work, self._waiting = self._waiting, None
+        self._in_work, self._pending = self._pending, None
         self._next_at = now + CONFIGURATION_BATCH_S
         document = self._in_work.body.document
         self._bases = tuple(self._published) if len(document) >= MIN_DOCUMENT_BYTES else ()
--- a/rooklug/membership/decisions.py
+++ b/rooklug/membership/decisions.py
@@ -1,6 +1,6 @@
-"""The newest decisions of the role holders, as a stream that readers resume by cursor.
+"""The newest decisions of the role owners, as a stream that readers resume by cursor.
 
-Decisions are kept in the order in which they came. After a failover the holders announce
+Decisions are kept in the order in which they came. After a failover the owners announce
 theirs again; a reader whose cursor is found goes on from there.
 """
 
@@ -19,7 +19,7 @@
 
 @attrs.frozen(order=True)
 class Cursor:
-    """The identity of a decision: its holder's token, and its number under that token."""
+    """The identity of a decision: its owner's token, and its number under that token."""
 
     epoch: int
     counter: int
@@ -64,7 +64,7 @@
     def append(self, records: Iterable[DecisionRecord], announced_again: bool) -> bool:
         """Add the decisions that are not there yet; tell whether there were any.
 
-        ``announced_again``: their place among those of other holders is not known.
+        ``announced_again``: their place among those of other owners is not known.
         """
         before = self._dropped + len(self._entries)
         for record in records:
@@ -79,7 +79,7 @@
         return self._dropped + len(self._entries) > before
 
     def knows(self, cursor: Cursor) -> bool:
-        """Tell whether a reader can go on from ``cursor`` without a gap."""
+        """Return whether a reader can go on from ``cursor`` without a gap."""
         return cursor in self._positions or (cursor == START and self._dropped == 0)
 
     def after(self, cursor: Cursor) -> DecisionPage:
@@ -91,7 +91,7 @@
         return DecisionPage([entry.record for entry in following], gap)
 
     def _order_unknown(self, position: int | None) -> bool:
-        """Tell whether other holders' decisions around this one may have been passed over."""
+        """Return whether other owners' decisions around this one may have been passed over."""
         if position is None:
             return False
         entry = self._entries[position - self._dropped]
@@ -128,7 +128,7 @@
     _readers: deque[_Reader] = attrs.field(factory=deque)
 
     def start(self, complete_at: float) -> None:
-        """Begin a term; until ``complete_at`` the holders announce their decisions again."""
+        """Begin a term; until ``complete_at`` the owners announce their decisions again."""
         self.ring = DecisionRing()
         self.complete_at = complete_at
 
@@ -139,7 +139,7 @@
         return self._answer(now, lambda reader: self._has_page(reader.cursor, now))
 
     def read(self, call_id: int, request: ReadDecisionsRequest, now: float) -> list[DecisionReply]:
-        """Answer a read, or let it wait."""
+        """Answer a read, or keep it pending."""
         token = request.after_token
         cursor = Cursor(token.epoch, token.counter, request.after_sequence)
         wait_s = min(max(request.wait_ms, 0) / 1000, READ_WAIT_LIMIT_S)
@@ -151,13 +151,13 @@
         return []
 
     def expire(self, now: float) -> list[DecisionReply]:
-        """Answer the reads that have waited long enough, or whose gap is certain now."""
+        """Answer the reads whose time is over, or whose gap is certain now."""
         return self._answer(
             now, lambda reader: reader.until <= now or self._has_page(reader.cursor, now)
         )
 
     def release_all(self) -> list[int]:
-        """Return the calls that wait, and forget them."""
+        """Return the pending calls, and forget them."""
         calls = [reader.call_id for reader in self._readers]
         self._readers.clear()
         return calls
@@ -168,13 +168,13 @@
         return [self._reply(reader, now) for reader in answered]
 
     def _reply(self, reader: _Reader, now: float) -> DecisionReply:
-        if self._is_settled(reader.cursor, now):
+        if self._can_answer(reader.cursor, now):
             return DecisionReply(reader.call_id, self.ring.after(reader.cursor))
         return DecisionReply(reader.call_id, DecisionPage([], False))
 
     def _has_page(self, cursor: Cursor, now: float) -> bool:
-        return self._is_settled(cursor, now) and bool(self.ring.after(cursor).decisions)
+        return self._can_answer(cursor, now) and bool(self.ring.after(cursor).decisions)
 
-    def _is_settled(self, cursor: Cursor, now: float) -> bool:
+    def _can_answer(self, cursor: Cursor, now: float) -> bool:
         """An unknown cursor may still be announced again at the start of a term."""
         return cursor == START or self.ring.knows(cursor) or now >= self.complete_at
--- a/rooklug/membership/lease_service.py
+++ b/rooklug/membership/lease_service.py
@@ -4,8 +4,8 @@
 
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
-from rooklug.membership.core_view import CoreView
 from rooklug.membership.leases import RenewalOutcome, identity_of
+from rooklug.membership.membership_state import MembershipState
 from rooklug.membership.timing import MEMBERS_BATCH_S, TICK_S
 from rooklug.model.constants import LEASE_S
 from rooklug.wire.generated.control.ttypes import RenewLeaseRequest
@@ -17,43 +17,43 @@
 
 @attrs.define
 class LeaseService:
-    """Acts on the shared view; only while this core is the primary."""
+    """Serves renewals on the shared state, only while this core is the primary."""
 
-    view: CoreView
+    state: MembershipState
     _early_is_due: bool = False
 
     def renew(self, event: ev.CallArrived, now: float) -> list[fx.Effect]:
         """Answer a renewal with the complete set of roles that the node may hold."""
-        view, request = self.view, event.request
-        if not view.acts(now):
-            return [fx.Answer(event.call_id, view.renewal_answer(False, 0, [], now))]
+        state, request = self.state, event.request
+        if not state.acts(now):
+            return [fx.Answer(event.call_id, state.renewal_answer(False, 0, [], now))]
         if request.leaving:
             return self._leave(event.call_id, request, now)
-        outcome = view.leases.renew(request, now)
+        outcome = state.leases.renew(request, now)
         if outcome is RenewalOutcome.LATE:
-            return [fx.Answer(event.call_id, view.renewal_answer(False, 0, [], now))]
-        view.roles.take_renewal(request, now)
+            return [fx.Answer(event.call_id, state.renewal_answer(False, 0, [], now))]
+        state.roles.take_renewal(request, now)
         if outcome is RenewalOutcome.CHANGED:
-            view.roles.plan(view.leases.live(), view.drained_zones, now)
-        grants, owners_changed = view.roles.grants_for(request, now)
-        answer = view.renewal_answer(True, _LEASE_MS, grants, now)
+            state.roles.plan(state.leases.live(), state.drained_zones, now)
+        grants, owners_changed = state.roles.grants_for(request, now)
+        answer = state.renewal_answer(True, _LEASE_MS, grants, now)
         effects: list[fx.Effect] = [fx.Answer(event.call_id, answer)]
         if outcome is RenewalOutcome.CHANGED or owners_changed:
             effects += self.members_changed(now)
-        return effects + view.ask_to_renew(now)
+        return effects + state.request_renewal(now)
 
     def _leave(self, call_id: int, request: RenewLeaseRequest, now: float) -> list[fx.Effect]:
-        view = self.view
-        view.roles.take_leave(request, now)
-        view.leases.leave(identity_of(request.node))
-        answer = view.renewal_answer(True, 0, [], now)
-        effects = [fx.Answer(call_id, answer), *view.move_roles(now)]
+        state = self.state
+        state.roles.take_leave(request, now)
+        state.leases.leave(identity_of(request.node))
+        answer = state.renewal_answer(True, 0, [], now)
+        effects = [fx.Answer(call_id, answer), *state.move_roles(now)]
         return effects + self.members_changed(now)
 
     def expire(self, now: float) -> list[fx.Effect]:
         """Drop the nodes whose leases are over, and let their roles move."""
-        gone = self.view.leases.expire(now)
-        effects = self.view.move_roles(now)
+        gone = self.state.leases.expire(now)
+        effects = self.state.move_roles(now)
         if not gone:
             return effects
         fields = {"nodes": [record.node_id for record in gone]}
@@ -62,7 +62,7 @@
 
     def members_changed(self, now: float) -> list[fx.Effect]:
         """Publish the members soon; further changes until then go out with this one."""
-        members = self.view.members
+        members = self.state.members
         if not members.published:
             return self._early_soon()
         if members.dirty:
@@ -77,20 +77,22 @@
         return [fx.StartTimer(PUBLISH_EARLY, MEMBERS_BATCH_S)]
 
     def publish_early(self, now: float) -> list[fx.Effect]:
-        """Before a term's first publication: tell nodes that know nobody."""
+        """Before a term's first publication: publish to nodes that know nobody."""
         self._early_is_due = False
-        view = self.view
-        if not view.acts(now) or view.members.published:
+        state = self.state
+        if not state.acts(now) or state.members.published:
             return []
-        view.members.publish_early(view.store, view.leases, view.roles)
-        return view.wake(now)
+        state.members.publish_early(state.store, state.leases, state.roles)
+        return state.wake(now)
 
     def publish_members(self, now: float) -> list[fx.Effect]:
         """Publish the members topic if what matters of it has changed."""
-        view = self.view
-        if not view.acts(now):
+        state = self.state
+        if not state.acts(now):
             again = fx.StartTimer(PUBLISH_MEMBERS, TICK_S)
-            return [again] if view.primacy.is_primary else []
-        polls = len(view.hub)
-        published = view.members.publish(view.store, view.leases, view.roles, polls, now)
-        return view.wake(now) if published else []
+            return [again] if state.primary.is_primary else []
+        pending_polls = len(state.polls)
+        published = state.members.publish(
+            state.store, state.leases, state.roles, pending_polls, now
+        )
+        return state.wake(now) if published else []
--- a/rooklug/membership/members_topic.py
+++ b/rooklug/membership/members_topic.py
@@ -1,16 +1,16 @@
-"""When and how the members topic is published: in batches, as deltas, at a bounded pace."""
+"""When and how the members topic is published: in batches, as deltas, under a rate limit."""
 
 from collections import deque
 
 import attrs
 
-from rooklug.distribution.members_delta import make_members_delta, owner_facts, visible_facts
+from rooklug.distribution.members_delta import make_members_delta, owner_fields, published_fields
 from rooklug.membership.leases import LeaseTable
 from rooklug.membership.roles import RoleTable
 from rooklug.membership.timing import (
     MEMBERS_BATCH_S,
     MEMBERS_BYTES_PER_S,
-    MEMBERS_PAUSE_LIMIT_S,
+    MEMBERS_MAX_DELAY_S,
 )
 from rooklug.membership.topic_store import TopicStore
 from rooklug.model.topics import MEMBERS
@@ -24,7 +24,7 @@
 from rooklug.wire.packing import encode_packed
 
 DELTA_BASES = 4
-"""Nodes that hold one of so many previous publications get a delta."""
+"""Nodes that have one of this number of previous publications get a delta."""
 
 
 def members_body(
@@ -36,12 +36,12 @@
     owners = [
         RoleOwner(
             role_key=state.key,
-            node_id=state.holder.node_id,
-            internal_address=addresses[state.holder.node_id],
+            node_id=state.owner.node_id,
+            internal_address=addresses[state.owner.node_id],
             token=state.token,
         )
         for state in roles.states()
-        if state.holder is not None and state.holder.node_id in addresses
+        if state.owner is not None and state.owner.node_id in addresses
     ]
     addresses = list(core_addresses) or None
     return MembersBody(nodes=nodes, role_owners=owners, core_addresses=addresses)
@@ -51,12 +51,12 @@
 class _Publication:
     version: VersionMark
     body: MembersBody
-    facts: tuple
+    fields: tuple
 
 
-def _facts(body: MembersBody) -> tuple:
-    nodes = tuple(visible_facts(node) for node in body.nodes)
-    owners = tuple(owner_facts(owner) for owner in body.role_owners)
+def _fields(body: MembersBody) -> tuple:
+    nodes = tuple(published_fields(node) for node in body.nodes)
+    owners = tuple(owner_fields(owner) for owner in body.role_owners)
     return (nodes, owners, tuple(body.core_addresses or ()))
 
 
@@ -88,11 +88,11 @@
         return max(MEMBERS_BATCH_S, self._next_at - now)
 
     def publish_early(self, store: TopicStore, leases: LeaseTable, roles: RoleTable) -> None:
-        """Tell those that know no member at all who has announced itself so far.
+        """Publish an incomplete list for nodes that know no member at all.
 
         A term's first publication waits until every live node has had time to announce itself:
-        nodes that hold an earlier list must not take the others for gone. Nodes that have just
-        started hold none, and until they know their peers they don't know their shares.
+        nodes that have an earlier list must not take the others for dead. Nodes that have just
+        started have none, and without their peers they don't know their rate limits.
         """
         self._counter += 1
         version = VersionMark(epoch=roles.epoch, counter=self._counter)
@@ -105,18 +105,18 @@
         """Put the members into the store if anything that matters has changed."""
         self.dirty = False
         body = members_body(leases, roles, self.core_addresses)
-        facts = _facts(body)
-        if self._published and self._published[-1].facts == facts:
+        fields = _fields(body)
+        if self._published and self._published[-1].fields == fields:
             return False
         self._counter += 1
         version = VersionMark(epoch=roles.epoch, counter=self._counter)
-        whole = encode_packed(body)
+        full = encode_packed(body)
         deltas = tuple(_delta(base, version, body) for base in self._published)
-        store.offer(MEMBERS, version, whole, deltas)
-        self._published.append(_Publication(version, body, facts))
-        usual = deltas[-1].body if deltas else whole
-        pause_s = len(usual) * polls / MEMBERS_BYTES_PER_S
-        self._next_at = now + min(pause_s, MEMBERS_PAUSE_LIMIT_S)
+        store.offer(MEMBERS, version, full, deltas)
+        self._published.append(_Publication(version, body, fields))
+        usual = deltas[-1].body if deltas else full
+        delay_s = len(usual) * polls / MEMBERS_BYTES_PER_S
+        self._next_at = now + min(delay_s, MEMBERS_MAX_DELAY_S)
         return True
 
 
--- a/rooklug/membership/membership_component.py
+++ b/rooklug/membership/membership_component.py
@@ -1,4 +1,4 @@
-"""The core's part that keeps leases and roles, and serves the topics by long poll."""
+"""The core's component that keeps leases and roles, and serves the topics by long poll."""
 
 from collections.abc import Iterable
 
@@ -7,11 +7,11 @@
 from rooklug.engine.component import BaseComponent
 from rooklug.engine.reducer import MetricSample, ProcessContext
 from rooklug.membership.configuration_topic import PUBLISH_CONFIGURATION, ConfigurationTopic
-from rooklug.membership.core_view import CoreView
-from rooklug.membership.hub import PollReply
 from rooklug.membership.lease_service import PUBLISH_EARLY, PUBLISH_MEMBERS, LeaseService
+from rooklug.membership.long_poll_registry import PollReply
 from rooklug.membership.members_topic import members_body
-from rooklug.membership.primacy import Primacy
+from rooklug.membership.membership_state import MembershipState
+from rooklug.membership.primary_tracker import PrimaryTracker
 from rooklug.membership.publications import Publications, PublishRefusal
 from rooklug.membership.timing import TICK_S
 from rooklug.model import internal_events as internal
@@ -49,11 +49,11 @@
     )
 
     def __init__(self, settings: CoreSettings, context: ProcessContext) -> None:
-        self.view = CoreView(Primacy(settings.node.internal_address))
-        self.leases = LeaseService(self.view)
-        self.configuration = ConfigurationTopic(self.view.store, context.identifiers)
-        self.publications = Publications(self.view.store, self.view.roles)
-        self._status = _status_before_any_news(context.node_id)
+        self.state = MembershipState(PrimaryTracker(settings.node.internal_address))
+        self.leases = LeaseService(self.state)
+        self.configuration = ConfigurationTopic(self.state.store, context.identifiers)
+        self.publications = Publications(self.state.store, self.state.roles)
+        self._status = _initial_status(context.node_id)
         self._handlers = {
             ttypes.RenewLeaseRequest: self.leases.renew,
             ttypes.PollRequest: self._poll,
@@ -88,13 +88,13 @@
         return handler(event, now) if handler else []
 
     def metrics(self, now: float) -> Iterable[MetricSample]:
-        """Return the sizes of what this core keeps for the nodes."""
-        view = self.view
+        """Return the sizes of the tables that this core keeps for the nodes."""
+        state = self.state
         figures = {
-            "rooklug_live_nodes": (len(view.leases), "Nodes with a lease at this core"),
-            "rooklug_parked_polls": (len(view.hub), "Long polls that wait at this core"),
-            "rooklug_decisions_kept": (len(view.decisions.ring), "Decisions that can be read"),
-            "rooklug_acts_as_primary": (int(view.acts(now)), "1: acts as the primary"),
+            "rooklug_live_nodes": (len(state.leases), "Nodes with a lease at this core"),
+            "rooklug_parked_polls": (len(state.polls), "Long polls that wait at this core"),
+            "rooklug_decisions_kept": (len(state.decisions.ring), "Decisions that can be read"),
+            "rooklug_acts_as_primary": (int(state.acts(now)), "1: acts as the primary"),
         }
         return [
             MetricSample(name, float(value), "gauge", text)
@@ -104,139 +104,139 @@
     # Terms -----------------------------------------------------------------------------
 
     def _start_term(self, event: internal.PrimaryStarted, now: float) -> list[fx.Effect]:
-        view = self.view
-        if view.primacy.is_primary:
+        state = self.state
+        if state.primary.is_primary:
             return self._continue_term(event)
-        view.primacy.start(event)
-        view.leases.start(now)
-        view.roles.start(event.epoch, now)
-        view.members.start()
-        view.decisions.start(view.roles.announced_until)
+        state.primary.start(event)
+        state.leases.start(now)
+        state.roles.start(event.epoch, now)
+        state.members.start()
+        state.decisions.start(state.roles.announced_until)
         for topic in _BODIES_OF_A_TERM:
-            view.store.forget(topic)
+            state.store.forget(topic)
         return [
             fx.StartTimer(_TICK, TICK_S),
-            fx.StartTimer(PUBLISH_MEMBERS, view.leases.grace_until - now),
+            fx.StartTimer(PUBLISH_MEMBERS, state.leases.grace_until - now),
         ]
 
     def _continue_term(self, event: internal.PrimaryStarted) -> list[fx.Effect]:
-        """A new view of the same primary, without a pause: nothing is lost."""
-        self.view.primacy.start(event)
-        self.view.roles.raise_epoch(event.epoch)
+        """The same primary leads a new view without interruption: its state stays."""
+        self.state.primary.start(event)
+        self.state.roles.raise_epoch(event.epoch)
         return []
 
     def _extend_term(self, event: internal.PrimaryLeaseExtended, now: float) -> list[fx.Effect]:
-        lapsed = 0.0 < self.view.primacy.until <= now
-        self.view.primacy.extend(event)
+        lapsed = 0.0 < self.state.primary.until <= now
+        self.state.primary.extend(event)
         if not lapsed:
             return []
         # Renewals found no primary meanwhile, so nobody is late.
-        self.view.leases.extend_grace(now)
-        return self.view.wake(now)
+        self.state.leases.extend_grace(now)
+        return self.state.wake(now)
 
-    def _stop_term(self, _notice: internal.PrimaryStopped, now: float) -> list[fx.Effect]:
-        self.view.primacy.stop()
+    def _stop_term(self, _event: internal.PrimaryStopped, now: float) -> list[fx.Effect]:
+        self.state.primary.stop()
         timers = [fx.CancelTimer(_TICK), fx.CancelTimer(PUBLISH_MEMBERS)]
-        return self.view.release_all(now) + timers
+        return self.state.release_all(now) + timers
 
     def _learn_primary(self, event: internal.PrimaryKnown, _now: float) -> list[fx.Effect]:
-        self.view.primacy.learn(event)
+        self.state.primary.learn(event)
         return []
 
     def _tick(self, now: float) -> list[fx.Effect]:
-        view = self.view
+        state = self.state
         effects: list[fx.Effect] = [fx.StartTimer(_TICK, TICK_S)]
-        if not view.acts(now):
-            return effects + view.release_all(now)
+        if not state.acts(now):
+            return effects + state.release_all(now)
         effects += self.leases.expire(now)
-        effects += view.poll_answers(view.hub.expire(now), now)
-        return effects + view.decision_answers(view.decisions.expire(now), now)
+        effects += state.poll_answers(state.polls.expire(now), now)
+        return effects + state.decision_answers(state.decisions.expire(now), now)
 
     # Topics ----------------------------------------------------------------------------
 
     def _poll(self, event: ev.CallArrived, now: float) -> list[fx.Effect]:
-        view = self.view
-        if not view.acts(now):
-            return view.poll_answers([PollReply(event.call_id, [])], now)
-        return view.poll_answers(view.hub.poll(event.call_id, event.request, now), now)
+        state = self.state
+        if not state.acts(now):
+            return state.poll_answers([PollReply(event.call_id, [])], now)
+        return state.poll_answers(state.polls.poll(event.call_id, event.request, now), now)
 
     def _take_configuration(
         self, event: internal.ConfigurationCommitted, now: float
     ) -> list[fx.Effect]:
-        return [*self.configuration.take(event, now), *self.view.wake(now)]
+        return [*self.configuration.take(event, now), *self.state.wake(now)]
 
     def _publish_configuration(self, now: float) -> list[fx.Effect]:
-        return [*self.configuration.advance(now), *self.view.wake(now)]
+        return [*self.configuration.advance(now), *self.state.wake(now)]
 
     def _computed(self, event: ev.Computed, now: float) -> list[fx.Effect]:
-        return [*self.configuration.computed(event, now), *self.view.wake(now)]
+        return [*self.configuration.computed(event, now), *self.state.wake(now)]
 
     def _take_zones(self, event: internal.ZonesCommitted, now: float) -> list[fx.Effect]:
-        view = self.view
-        if view.store.offer(ZONES, event.version, encode(event.body)):
-            view.drained_zones = frozenset(event.body.emptied_zones)
-        if not view.acts(now):
+        state = self.state
+        if state.store.offer(ZONES, event.version, encode(event.body)):
+            state.drained_zones = frozenset(event.body.emptied_zones)
+        if not state.acts(now):
             return []
-        return view.wake(now) + view.move_roles(now)
+        return state.wake(now) + state.move_roles(now)
 
     def _take_offer(self, event: internal.TopicOffered, now: float) -> list[fx.Effect]:
-        """Distribute what a part of this primary has made."""
-        view = self.view
-        if not view.acts(now):
+        """Distribute a topic that a component of this primary has made."""
+        state = self.state
+        if not state.acts(now):
             return []
         version = ttypes.VersionMark(event.epoch, event.sequence)
-        if not view.store.offer(event.topic, version, encode_packed(event.body)):
+        if not state.store.offer(event.topic, version, encode_packed(event.body)):
             return []
-        return view.wake(now)
+        return state.wake(now)
 
     def _publish(self, event: ev.CallArrived, now: float) -> list[fx.Effect]:
-        view = self.view
+        state = self.state
         refusal = PublishRefusal.NOT_PRIMARY
-        if view.acts(now):
+        if state.acts(now):
             refusal = self.publications.publish(event.request, now)
-        address = view.primacy.address(now)
+        address = state.primary.address(now)
         if refusal is not None:
             answer = ttypes.PublishAnswer(False, refusal.value, address)
             return [fx.Answer(event.call_id, answer)]
-        replies = view.decisions.append(event.request.decisions, now)
+        replies = state.decisions.append(event.request.decisions, now)
         return [
             fx.Answer(event.call_id, ttypes.PublishAnswer(True, "", address)),
-            *view.wake(now),
-            *view.decision_answers(replies, now),
+            *state.wake(now),
+            *state.decision_answers(replies, now),
         ]
 
     # Reads -----------------------------------------------------------------------------
 
     def _read_decisions(self, event: ev.CallArrived, now: float) -> list[fx.Effect]:
-        view = self.view
-        if not view.acts(now):
-            return [view.decisions_refused(event.call_id, now)]
-        replies = view.decisions.read(event.call_id, event.request, now)
-        return view.decision_answers(replies, now)
+        state = self.state
+        if not state.acts(now):
+            return [state.decisions_refused(event.call_id, now)]
+        replies = state.decisions.read(event.call_id, event.request, now)
+        return state.decision_answers(replies, now)
 
     def _read_status(self, event: ev.CallArrived, now: float) -> list[fx.Effect]:
-        view = self.view
+        state = self.state
         body = ttypes.MembersBody([], [])
-        if view.acts(now):
-            body = members_body(view.leases, view.roles)
-        zones = sorted(view.drained_zones)
+        if state.acts(now):
+            body = members_body(state.leases, state.roles)
+        zones = sorted(state.drained_zones)
         answer = ttypes.ReadStatusAnswer(self._status, body.nodes, body.role_owners, zones)
         return [fx.Answer(event.call_id, answer)]
 
     def _take_cores(self, event: internal.CoresChanged, now: float) -> list[fx.Effect]:
-        view = self.view
-        view.members.core_addresses = event.addresses
-        if not view.acts(now) or not view.members.published:
+        state = self.state
+        state.members.core_addresses = event.addresses
+        if not state.acts(now) or not state.members.published:
             return []
-        view.members.dirty = True
-        return [fx.StartTimer(PUBLISH_MEMBERS, view.members.delay(now))]
+        state.members.dirty = True
+        return [fx.StartTimer(PUBLISH_MEMBERS, state.members.delay(now))]
 
     def _take_status(self, event: internal.CoreStatusChanged, _now: float) -> list[fx.Effect]:
         self._status = event.status
         return []
 
 
-def _status_before_any_news(node_id: str) -> ttypes.CoreStatus:
+def _initial_status(node_id: str) -> ttypes.CoreStatus:
     return ttypes.CoreStatus(
         node_id=node_id,
         phase="joining",
--- a/rooklug/membership/primacy.py
+++ b/rooklug/membership/primary_tracker.py
@@ -1,4 +1,4 @@
-"""Whether this core may act as the primary, and where the primary is."""
+"""Tracks whether this core may act as the primary, and where the primary is."""
 
 import attrs
 
@@ -10,8 +10,8 @@
 
 
 @attrs.define
-class Primacy:
-    """This core's view of who is primary, fed by the events of replication.
+class PrimaryTracker:
+    """Who is primary as far as this core knows, from the events of replication.
 
     ``epoch`` is that of this core's own term, and stays so until its next one: nodes take
     it as the proof that a core answered within that term. ``until`` is the monotonic time
@@ -26,7 +26,7 @@
     known_address: str = ""
 
     def acts(self, now: float) -> bool:
-        """Tell whether this core may answer as the primary at ``now``."""
+        """Return whether this core may answer as the primary at ``now``."""
         return self.is_primary and now < self.until
 
     def address(self, now: float) -> str:
@@ -55,7 +55,7 @@
             self.known_address = ""
 
     def learn(self, event: PrimaryKnown) -> None:
-        """Remember where the primary is; an older epoch's news is ignored."""
+        """Remember where the primary is; news of an older epoch is ignored."""
         if event.epoch < max(self.epoch, self.known_epoch):
             return
         self.known_epoch = event.epoch
--- a/rooklug/membership/publications.py
+++ b/rooklug/membership/publications.py
@@ -1,4 +1,4 @@
-"""Publications of role holders: who may publish what, and under which version it goes out."""
+"""Publications of role owners: who may publish which topic, and under which version."""
 
 from enum import Enum
 
@@ -14,7 +14,7 @@
 """A publication's version is (token epoch, token counter << 32 | sequence).
 
 It is the same at every primary, so a body that is announced again after a failover wakes
-nobody who holds it, and a late older one never passes for a newer one.
+no node that has it, and a late older one never passes for a newer one.
 """
 
 _SEQUENCE_LIMIT = 1 << SEQUENCE_BITS
@@ -22,7 +22,7 @@
 
 
 class PublishRefusal(Enum):
-    """Why a publication is refused; the value goes into the answer."""
+    """Why a publication is rejected; the value goes into the answer."""
 
     NOT_PRIMARY = "this core is not the primary"
     WRONG_ROLE = "this role does not publish this topic"
@@ -49,8 +49,8 @@
         if refusal is not None:
             return refusal
         version = publication_version(request.token, request.sequence)
-        held = self.store.version(request.topic)
-        if version_key(version) < version_key(held):
+        current = self.store.version(request.topic)
+        if version_key(version) < version_key(current):
             return PublishRefusal.OLD_SEQUENCE
         self.store.offer(request.topic, version, request.body)
         return None
--- a/rooklug/membership/roles.py
+++ b/rooklug/membership/roles.py
@@ -1,4 +1,4 @@
-"""Who holds which singleton role, under which token, and until when.
+"""Singleton roles at the primary: the owner, the fencing token and the lease of each.
 
 The table is soft state of one primary. A role is granted only to the node that was chosen
 for it, in the answer to that node's renewal, and only once the previous holder's lease has
@@ -11,9 +11,9 @@
 from rooklug.membership.role_planning import RoleState, plan_group
 from rooklug.membership.timing import (
     REBALANCE_INTERVAL_S,
-    ROLE_LEASE_HOLD_S,
-    UNANNOUNCED_HOLD_S,
-    surely_over,
+    ROLE_LEASE_EXPIRY_S,
+    UNANNOUNCED_GRANTS_EXPIRY_S,
+    longest_by_any_clock,
 )
 from rooklug.model.constants import ROLE_LEASE_S
 from rooklug.model.topics import (
@@ -60,10 +60,10 @@
         self._groups: dict[str, list[RoleState]] = {}
 
     def start(self, epoch: int, now: float) -> None:
-        """Begin a term: nothing is known, and nothing new is granted until all is over."""
+        """Begin a term: nothing is known, nothing is granted until earlier grants have expired."""
         self.epoch = epoch
         self._first_epoch = epoch
-        self.announced_until = now + UNANNOUNCED_HOLD_S
+        self.announced_until = now + UNANNOUNCED_GRANTS_EXPIRY_S
         self._next_rebalance = self.announced_until + REBALANCE_INTERVAL_S
         self._groups = {
             group: [RoleState(key, self.announced_until) for key in keys]
@@ -80,33 +80,33 @@
         return [self._states[key] for key in sorted(self._states)]
 
     def current(self, role_key: str, token: VersionMark, now: float) -> bool:
-        """Tell whether ``token`` is the grant of ``role_key`` that is valid now."""
+        """Return whether ``token`` is the grant of ``role_key`` that is valid now."""
         state = self._states.get(role_key)
         return (
             state is not None
-            and state.holder is not None
+            and state.owner is not None
             and state.confirmed
             and state.token == token
             and now < state.free_at
         )
 
     def take_renewal(self, request: RenewLeaseRequest, now: float) -> None:
-        """Learn from what a process says it holds, and from what it no longer mentions."""
+        """Learn from the grants that a process announces, and from those it no longer mentions."""
         identity = identity_of(request.node)
-        held = {grant.role_key: grant for grant in request.held_grants}
+        announced = {grant.role_key: grant for grant in request.held_grants}
         for state in self._states.values():
-            grant = held.get(state.key)
+            grant = announced.get(state.key)
             if grant is not None:
                 self._take_announced(state, identity, grant, request.seen_epoch, now)
-            elif state.holder == identity:
+            elif state.owner == identity:
                 state.vacate(now)
 
     def take_leave(self, request: RenewLeaseRequest, now: float) -> None:
-        """Free at once what a leaving process holds."""
+        """Free the roles of a process that releases its lease."""
         self.take_renewal(request, now)
         identity = identity_of(request.node)
         for state in self._states.values():
-            if state.holder == identity:
+            if state.owner == identity:
                 state.vacate(now)
 
     def _take_announced(
@@ -117,7 +117,7 @@
         seen_epoch: int,
         now: float,
     ) -> None:
-        if state.holder == identity and state.token == grant.token:
+        if state.owner == identity and state.token == grant.token:
             # Sent after this term began, while the old grant was valid and not extended by
             # us: the previous primary can't have given the role to anybody else.
             state.confirmed = state.confirmed or seen_epoch >= self._first_epoch
@@ -126,24 +126,24 @@
         known = state.token
         if not announced_in_time or (known is not None and not is_newer(grant.token, known)):
             return
-        state.holder = identity
+        state.owner = identity
         state.token = grant.token
         state.confirmed = seen_epoch >= self._first_epoch
         state.revoked = False
-        state.chosen = ""
+        state.next_owner = ""
         remaining_s = min(grant.lease_ms / 1000, ROLE_LEASE_S)
-        state.free_at = max(self.announced_until, now + surely_over(remaining_s))
+        state.free_at = max(self.announced_until, now + longest_by_any_clock(remaining_s))
 
     def grants_for(self, request: RenewLeaseRequest, now: float) -> tuple[list[RoleGrant], bool]:
-        """Return the complete set for this process, and whether an owner changed."""
+        """Return the complete set of grants for this process, and whether an owner changed."""
         identity = identity_of(request.node)
         left_ms = {grant.role_key: grant.lease_ms for grant in request.held_grants}
         grants: list[RoleGrant] = []
         changed = False
         for state in self._states.values():
-            if state.chosen == identity.node_id and state.holder != identity:
+            if state.next_owner == identity.node_id and state.owner != identity:
                 changed = self._grant_new(state, identity, now) or changed
-            if state.holder != identity or state.revoked:
+            if state.owner != identity or state.revoked:
                 continue
             grants.append(self._extend(state, left_ms.get(state.key, 0), now))
         return grants, changed
@@ -152,28 +152,28 @@
         if now < state.free_at:
             return False
         self._counter += 1
-        state.holder = identity
+        state.owner = identity
         state.token = VersionMark(epoch=self.epoch, counter=self._counter)
         state.confirmed = True
         state.revoked = False
-        state.chosen = ""
-        state.asked = ""
+        state.next_owner = ""
+        state.renewal_requested_from = ""
         return True
 
     def _extend(self, state: RoleState, left_ms: int, now: float) -> RoleGrant:
         if not state.confirmed:
             lease_ms = min(left_ms, ROLE_LEASE_MS)
             return RoleGrant(role_key=state.key, token=state.token, lease_ms=lease_ms)
-        state.free_at = now + ROLE_LEASE_HOLD_S
+        state.free_at = now + ROLE_LEASE_EXPIRY_S
         return RoleGrant(role_key=state.key, token=state.token, lease_ms=ROLE_LEASE_MS)
 
-    def nodes_to_ask(self, now: float) -> list[str]:
-        """Return the nodes that should renew now, so that roles move without delay."""
-        nodes = {state.node_to_ask(now) for state in self._states.values()}
+    def nodes_to_renew(self, now: float) -> list[str]:
+        """Return the nodes whose renewal lets a role move without delay."""
+        nodes = {state.node_to_renew(now) for state in self._states.values()}
         return sorted(nodes - {""})
 
     def plan(self, nodes: Sequence[NodeRecord], drained_zones: frozenset[str], now: float) -> None:
-        """Choose a node for each role without one, and let roles of going nodes move."""
+        """Choose a node for each role without one, and let roles of draining nodes move."""
         if now < self.announced_until:
             return
         rebalance = now >= self._next_rebalance
--- a/rooklug/membership/selection.py
+++ b/rooklug/membership/selection.py
@@ -33,8 +33,8 @@
         return cls(by_node, by_zone)
 
 
-def is_going(node: NodeRecord, drained_zones: frozenset[str]) -> bool:
-    """Tell whether a node drains, by its own word or because its zone is emptied."""
+def is_draining(node: NodeRecord, drained_zones: frozenset[str]) -> bool:
+    """Return whether a node drains, by its own record or because its zone is drained."""
     return node.draining or node.zone in drained_zones
 
 
@@ -44,7 +44,7 @@
     """Return the id of the best candidate below its bound, or "" without candidates.
 
     ``group_size`` is the number of keys that share the candidates. A zone, then a node,
-    with its even share already is passed over while another has room.
+    with its even share already is passed over while another is below its share.
     """
     if not candidates:
         return ""
--- a/rooklug/membership/topic_store.py
+++ b/rooklug/membership/topic_store.py
@@ -1,4 +1,4 @@
-"""The newest body of each topic at the primary, and what a poll gets of it."""
+"""The newest body of each topic at the primary, and what a poll gets of it: full or delta."""
 
 import attrs
 
@@ -9,9 +9,9 @@
 
 @attrs.frozen
 class StoredTopic:
-    """One topic: the whole body, and deltas by the key of the version that they start from."""
+    """One topic: its full body, and deltas by the key of the version that they start from."""
 
-    whole: TopicUpdate
+    full: TopicUpdate
     deltas: dict[tuple[int, int], TopicUpdate] = attrs.field(factory=dict)
 
 
@@ -23,7 +23,7 @@
     _early: dict[str, TopicUpdate] = attrs.field(factory=dict)
 
     def offer_early(self, topic: str, version: VersionMark, body: bytes) -> None:
-        """Keep an incomplete body for those that hold nothing of the topic, until ``offer``."""
+        """Keep an incomplete body for nodes that know nothing of the topic, until ``offer``."""
         self._early[topic] = TopicUpdate(topic=topic, version=version, body=body)
 
     def offer(
@@ -33,12 +33,12 @@
         body: bytes,
         deltas: tuple[TopicUpdate, ...] = (),
     ) -> bool:
-        """Take a body if its version is newer than the one held; tell whether it was."""
+        """Store a body if its version is newer than the stored one; return whether it was."""
         if not is_newer(version, self.version(topic)):
             return False
-        whole = TopicUpdate(topic=topic, version=version, body=body)
+        full = TopicUpdate(topic=topic, version=version, body=body)
         by_base = {version_key(delta.patch_base): delta for delta in deltas}
-        self._topics[topic] = StoredTopic(whole, by_base)
+        self._topics[topic] = StoredTopic(full, by_base)
         self._early.pop(topic, None)
         return True
 
@@ -50,32 +50,34 @@
     def version(self, topic: str) -> VersionMark:
         """Return the newest version of a topic, or the zero version."""
         stored = self._topics.get(topic)
-        return stored.whole.version if stored else ZERO_VERSION
+        return stored.full.version if stored else ZERO_VERSION
 
     def versions(self) -> list[TopicMark]:
         """Return the newest versions of the topics that have a body."""
         return [
-            TopicMark(topic=topic, version=self._topics[topic].whole.version)
+            TopicMark(topic=topic, version=self._topics[topic].full.version)
             for topic in ALL_TOPICS
             if topic in self._topics
         ]
 
-    def newer_than(self, held: tuple[TopicMark, ...]) -> list[TopicUpdate]:
-        """Return the updates of exactly those topics that are newer than ``held``."""
+    def newer_than(self, known: tuple[TopicMark, ...]) -> list[TopicUpdate]:
+        """Return the updates of exactly those topics that are newer than ``known``."""
         newer = [
             self._update_for(entry)
-            for entry in held
+            for entry in known
             if entry.topic in self._topics and is_newer(self.version(entry.topic), entry.version)
         ]
-        return newer + [self._early[entry.topic] for entry in held if self._helps(entry)]
+        return newer + [
+            self._early[entry.topic] for entry in known if self._takes_early_body(entry)
+        ]
 
-    def _helps(self, held: TopicMark) -> bool:
-        """Tell whether a node has nothing better than the early body of a topic."""
-        early = self._early.get(held.topic)
-        if early is None or not is_newer(early.version, held.version):
+    def _takes_early_body(self, known: TopicMark) -> bool:
+        """Return whether a node has nothing better than the early body of a topic."""
+        early = self._early.get(known.topic)
+        if early is None or not is_newer(early.version, known.version):
             return False
-        return held.version.epoch in (ZERO_VERSION.epoch, early.version.epoch)
+        return known.version.epoch in (ZERO_VERSION.epoch, early.version.epoch)
 
-    def _update_for(self, held: TopicMark) -> TopicUpdate:
-        stored = self._topics[held.topic]
-        return stored.deltas.get(version_key(held.version), stored.whole)
+    def _update_for(self, known: TopicMark) -> TopicUpdate:
+        stored = self._topics[known.topic]
+        return stored.deltas.get(version_key(known.version), stored.full)
--- a/rooklug/runbooks/failover_check.py
+++ b/rooklug/runbooks/failover_check.py
@@ -3,7 +3,7 @@
 from rooklug.cli.operator_requests import NEWEST_CONFIGURATION
 from rooklug.runbooks.findings import core_in_sync, on_status
 from rooklug.runbooks.model import Finding, Runbook, Step
-from rooklug.runbooks.site import CoreView, Site, SiteStatus
+from rooklug.runbooks.site import MembershipState, Site, SiteStatus
 
 _CORES = 3
 
@@ -53,7 +53,7 @@
     return Finding(len(in_sync) == _CORES, f"in sync: {', '.join(in_sync) or 'none'}")
 
 
-def _has_new_primary(status: SiteStatus, before: CoreView) -> Finding:
+def _has_new_primary(status: SiteStatus, before: MembershipState) -> Finding:
     now = status.primary_core()
     if now is None:
         return Finding(False, "there is no primary core yet")
--- a/rooklug/runbooks/site.py
+++ b/rooklug/runbooks/site.py
@@ -14,7 +14,7 @@
 
 
 @attrs.frozen
-class CoreView:
+class MembershipState:
     """One core as the status tells; ``unreachable`` is why it did not answer, else ""."""
 
     address: str
@@ -46,16 +46,16 @@
     """The site's status. ``emptied_zones`` is None while no primary tells."""
 
     primary: str
-    cores: tuple[CoreView, ...]
+    cores: tuple[MembershipState, ...]
     nodes: tuple[NodeView, ...]
     emptied_zones: tuple[str, ...] | None
 
-    def primary_core(self) -> CoreView | None:
+    def primary_core(self) -> MembershipState | None:
         """Return the primary core."""
         primaries = [core for core in self.cores if core.phase == PHASE_PRIMARY]
         return max(primaries, key=lambda core: core.epoch, default=None)
 
-    def core(self, node_id: str) -> CoreView | None:
+    def core(self, node_id: str) -> MembershipState | None:
         """Return a core that answered, by its id."""
         return next((core for core in self.cores if core.node_id == node_id), None)
 
@@ -73,7 +73,7 @@
     emptied = document.get("emptied_zones")
     return SiteStatus(
         primary=document.get("primary") or "",
-        cores=tuple(_view(CoreView, core) for core in document.get("cores", ())),
+        cores=tuple(_view(MembershipState, core) for core in document.get("cores", ())),
         nodes=tuple(_view(NodeView, node) for node in document.get("nodes", ())),
         emptied_zones=None if emptied is None else tuple(emptied),
     )
--- a/rooklug_lab/hollow/sharing.py
+++ b/rooklug_lab/hollow/sharing.py
@@ -10,7 +10,7 @@
 import attrs
 from expression import Result
 
-from rooklug.distribution import held_topics
+from rooklug.distribution import subscribed_topics
 from rooklug.front.routing_view import RoutingView, ViewSources
 from rooklug.front.view_building import build_routing_view
 from rooklug.front.view_keeper import ConfigurationReader, ViewKeeper
@@ -25,7 +25,7 @@
     def decode(struct_type: type, data: bytes) -> Result[Any, Any]:
         return shared.run(_decode, (struct_type, data))
 
-    held_topics.decode_packed = decode
+    subscribed_topics.decode_packed = decode
 
 
 def _decode(asked: tuple[type, bytes]) -> Result[Any, Any]:
--- a/rooklug_lab/sim/mutations.py
+++ b/rooklug_lab/sim/mutations.py
@@ -13,7 +13,7 @@
 
 from rooklug.core.replicator import Replicator
 from rooklug.distribution.core_link import CoreLink
-from rooklug.distribution.held_topics import HeldTopics
+from rooklug.distribution.subscribed_topics import SubscribedTopics
 from rooklug.engine.events import SendState
 from rooklug.front import slow_start
 from rooklug.front.once_only import answers, once_only_component
@@ -44,60 +44,60 @@
 
 
 @contextmanager
-def _take_any_mark() -> Iterator[None]:
-    """Fronts take a body whatever its mark, here one older by two versions now and then."""
-    hold = HeldTopics._hold
+def _take_any_version() -> Iterator[None]:
+    """Fronts take a body whatever its version, here one older by two versions now and then."""
+    store = SubscribedTopics._store
     earlier: dict[int, list] = {}
 
-    def forgetful(self: HeldTopics, topic: str, mark: VersionMark, body: Any):
+    def forgetful(self: SubscribedTopics, topic: str, version: VersionMark, body: Any):
         bodies = earlier.setdefault(id(self), [])
         if topic != "configuration":
-            return hold(self, topic, mark, body)
+            return store(self, topic, version, body)
         bodies.append(body)
-        return hold(self, topic, mark, bodies[-3] if len(bodies) % 4 == 0 else body)
+        return store(self, topic, version, bodies[-3] if len(bodies) % 4 == 0 else body)
 
-    with mock.patch.object(HeldTopics, "_hold", forgetful):
+    with mock.patch.object(SubscribedTopics, "_store", forgetful):
         yield
 
 
 @contextmanager
 def _ignore_configuration() -> Iterator[None]:
     """One front in three never takes a newer configuration."""
-    hold = HeldTopics._hold
+    store = SubscribedTopics._store
 
-    def deaf(self: HeldTopics, topic: str, mark: VersionMark, body: Any):
+    def deaf(self: SubscribedTopics, topic: str, version: VersionMark, body: Any):
         if topic == "configuration" and self.body(topic) is not None and id(self) // 16 % 3 == 0:
             return None
-        return hold(self, topic, mark, body)
+        return store(self, topic, version, body)
 
-    with mock.patch.object(HeldTopics, "_hold", deaf):
+    with mock.patch.object(SubscribedTopics, "_store", deaf):
         yield
 
 
 @contextmanager
 def _ignore_zones() -> Iterator[None]:
     """No node hears of an emptied zone."""
-    hold = HeldTopics._hold
+    store = SubscribedTopics._store
 
-    def deaf(self: HeldTopics, topic: str, mark: VersionMark, body: Any):
-        return hold(self, topic, mark, ZonesBody([]) if topic == "zones" else body)
+    def deaf(self: SubscribedTopics, topic: str, version: VersionMark, body: Any):
+        return store(self, topic, version, ZonesBody([]) if topic == "zones" else body)
 
-    with mock.patch.object(HeldTopics, "_hold", deaf):
+    with mock.patch.object(SubscribedTopics, "_store", deaf):
         yield
 
 
 @contextmanager
 def _ignore_leaving() -> Iterator[None]:
     """No node hears that a replica leaves."""
-    hold = HeldTopics._hold
+    store = SubscribedTopics._store
 
-    def deaf(self: HeldTopics, topic: str, mark: VersionMark, body: Any):
+    def deaf(self: SubscribedTopics, topic: str, version: VersionMark, body: Any):
         if topic == "replicas":
             for replica in body.replicas:
                 replica.leaving = False
-        return hold(self, topic, mark, body)
+        return store(self, topic, version, body)
 
-    with mock.patch.object(HeldTopics, "_hold", deaf):
+    with mock.patch.object(SubscribedTopics, "_store", deaf):
         yield
 
 
@@ -201,7 +201,7 @@
             "read_back_is_newest",
             _acknowledge_before_replication,
         ),
-        Mutation("take-any-mark", "no-fault", "payroll", "never_slides_back", _take_any_mark),
+        Mutation("take-any-version", "no-fault", "payroll", "never_slides_back", _take_any_version),
         Mutation(
             "ignore-configuration", "no-fault", "payroll", "in_force_soon", _ignore_configuration
         ),
--- a/tests/membership_measure.py
+++ b/tests/membership_measure.py
@@ -67,7 +67,7 @@
 
 def poll(component: MembershipComponent, index: int, call_id: int) -> list[fx.Effect]:
     """Deliver a poll of a node that holds the newest of everything."""
-    held = [ttypes.TopicMark(topic, component.view.store.version(topic)) for topic in ALL_TOPICS]
+    held = [ttypes.TopicMark(topic, component.state.store.version(topic)) for topic in ALL_TOPICS]
     data = encode(ttypes.PollRequest(f"front-{index:03}", held, 10_000))
     request = decode(ttypes.PollRequest, data).ok
     return component.handle(ev.CallArrived(call_id, "", request), NOW)
@@ -100,7 +100,7 @@
 
     park_s = median_s(park, ROUNDS)
     report("poll parked (and an earlier one ended)", park_s / NODES * 1e6, "us")
-    component.view.hub.release_all()
+    component.state.polls.release_all()
     tracemalloc.start()
     before, _ = tracemalloc.get_traced_memory()
     park()
@@ -108,7 +108,7 @@
     tracemalloc.stop()
     report("memory of a parked poll", (after - before) / NODES, "bytes")
     begin = perf_counter()
-    encode_answers(component.view.poll_answers(component.view.hub.expire(NOW + 20), NOW))
+    encode_answers(component.state.poll_answers(component.state.polls.expire(NOW + 20), NOW))
     report("poll answered empty", (perf_counter() - begin) / NODES * 1e6, "us")
 
 
@@ -178,7 +178,7 @@
 
     measure_change(component, "members", member_changes)
     measure_change(component, "zones", zones_change)
-    (members,) = component.view.store.newer_than((ttypes.TopicMark(MEMBERS, ZERO),))
+    (members,) = component.state.store.newer_than((ttypes.TopicMark(MEMBERS, ZERO),))
     report("members: whole body", len(members.body), "bytes")
     for routes in (500, 5000):
         measure_delta(routes)
--- a/tests/test_distribution_core_link.py
+++ b/tests/test_distribution_core_link.py
@@ -9,7 +9,7 @@
 from rooklug.distribution.core_finder import CoreFinder
 from rooklug.distribution.core_link import CoreLink
 from rooklug.distribution.document_delta import apply_delta
-from rooklug.distribution.link_events import LeaseGivenBack, RenewSoon
+from rooklug.distribution.link_events import LeaseReleased, RenewSoon
 from rooklug.distribution.timing import BACKOFF_LIMIT_S, START_BACKOFF_LIMIT_S
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
@@ -103,7 +103,7 @@
         self.assertEqual(told(effects, GrantsChanged), [GrantsChanged(())])
         call = calls(effects, ttypes.RenewLeaseRequest)[0]
         self.assertTrue(call.request.leaving)
-        self.assertEqual(told(self.grant(call, 10.6), LeaseGivenBack), [LeaseGivenBack(True)])
+        self.assertEqual(told(self.grant(call, 10.6), LeaseReleased), [LeaseReleased(True)])
 
     def test_a_leaving_process_follows_the_topics_to_its_end(self) -> None:
         poll = self.poll(9.0)
@@ -116,13 +116,13 @@
 
     def test_leaving_ends_though_nobody_answers(self) -> None:
         call = calls(self.link.handle(ev.StopRequested(), 1.0), ttypes.RenewLeaseRequest)[0]
-        events: list[LeaseGivenBack] = []
+        events: list[LeaseReleased] = []
         for attempt in range(3):
             failed = ev.CallFailed(call.call_id, "deadline", True)
-            events += told(self.link.handle(failed, 2.0 + attempt), LeaseGivenBack)
+            events += told(self.link.handle(failed, 2.0 + attempt), LeaseReleased)
             if not events:
                 call = self.renew(2.5 + attempt)
-        self.assertEqual(events, [LeaseGivenBack(False)])
+        self.assertEqual(events, [LeaseReleased(False)])
 
     def test_a_flag_that_changes_is_told_at_once(self) -> None:
         self.grant(self.renew(10.0), 10.1)
--- a/tests/test_hollow_packing.py
+++ b/tests/test_hollow_packing.py
@@ -4,7 +4,7 @@
 import zlib
 from random import Random
 
-from rooklug.distribution.held_topics import HeldTopics
+from rooklug.distribution.subscribed_topics import SubscribedTopics
 from rooklug.model.topics import MEMBERS, PLAN, REPLICAS
 from rooklug.wire.codec import encode
 from rooklug.wire.frames import MAX_FRAME_BYTES
@@ -65,6 +65,6 @@
 
     def test_a_node_takes_packed_updates(self):
         for topic, (_, body) in BODIES.items():
-            held = HeldTopics()
+            held = SubscribedTopics()
             held.take(TopicUpdate(topic, VersionMark(1, 1), None, encode_packed(body)))
             self.assertEqual(held.body(topic), body)
--- a/tests/test_membership_faults.py
+++ b/tests/test_membership_faults.py
@@ -7,9 +7,9 @@
 from collections.abc import Callable
 from unittest import mock
 
-from rooklug.distribution import held_topics
-from rooklug.distribution.held_lease import HeldLease
-from rooklug.distribution.polling import Polling
+from rooklug.distribution import subscribed_topics
+from rooklug.distribution.node_lease import NodeLease
+from rooklug.distribution.polling import TopicPolling
 from rooklug.membership import roles, topic_store
 from rooklug.model.topics import CONFIGURATION, ROLE_PLACER
 from tests.membership_world import CORES, ZONES, World
@@ -147,7 +147,7 @@
         self.assertTrue(any(find(run(seed)) for seed in MUTATION_SEEDS))
 
     def test_granting_before_the_old_lease_is_over(self) -> None:
-        with mock.patch.object(roles, "ROLE_LEASE_HOLD_S", 0.2):
+        with mock.patch.object(roles, "ROLE_LEASE_EXPIRY_S", 0.2):
             self.assert_caught(lambda world: world.violations, cut_off_in_an_emptied_zone)
 
     def test_the_same_without_the_mutation(self) -> None:
@@ -156,26 +156,26 @@
             self.assertEqual(frozen_with_a_renewal_under_way(seed).violations, [])
 
     def test_a_new_primary_that_does_not_wait(self) -> None:
-        with mock.patch.object(roles, "UNANNOUNCED_HOLD_S", 0.1):
+        with mock.patch.object(roles, "UNANNOUNCED_GRANTS_EXPIRY_S", 0.1):
             self.assert_caught(lambda world: world.violations)
 
     def test_counting_the_grant_from_the_answer(self) -> None:
-        take = HeldLease.take
+        take = NodeLease.take
 
-        def from_the_answer(self: HeldLease, answer: object, now: float) -> bool:
+        def from_the_answer(self: NodeLease, answer: object, now: float) -> bool:
             self._sent_at = now
             return take(self, answer, now)
 
-        with mock.patch.object(HeldLease, "take", from_the_answer):
+        with mock.patch.object(NodeLease, "take", from_the_answer):
             self.assert_caught(lambda world: world.violations, frozen_with_a_renewal_under_way)
 
     def test_taking_any_mark_from_a_core_that_sends_any(self) -> None:
         with mock.patch.object(topic_store, "is_newer", lambda candidate, held: True):
             self.assertEqual(storm(1, faults=2).slid_back(), [])
-            with mock.patch.object(held_topics, "is_newer", lambda candidate, held: True):
+            with mock.patch.object(subscribed_topics, "is_newer", lambda candidate, held: True):
                 self.assertNotEqual(storm(1, faults=2).slid_back(), [])
 
     def test_waiting_for_a_poll_whose_answer_was_lost(self) -> None:
-        with mock.patch.object(Polling, "poll_if_behind", lambda self, newest, now: []):
+        with mock.patch.object(TopicPolling, "poll_if_behind", lambda self, newest, now: []):
             slow = any(seconds_to_all(seed) > FRESHNESS_BOUND_S for seed in MUTATION_SEEDS)
         self.assertTrue(slow)
--- a/tests/test_membership_hub.py
+++ b/tests/test_membership_long_polls.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from rooklug.membership.hub import Hub, PollReply
+from rooklug.membership.long_poll_registry import LongPollRegistry, PollReply
 from rooklug.membership.topic_store import TopicStore
 from rooklug.model.topics import CONFIGURATION, PLAN
 from rooklug.model.versions import version_key
@@ -29,7 +29,7 @@
     def __init__(self) -> None:
         super().__init__()
         self.store = TopicStore()
-        self.hub = Hub(self.store)
+        self.polls = LongPollRegistry(self.store)
         self.now = 0.0
         self.calls = 0
         self.newest: dict[str, tuple[int, int]] = {}
@@ -55,7 +55,7 @@
         call, held = self.calls, {CONFIGURATION: configuration, PLAN: plan}
         self.open.add(call)
         request = PollRequest(node, [TopicMark(t, m) for t, m in held.items()], wait_ms)
-        replies = self.hub.poll(call, request, self.now)
+        replies = self.polls.poll(call, request, self.now)
         expected = {call: self.expected(held)}
         earlier = self.waiting.pop(node, None)
         if earlier is not None:
@@ -75,7 +75,7 @@
         if newer:
             self.newest[topic] = version_key(mark)
         expected = {call: self.expected(held) for call, held, _ in self.waiting.values()}
-        replies = self.hub.wake()
+        replies = self.polls.wake()
         assert {r.call_id for r in replies} == {call for call, found in expected.items() if found}
         self.close(replies, expected)
         self.forget_closed()
@@ -84,7 +84,7 @@
     def pass_time(self, seconds: float) -> None:
         self.now += seconds
         due = {call for call, _, until in self.waiting.values() if until <= self.now}
-        replies = self.hub.expire(self.now)
+        replies = self.polls.expire(self.now)
         assert {r.call_id for r in replies} == due
         self.close(replies, {call: set() for call in due})
         self.forget_closed()
@@ -94,7 +94,7 @@
 
     @invariant()
     def every_open_call_waits(self) -> None:
-        assert len(self.hub) == len(self.waiting)
+        assert len(self.polls) == len(self.waiting)
         assert self.open == {call for call, _, _ in self.waiting.values()}
 
 
--- a/tests/test_membership_protocol.py
+++ b/tests/test_membership_protocol.py
@@ -5,7 +5,7 @@
 
 from rooklug.config.json_text import canonical_bytes
 from rooklug.config.patching import digest
-from rooklug.distribution.link_events import LeaseGivenBack
+from rooklug.distribution.link_events import LeaseReleased
 from rooklug.engine.events import StopRequested
 from rooklug.model.topics import CONFIGURATION, MEMBERS, PLAN, ROLE_PLACER, ZONES
 from rooklug.wire.generated.control import ttypes
@@ -85,7 +85,7 @@
         world.deliver(world.processes[placer], StopRequested())
         took = world.run_until(lambda: bool(world.holders(ROLE_PLACER)), 5.0)
         self.assertLess(took, 1.5)
-        self.assertIn(LeaseGivenBack(True), world.observers[placer].heard)
+        self.assertIn(LeaseReleased(True), world.observers[placer].heard)
         self.check_promises(world)
 
     def test_an_emptied_zone_is_known_soon_and_loses_its_roles(self) -> None:
@@ -165,9 +165,9 @@
         world = started(13)
         world.cut.add(world.primary)
         core = world.processes[world.primary]
-        part = core.reducer.components["membership"]
-        self.assertEqual(len(part.view.hub), 9)
-        took = world.run_until(lambda: len(part.view.hub) == 0, 5.0)
+        component = core.reducer.components["membership"]
+        self.assertEqual(len(component.state.polls), 9)
+        took = world.run_until(lambda: len(component.state.polls) == 0, 5.0)
         self.assertLess(took, 2.0)
         request = ttypes.PollRequest("x", [], 10_000)
         (answer,) = world.ask(core.name, request)
--- a/tests/test_membership_tables.py
+++ b/tests/test_membership_tables.py
@@ -5,14 +5,14 @@
 from rooklug.membership.decisions import START, Cursor, DecisionRing, DecisionStream
 from rooklug.membership.leases import LeaseTable, RenewalOutcome, identity_of
 from rooklug.membership.members_topic import MembersTopic
-from rooklug.membership.primacy import Primacy
+from rooklug.membership.primary_tracker import PrimaryTracker
 from rooklug.membership.publications import Publications, PublishRefusal, publication_version
 from rooklug.membership.roles import ROLE_LEASE_MS, RoleTable
 from rooklug.membership.selection import Load, choose_node
 from rooklug.membership.timing import (
-    NODE_LEASE_HOLD_S,
-    ROLE_LEASE_HOLD_S,
-    UNANNOUNCED_HOLD_S,
+    NODE_LEASE_EXPIRY_S,
+    ROLE_LEASE_EXPIRY_S,
+    UNANNOUNCED_GRANTS_EXPIRY_S,
 )
 from rooklug.membership.topic_store import TopicStore
 from rooklug.model import internal_events as internal
@@ -21,7 +21,7 @@
 from rooklug.wire.generated.control.ttypes import RoleGrant, VersionMark
 
 START_AT = 100.0
-READY_AT = START_AT + UNANNOUNCED_HOLD_S + 0.1
+READY_AT = START_AT + UNANNOUNCED_GRANTS_EXPIRY_S + 0.1
 
 
 def record(name: str, zone: str = "z1", **changes: object) -> ttypes.NodeRecord:
@@ -44,8 +44,8 @@
 
     def test_nobody_is_declared_dead_during_the_grace(self) -> None:
         self.leases.renew(renewal(record("a"), 1), START_AT - 50)
-        self.assertEqual(self.leases.expire(START_AT + NODE_LEASE_HOLD_S - 0.01), [])
-        gone = self.leases.expire(START_AT + NODE_LEASE_HOLD_S)
+        self.assertEqual(self.leases.expire(START_AT + NODE_LEASE_EXPIRY_S - 0.01), [])
+        gone = self.leases.expire(START_AT + NODE_LEASE_EXPIRY_S)
         self.assertEqual([node.node_id for node in gone], ["a"])
 
     def test_a_late_renewal_is_ignored(self) -> None:
@@ -77,7 +77,7 @@
 
 class PrimacyTest(unittest.TestCase):
     def test_news_of_a_later_primary_do_not_change_the_epoch_of_the_own_term(self) -> None:
-        primacy = Primacy("own:1")
+        primacy = PrimaryTracker("own:1")
         primacy.start(internal.PrimaryStarted(5))
         primacy.extend(internal.PrimaryLeaseExtended(5, 10.0))
         primacy.learn(internal.PrimaryKnown(8, "other:1"))
@@ -112,8 +112,8 @@
         self.fail("nobody got the placer's role")
 
     def test_an_unannounced_role_waits_for_the_old_primary_and_its_grants(self) -> None:
-        self.plan(START_AT + UNANNOUNCED_HOLD_S - 0.1)
-        self.assertEqual(self.grants("a", START_AT + UNANNOUNCED_HOLD_S - 0.1), {})
+        self.plan(START_AT + UNANNOUNCED_GRANTS_EXPIRY_S - 0.1)
+        self.assertEqual(self.grants("a", START_AT + UNANNOUNCED_GRANTS_EXPIRY_S - 0.1), {})
         self.plan(READY_AT)
         self.assertEqual(len(self.grants("a", READY_AT)) + len(self.grants("b", READY_AT)), 6)
 
@@ -150,9 +150,9 @@
         holder, _ = self.placer(READY_AT)
         self.nodes = [n for n in self.nodes if n.node_id != holder]
         self.plan(READY_AT + 1)
-        early = READY_AT + ROLE_LEASE_HOLD_S - 0.01
+        early = READY_AT + ROLE_LEASE_EXPIRY_S - 0.01
         self.assertNotIn(ROLE_PLACER, self.grants(self.nodes[0].node_id, early))
-        self.placer(READY_AT + ROLE_LEASE_HOLD_S)
+        self.placer(READY_AT + ROLE_LEASE_EXPIRY_S)
 
     def test_a_holder_in_an_emptied_zone_gives_its_role_over(self) -> None:
         self.plan(READY_AT)
@@ -219,7 +219,7 @@
         self.assertIsNone(self.publish(1))
         self.assertIs(self.publish(2, topic=REPLICAS), PublishRefusal.WRONG_ROLE)
         self.assertIs(self.publish(2, token=VersionMark(4, 99)), PublishRefusal.STALE_TOKEN)
-        late = READY_AT + ROLE_LEASE_HOLD_S
+        late = READY_AT + ROLE_LEASE_EXPIRY_S
         self.assertIs(self.publish(2, now=late), PublishRefusal.STALE_TOKEN)
 
     def test_the_sequence_grows_and_a_repeat_is_taken_again(self) -> None:
