--- a/rooklug/config/json_text.py
+++ b/rooklug/config/json_text.py
@@ -48,11 +48,11 @@
         return _refuse(f"larger than {MAX_DOCUMENT_BYTES} bytes")
     try:
         return Ok(_parse_faultless(data))
-    except (_Unusual, ValueError, RecursionError):
+    except (_UnusualTextError, ValueError, RecursionError):
         return _parse_with_faults(data)
 
 
-class _Unusual(Exception):
+class _UnusualTextError(Exception):
     """The text may have a fault; the thorough reader must look at it."""
 
 
@@ -61,12 +61,12 @@
 
     Raises
     ------
-    _Unusual, ValueError, RecursionError
+    _UnusualTextError, ValueError, RecursionError
         The text may have a fault.
     """
     text = data.decode("utf-8")
     if _SURROGATE_ESCAPE.search(text):
-        raise _Unusual
+        raise _UnusualTextError
     value = json.loads(
         text,
         object_pairs_hook=_plain_object,
@@ -75,25 +75,25 @@
         parse_float=lambda digits: _plain_number(_read_float(digits)),
     )
     if _value_depth(value, MAX_JSON_DEPTH + 1) > MAX_JSON_DEPTH:
-        raise _Unusual
+        raise _UnusualTextError
     return value
 
 
 def _plain_object(members: list[tuple[str, Json]]) -> dict[str, Json]:
     plain = dict(members)
     if len(plain) != len(members):
-        raise _Unusual
+        raise _UnusualTextError
     return plain
 
 
 def _plain_number(number: "int | float | _BadNumber") -> int | float:
     if isinstance(number, _BadNumber):
-        raise _Unusual
+        raise _UnusualTextError
     return number
 
 
 def _unusual_number(_text: str) -> None:
-    raise _Unusual
+    raise _UnusualTextError
 
 
 def _value_depth(value: Json, limit: int) -> int:
--- a/rooklug/config/reading.py
+++ b/rooklug/config/reading.py
@@ -31,13 +31,13 @@
         configuration = _CONVERTER.structure(parsed.ok, Configuration)
     except cattrs.BaseValidationError as group:
         return Error(tuple(_problems_of(group, "")))
-    except _WrongType as problem:
+    except _WrongTypeError as problem:
         return Error((Problem("", str(problem)),))
     problems = check_configuration(configuration)
     return Error(problems) if problems else Ok(configuration)
 
 
-class _WrongType(ValueError):
+class _WrongTypeError(ValueError):
     """A JSON value of another type than the document's."""
 
     def __init__(self, expected: str, value: Any) -> None:
@@ -53,7 +53,7 @@
 
 def _structure_string(value: Any, _type: type) -> str:
     if not isinstance(value, str):
-        raise _WrongType("a string", value)
+        raise _WrongTypeError("a string", value)
     return value
 
 
@@ -61,19 +61,19 @@
     if isinstance(value, float):
         raise ValueError("must be written as an integer")
     if isinstance(value, bool) or not isinstance(value, int):
-        raise _WrongType("an integer", value)
+        raise _WrongTypeError("an integer", value)
     return value
 
 
 def _structure_float(value: Any, _type: type) -> float:
     if isinstance(value, bool) or not isinstance(value, int | float):
-        raise _WrongType("a number", value)
+        raise _WrongTypeError("a number", value)
     return float(value)
 
 
 def _structure_enum(value: Any, enum_type: type[Enum]) -> Enum:
     if not isinstance(value, str):
-        raise _WrongType("a string", value)
+        raise _WrongTypeError("a string", value)
     for member in enum_type:
         if member.value == value:
             return member
@@ -97,7 +97,7 @@
 
     def guarded(value: Any, target: Any) -> Any:
         if not isinstance(value, json_type):
-            raise _WrongType(expected, value)
+            raise _WrongTypeError(expected, value)
         return structure(value, target)
 
     return guarded
--- a/rooklug/controller/placer.py
+++ b/rooklug/controller/placer.py
@@ -89,7 +89,7 @@
             return self.term.computed(event, now)
         if isinstance(event, ev.HttpAnswered | ev.HttpFailed):
             return self.term.order_try_ended(event, now)
-        elif isinstance(event, ProbesReported):
+        if isinstance(event, ProbesReported):
             return self._take_local_probes(event.report, now)
         return []
 
--- a/rooklug/core/backup.py
+++ b/rooklug/core/backup.py
@@ -80,18 +80,18 @@
         view = view_from_wire(request.view)
         state = witness_rules.learn_view(self._witness.state, view)
         if state is None:
-            self._outbox.answer(call_id, self._start_answer(False, False))
+            self._outbox.answer(call_id, self._start_answer(ok=False, needs_snapshot=False))
             return
         self._record_primary(view.epoch, view.primary_id, now)
         needs_snapshot = not self._match(view.epoch, request, now)
-        answer = self._start_answer(not needs_snapshot, needs_snapshot)
+        answer = self._start_answer(ok=not needs_snapshot, needs_snapshot=needs_snapshot)
         self._witness.save(state, now, lambda now: self._outbox.answer(call_id, answer))
 
     def on_append(self, call_id: int, request: wire.AppendRequest, now: float) -> None:
         """Append what this log lacks; answer once it is synced."""
         outdated = request.epoch < self._promised_epoch or request.epoch != self.verified_epoch
         if outdated or not self._follows(request.previous):
-            self._outbox.answer(call_id, self._append_answer(False))
+            self._outbox.answer(call_id, self._append_answer(ok=False))
             return
         last = self._store.last.sequence
         fresh = [entry for entry in request.entries if entry.sequence > last]
@@ -100,7 +100,7 @@
             return
         self._commit(request.epoch, request.committed)
         self._store.after_entries(
-            fresh, now, lambda now: self._outbox.answer(call_id, self._append_answer(True))
+            fresh, now, lambda now: self._outbox.answer(call_id, self._append_answer(ok=True))
         )
 
     def on_snapshot_chunk(
@@ -108,24 +108,28 @@
     ) -> None:
         """Collect a snapshot's chunks; install it with the last one."""
         incoming = self._incoming
-        wanted = incoming is not None and request.epoch == incoming.epoch >= self._promised_epoch
-        if not wanted or not _take_chunk(incoming, request):
-            self._outbox.answer(call_id, self._chunk_answer(False))
+        if incoming is None or not self._is_wanted(incoming, request):
+            self._outbox.answer(call_id, self._chunk_answer(ok=False))
             return
         if len(incoming.chunks) < request.parts:
-            self._outbox.answer(call_id, self._chunk_answer(True))
+            self._outbox.answer(call_id, self._chunk_answer(ok=True))
             return
         self._incoming = None
-        problem = self._store.install(incoming.position, incoming.chunks, now)
+        problem = self._store.install(position_from_wire(request.position), incoming.chunks, now)
         if problem:
             self._outbox.log("error", "snapshot unreadable", problem=problem)
-            self._outbox.answer(call_id, self._chunk_answer(False))
+            self._outbox.answer(call_id, self._chunk_answer(ok=False))
             return
         self.verified_epoch = request.epoch
         self._store.after_entries(
-            [], now, lambda now: self._outbox.answer(call_id, self._chunk_answer(True))
+            [], now, lambda now: self._outbox.answer(call_id, self._chunk_answer(ok=True))
         )
 
+    def _is_wanted(self, incoming: IncomingSnapshot, request: wire.SnapshotPartRequest) -> bool:
+        """Add the request's chunk to the snapshot; return whether it is the next one."""
+        wanted = request.epoch == incoming.epoch >= self._promised_epoch
+        return wanted and _take_chunk(incoming, request)
+
     def _record_primary(self, epoch: int, primary_id: str, now: float) -> None:
         self.latest_primary_epoch = max(self.latest_primary_epoch, epoch)
         self._on_primary_seen(epoch, primary_id, now)
@@ -163,7 +167,7 @@
             return True
         return self._store.log.position_at(previous.sequence) == position_from_wire(previous)
 
-    def _start_answer(self, ok: bool, needs_snapshot: bool) -> wire.StartViewAnswer:
+    def _start_answer(self, *, ok: bool, needs_snapshot: bool) -> wire.StartViewAnswer:
         return wire.StartViewAnswer(
             ok=ok,
             promised_epoch=self._promised_epoch,
@@ -172,12 +176,12 @@
             matched=self._store.last.sequence,
         )
 
-    def _append_answer(self, ok: bool) -> wire.AppendAnswer:
+    def _append_answer(self, *, ok: bool) -> wire.AppendAnswer:
         return wire.AppendAnswer(
             ok=ok, promised_epoch=self._promised_epoch, synced=self._store.synced
         )
 
-    def _chunk_answer(self, ok: bool) -> wire.SnapshotPartAnswer:
+    def _chunk_answer(self, *, ok: bool) -> wire.SnapshotPartAnswer:
         return wire.SnapshotPartAnswer(ok=ok, promised_epoch=self._promised_epoch)
 
 
--- a/rooklug/core/change_history.py
+++ b/rooklug/core/change_history.py
@@ -84,10 +84,14 @@
         """Classify a change; ``base_version`` is None for a complete document."""
         pending = self._changes.get(version)
         if pending is not None:
-            return _repeat_or_conflict(pending.change.digest == digest, pending.sequence)
+            return _repeat_or_conflict(
+                is_same=pending.change.digest == digest, depends_on=pending.sequence
+            )
         committed = self._state.changes.get(version)
         if committed is not None:
-            return _repeat_or_conflict(committed.hex() == digest, ALREADY_COMMITTED)
+            return _repeat_or_conflict(
+                is_same=committed.hex() == digest, depends_on=ALREADY_COMMITTED
+            )
         newest_version = self.newest.version if self.newest else 0
         outdated = base_version is not None and base_version != newest_version
         if version <= newest_version or outdated:
@@ -99,12 +103,14 @@
         """Classify a zone order; an id that was used for another order is a conflict."""
         pending = self._zones.get(change.operation_id)
         if pending is not None:
-            return _repeat_or_conflict(pending.change == change, pending.sequence)
+            return _repeat_or_conflict(
+                is_same=pending.change == change, depends_on=pending.sequence
+            )
         committed = self._state.operations.get(change.operation_id)
         if committed is not None:
-            return _repeat_or_conflict(committed == change, ALREADY_COMMITTED)
+            return _repeat_or_conflict(is_same=committed == change, depends_on=ALREADY_COMMITTED)
         return Classification(Verdict.FRESH)
 
 
-def _repeat_or_conflict(is_same: bool, depends_on: int) -> Classification:
+def _repeat_or_conflict(*, is_same: bool, depends_on: int) -> Classification:
     return Classification(Verdict.REPEATED if is_same else Verdict.CONFLICT, depends_on)
--- a/rooklug/core/changes.py
+++ b/rooklug/core/changes.py
@@ -57,16 +57,6 @@
     outcome: Outcome = Outcome.ACCEPTED
     repeated: bool = False
 
-    @property
-    def zone_change(self) -> ZoneChange | None:
-        """The zone order, None for a configuration change."""
-        request = self.request
-        if not isinstance(request, SetZoneRequest):
-            return None
-        return ZoneChange(
-            zone=request.zone, emptied=request.emptied, operation_id=request.operation_id
-        )
-
 
 class ChangeIntake:
     """Checks, appends in order of arrival, and answers."""
@@ -172,15 +162,20 @@
         return is_newer(self._store.state.zones_version(), request.known_zones)
 
     def _classify(self, submission: Submission) -> Classification:
-        if self._history is None:
-            uncommitted = self._store.log.after(self._store.committed)
-            self._history = ChangeHistory(self._store.state, uncommitted)
+        history = self._open_history()
         request = submission.request
         if isinstance(request, SetZoneRequest):
-            return self._history.classify_zone(submission.zone_change)
+            return history.classify_zone(_zone_change(request))
         depends_on_base = request.is_patch or request.base_required
         base_version = request.base_version if depends_on_base else None
-        return self._history.classify_change(request.version, request.digest, base_version)
+        return history.classify_change(request.version, request.digest, base_version)
+
+    def _open_history(self) -> ChangeHistory:
+        """Return the history of this term; it begins with the log as it was found."""
+        if self._history is None:
+            uncommitted = self._store.log.after(self._store.committed)
+            self._history = ChangeHistory(self._store.state, uncommitted)
+        return self._history
 
     def _is_answered_by_history(
         self, submission: Submission, classification: Classification
@@ -200,7 +195,7 @@
     def _check(self, submission: Submission, request: SubmitChangeRequest) -> None:
         base_document = None
         if request.is_patch:
-            newest = self._history.newest
+            newest = self._open_history().newest
             base_document = newest.document if newest else b""
         ticket = self._outbox.identifiers.next()
         self._in_check[ticket] = submission
@@ -215,10 +210,10 @@
                 version=request.version, digest=request.digest, document=submission.document
             )
         else:
-            entry.zone = submission.zone_change
+            entry.zone = _zone_change(request)
         if not self._store.log.append(entry):
             raise AssertionError("an entry of the primary doesn't follow its own log")
-        self._history.add(entry)
+        self._open_history().add(entry)
         submission.sequence = entry.sequence
         self._uncommitted.append(submission)
 
@@ -231,8 +226,9 @@
         self, submission: Submission, outcome: Outcome, problems: tuple[str, ...] = ()
     ) -> None:
         request = submission.request
+        answer: SubmitChangeAnswer | SetZoneAnswer
         if isinstance(request, SubmitChangeRequest):
-            answer = self._change_answer(request, outcome, submission.repeated, problems)
+            answer = self._change_answer(request, outcome, problems, repeated=submission.repeated)
         else:
             if outcome is Outcome.CONFLICT:
                 outcome = Outcome.INVALID
@@ -246,8 +242,9 @@
         self,
         request: SubmitChangeRequest,
         outcome: Outcome,
-        repeated: bool,
         problems: tuple[str, ...],
+        *,
+        repeated: bool,
     ) -> SubmitChangeAnswer:
         version, digest = request.version, request.digest
         if outcome is Outcome.CONFLICT:
@@ -263,6 +260,10 @@
         )
 
 
+def _zone_change(request: SetZoneRequest) -> ZoneChange:
+    return ZoneChange(zone=request.zone, emptied=request.emptied, operation_id=request.operation_id)
+
+
 def _request_problems(request: SubmitChangeRequest | SetZoneRequest) -> tuple[str, ...]:
     if isinstance(request, SetZoneRequest):
         return _zone_problems(request)
--- a/rooklug/core/control_state_component.py
+++ b/rooklug/core/control_state_component.py
@@ -4,7 +4,8 @@
 outcome (a chosen view, a commit, a lost leadership) is wired here as callbacks.
 """
 
-from collections.abc import Iterable
+from collections.abc import Callable, Iterable
+from typing import Any
 
 from rooklug.core.announcer import Announcer
 from rooklug.core.backup import Backup
@@ -117,10 +118,14 @@
     def _build_bootstrap(self, settings: CoreSettings) -> None:
         """Build how a core gets its vote, becomes a member, or recovers with an operator."""
         self.formation = Formation(
-            self.peers, self.outbox, self.witness, self._on_view_chosen, settings.first_start
+            self.peers,
+            self.outbox,
+            self.witness,
+            self._on_view_chosen,
+            first_start=settings.first_start,
         )
         self.join_requester = JoinRequester(
-            self.peers, self.outbox, self.witness, self.formation, settings.first_start
+            self.peers, self.outbox, self.witness, self.formation, first_start=settings.first_start
         )
         self.recovery = Recovery(
             self.peers,
@@ -132,7 +137,7 @@
         )
         self.http = HttpInterface(self.outbox, self.recovery, self._status)
 
-    def _call_table(self) -> dict[type, object]:
+    def _call_table(self) -> dict[type, Callable[[int, Any, float], None]]:
         return {
             wire.PrepareRequest: self.witness.on_prepare,
             wire.AcceptRequest: self.witness.on_accept,
@@ -219,7 +224,7 @@
         if self.disk.oldest_age(now) >= SYNC_DEADLINE_S:
             self.primary.hand_over("its disk is too slow", now)
         self.formation.tick(now)
-        self.join_requester.tick(self._has_primary(now), now)
+        self.join_requester.tick(now, has_primary=self._has_primary(now))
         self.view_changer.tick(now)
         self.primary.tick(now)
         self.changes.tick(now)
--- a/rooklug/core/formation.py
+++ b/rooklug/core/formation.py
@@ -7,7 +7,7 @@
 from rooklug.core.outbox import Outbox
 from rooklug.core.peers import Peers
 from rooklug.core.records import disk_to_wire, view_to_wire, witness_from_wire
-from rooklug.core.types import View, WitnessState
+from rooklug.core.types import MemberDisk, View, WitnessState
 from rooklug.core.witness import Witness
 from rooklug.wire.generated.core import ttypes as wire
 
@@ -30,6 +30,7 @@
         outbox: Outbox,
         witness: Witness,
         on_formed: Callable[[View, float, float], None],
+        *,
         first_start: bool,
     ) -> None:
         self._first_start = first_start
@@ -55,7 +56,7 @@
         attempt = self._attempt
         self._witness.save(self._witness.state, now, lambda now: self._read(own, attempt))
 
-    def _read(self, own: object, attempt: int) -> None:
+    def _read(self, own: MemberDisk, attempt: int) -> None:
         request = wire.ReadWitnessRequest(reader=disk_to_wire(own))
         for core_id in self._peers.known_others:
             self._send_read(core_id, request, attempt)
--- a/rooklug/core/joining.py
+++ b/rooklug/core/joining.py
@@ -23,6 +23,7 @@
         outbox: Outbox,
         witness: Witness,
         formation: Formation,
+        *,
         first_start: bool,
     ) -> None:
         self._peers = peers
@@ -32,7 +33,7 @@
         self._first_start = first_start
         self._requested_at = 0.0
 
-    def tick(self, has_primary: bool, now: float) -> None:
+    def tick(self, now: float, *, has_primary: bool) -> None:
         """Send requests every ``JOIN_INTERVAL_S``, while no view names this core."""
         if has_primary or now < self._requested_at + JOIN_INTERVAL_S or not self._is_outside():
             return
@@ -47,7 +48,7 @@
             return True
         return not self._formation.is_member()
 
-    def _request(self, address: str, follow: bool) -> None:
+    def _request(self, address: str, *, follow: bool) -> None:
         own = self._witness.state.own
         member = CoreMember(own.core_id, self._peers.address(own.core_id))
         request = wire.JoinRequest(
--- a/rooklug/core/leadership_lease.py
+++ b/rooklug/core/leadership_lease.py
@@ -15,7 +15,7 @@
 from rooklug.core.records import disk_from_wire, disk_to_wire
 from rooklug.core.replicator import Replicator
 from rooklug.core.store import ReplicaStore
-from rooklug.core.types import View
+from rooklug.core.types import NotLeadingError, View
 from rooklug.core.witness import Witness
 from rooklug.wire.generated.core import ttypes as wire
 
@@ -54,6 +54,12 @@
         """Return whether the lease lasts at this very moment."""
         return now < self.until
 
+    @property
+    def _led_view(self) -> View:
+        if self._view is None:
+            raise NotLeadingError("heartbeats are sent by the primary of a view")
+        return self._view
+
     def start(self, view: View, accepts_sent_at: float, now: float) -> None:
         """Begin a view; the accepts of a majority count like answers to a heartbeat."""
         self._view = view
@@ -74,17 +80,17 @@
         """Ask every member for its support, and say what is committed."""
         self._next_heartbeat_at = now + HEARTBEAT_S
         own = self._witness.state.own
-        self._witness.record_heartbeat(own, self._view.epoch, now)
+        self._witness.record_heartbeat(own, self._led_view.epoch, now)
         self._own_supported_at = now
         request = wire.HeartbeatRequest(
-            epoch=self._view.epoch, primary=disk_to_wire(own), committed=self._store.committed
+            epoch=self._led_view.epoch, primary=disk_to_wire(own), committed=self._store.committed
         )
         for core_id in sorted(self._replicator.followers):
             self._send_heartbeat(core_id, request, now)
         self._extend()
 
     def _send_heartbeat(self, core_id: str, request: wire.HeartbeatRequest, now: float) -> None:
-        view, sent_at = self._view, now
+        view, sent_at = self._led_view, now
 
         def answered(answer: wire.HeartbeatAnswer, now: float) -> None:
             if self._view is view:
@@ -100,7 +106,7 @@
     def _on_answer(
         self, core_id: str, answer: wire.HeartbeatAnswer, sent_at: float, now: float
     ) -> None:
-        if answer.promised_epoch > self._view.epoch:
+        if answer.promised_epoch > self._led_view.epoch:
             self._on_refused(answer.promised_epoch, now)
             return
         follower = self._replicator.followers[core_id]
--- a/rooklug/core/member_changes.py
+++ b/rooklug/core/member_changes.py
@@ -32,7 +32,7 @@
         self._next_change_at = 0.0
         self._draining_since: dict[str, float] = {}
 
-    def request_join(self, member: CoreMember, first_start: bool, now: float) -> None:
+    def request_join(self, member: CoreMember, now: float, *, first_start: bool) -> None:
         """Remember a core's request; a newer request replaces it."""
         self._pending_join = PendingJoin(member, first_start, now)
 
--- a/rooklug/core/primary.py
+++ b/rooklug/core/primary.py
@@ -15,7 +15,7 @@
 from rooklug.core.records import disk_to_wire
 from rooklug.core.replicator import Replicator
 from rooklug.core.store import ReplicaStore
-from rooklug.core.types import CoreMember, View
+from rooklug.core.types import CoreMember, NotLeadingError, View
 from rooklug.core.view_change import ViewChanger
 from rooklug.core.witness import Witness
 from rooklug.core.witness_rules import MemberChange
@@ -88,7 +88,7 @@
         return (
             self.may_serve(now)
             and self._is_newest()
-            and len(self.view.in_sync) >= self._required_acks()
+            and len(self._led_view.in_sync) >= self._required_acks()
             and self._view_changer.proposal is None
             and not self._in_sync_set.is_waiting_for_learner
         )
@@ -153,15 +153,21 @@
         if self.view is not None and self._view_changer.proposal is None:
             self._adjust_members(now)
 
-    def request_join(self, member: CoreMember, first_start: bool, now: float) -> None:
+    def request_join(self, member: CoreMember, now: float, *, first_start: bool) -> None:
         """Take the request of a core that wants to become a voting member."""
         if member.core_id not in self._peers.members_of(self.view):
-            self._member_changes.request_join(member, first_start, now)
+            self._member_changes.request_join(member, now, first_start=first_start)
 
     def record_draining(self, core_id: str, now: float) -> None:
         """Take the news that a core is being stopped on purpose."""
         self._member_changes.record_draining(core_id, now)
 
+    @property
+    def _led_view(self) -> View:
+        if self.view is None:
+            raise NotLeadingError("this core leads no view")
+        return self.view
+
     # Commits --------------------------------------------------------------
 
     def _required_acks(self) -> int:
@@ -180,7 +186,7 @@
         """Return whether acknowledgements of this view count: it has accepted no later one."""
         return (
             self._witness.state.accepted_epoch == self.epoch
-            and len(self.view.in_sync) >= self._required_acks()
+            and len(self._led_view.in_sync) >= self._required_acks()
         )
 
     def _advance(self, now: float) -> None:
@@ -220,19 +226,21 @@
             self._change_view(EVERYONE_STAYS, now)
 
     def _adjust_in_sync_set(self, now: float) -> None:
-        excluded = self._in_sync_set.excluded_from_next_view(self.view, self._required_acks(), now)
+        excluded = self._in_sync_set.excluded_from_next_view(
+            self._led_view, self._required_acks(), now
+        )
         if excluded is not None:
             self._change_view(excluded, now)
 
     def _adjust_members(self, now: float) -> None:
         """Take in a core that asks, in the place of one that is gone."""
-        if not self.view.members or not self.serving:
+        if not self._led_view.members or not self.serving:
             return
-        if self.view.previous:
+        if self._led_view.previous:
             # The new members are in force; this view ends the vote of the old ones.
             self._change_view(EVERYONE_STAYS, now)
             return
-        change = self._member_changes.next_change(self.view, self._required_acks(), now)
+        change = self._member_changes.next_change(self._led_view, self._required_acks(), now)
         if change is not None:
             self._change_members(change, now)
 
--- a/rooklug/core/recovery.py
+++ b/rooklug/core/recovery.py
@@ -185,9 +185,11 @@
                 f"changes acknowledged in a view newer than epoch {view.epoch}, "
                 "if there was one that no remaining disk knows of"
             )
-        for core_id in sorted(set(self._peers.others) - set(survey.survivors)):
-            losses.append(f"whatever only {core_id} holds; empty its data folder afterwards")
-        return losses
+        missing = sorted(set(self._peers.others) - set(survey.survivors))
+        return losses + [
+            f"whatever only {core_id} holds; empty its data folder afterwards"
+            for core_id in missing
+        ]
 
     def _newest_version(self) -> int:
         versions = [
--- a/rooklug/core/replicator.py
+++ b/rooklug/core/replicator.py
@@ -5,6 +5,7 @@
 """
 
 from collections.abc import Callable, Iterable
+from typing import Any
 
 from rooklug.core.constants import (
     ASSUMED_BYTES_PER_S,
@@ -24,7 +25,7 @@
     view_to_wire,
 )
 from rooklug.core.store import ReplicaStore
-from rooklug.core.types import MemberDisk, View
+from rooklug.core.types import MemberDisk, NotLeadingError, View
 from rooklug.wire.generated.core import ttypes as wire
 
 
@@ -77,6 +78,12 @@
         self.view = None
         self.followers = {}
 
+    @property
+    def _led_view(self) -> View:
+        if self.view is None:
+            raise NotLeadingError("this core leads no view")
+        return self.view
+
     def pump(self, now: float) -> None:
         """Send to the disk and to each follower what it lacks."""
         if self.view is None:
@@ -118,7 +125,7 @@
     def record_contact(self, follower: Follower, disk: MemberDisk, now: float) -> None:
         """Record contact; a follower in sync with another disk has lost the old one."""
         follower.last_contact_at = now
-        if follower.in_sync and not self.view.has(disk):
+        if follower.in_sync and not self._led_view.has(disk):
             follower.owing_since = now
             follower.allowed_s = 0.0
 
@@ -140,7 +147,7 @@
         if follower.sending or not (follower.in_sync or follower.reachable):
             return
         if follower.transfer is not None:
-            self._send_chunk(follower, now)
+            self._send_chunk(follower, follower.transfer, now)
         elif not follower.started:
             self._send_start(follower, now)
         elif follower.acknowledged < self._store.last.sequence:
@@ -149,7 +156,7 @@
     def _send_start(self, follower: Follower, now: float) -> None:
         log = self._store.log
         request = wire.StartViewRequest(
-            view=view_to_wire(self.view),
+            view=view_to_wire(self._led_view),
             base=position_to_wire(log.base),
             runs=runs_to_wire(log.runs()),
             last=position_to_wire(log.last),
@@ -178,7 +185,7 @@
             return
         entries = _batch(log.after(follower.acknowledged))
         request = wire.AppendRequest(
-            epoch=self.view.epoch,
+            epoch=self._led_view.epoch,
             previous=position_to_wire(previous),
             entries=entries,
             committed=self._store.committed,
@@ -198,26 +205,19 @@
         self._progressed(follower, now)
         return True
 
-    def _send_chunk(self, follower: Follower, now: float) -> None:
-        transfer = follower.transfer
+    def _send_chunk(self, follower: Follower, transfer: SnapshotTransfer, now: float) -> None:
         request = wire.SnapshotPartRequest(
-            epoch=self.view.epoch,
+            epoch=self._led_view.epoch,
             position=position_to_wire(transfer.position),
             index=transfer.next_index,
             parts=len(transfer.chunks),
             record=transfer.chunks[transfer.next_index],
         )
-        self._send(follower, request, REPLICATION_DEADLINE_S, self._on_chunk, now)
 
-    def _on_chunk(self, follower: Follower, answer: wire.SnapshotPartAnswer, now: float) -> bool:
-        transfer = follower.transfer
-        if not answer.ok:
-            follower.transfer = None
-            return False
-        transfer.next_index += 1
-        if transfer.next_index == len(transfer.chunks):
-            follower.transfer = None
-        return True
+        def on_answer(follower: Follower, answer: wire.SnapshotPartAnswer, now: float) -> bool:
+            return _take_chunk_answer(follower, transfer, answer)
+
+        self._send(follower, request, REPLICATION_DEADLINE_S, on_answer, now)
 
     def _progressed(self, follower: Follower, now: float) -> None:
         follower.last_contact_at = now
@@ -229,16 +229,16 @@
         follower: Follower,
         request: object,
         deadline_s: float,
-        on_answer: Callable[[Follower, object, float], bool],
+        on_answer: Callable[[Follower, Any, float], bool],
         now: float,
     ) -> None:
         """Send; ``on_answer`` returns whether to go on at once, else the next tick does."""
-        view = self.view
+        view = self._led_view
         follower.sending = True
         if follower.owing_since is None:
             follower.owing_since = now
 
-        def answered(answer: object, now: float) -> None:
+        def answered(answer: Any, now: float) -> None:
             if self.view is not view:
                 return
             follower.sending = False
@@ -259,6 +259,19 @@
         self._outbox.call(address, request, deadline_s, answered, failed, not_after)
 
 
+def _take_chunk_answer(
+    follower: Follower, transfer: SnapshotTransfer, answer: wire.SnapshotPartAnswer
+) -> bool:
+    """Go on with the next chunk; return whether the transfer goes on."""
+    if not answer.ok:
+        follower.transfer = None
+        return False
+    transfer.next_index += 1
+    if transfer.next_index == len(transfer.chunks):
+        follower.transfer = None
+    return True
+
+
 def _batch(entries: Iterable[wire.LogEntry]) -> list[wire.LogEntry]:
     """Return the first entries that fit one message, at least one."""
     batch: list[wire.LogEntry] = []
--- a/rooklug/core/types.py
+++ b/rooklug/core/types.py
@@ -3,6 +3,10 @@
 import attrs
 
 
+class NotLeadingError(Exception):
+    """A step that only the primary of a view makes was begun by a core that leads none."""
+
+
 @attrs.frozen(order=True, cache_hash=True)
 class MemberDisk:
     """One incarnation of one core's disk; a lost or wiped disk comes back with a new id."""
--- a/rooklug/core/view_change.py
+++ b/rooklug/core/view_change.py
@@ -135,7 +135,7 @@
         else:
             self._propose_if_ready(current, now)
 
-    def _prepare(self, current: Proposal, core_id: str, joining: bool = False) -> None:
+    def _prepare(self, current: Proposal, core_id: str, *, joining: bool = False) -> None:
         current.requested.add(core_id)
         request = wire.PrepareRequest(
             proposer=disk_to_wire(self._witness.state.own),
@@ -188,14 +188,20 @@
             current.own_promise_requested = True
             current.majority_at = now
             self._witness.promise_to_self(
-                current.epoch, now, lambda granted, now: self._on_own_promise(current, granted, now)
+                current.epoch,
+                now,
+                lambda now: self._on_own_promise(current, now),
+                lambda now: self._on_own_refusal(current, now),
             )
 
-    def _on_own_promise(self, current: Proposal, granted: bool, now: float) -> None:
+    def _on_own_refusal(self, current: Proposal, now: float) -> None:
+        self._fail(current, "its own witness refused", now)
+
+    def _on_own_promise(self, current: Proposal, now: float) -> None:
         if self.proposal is not current:
             return
-        if not granted or self._witness.state.promised_epoch != current.epoch:
-            self._fail(current, "its own witness refused", now)
+        if self._witness.state.promised_epoch != current.epoch:
+            self._on_own_refusal(current, now)
             return
         state = self._witness.state
         current.own = Promise(state.own, state.view, self._last())
@@ -217,13 +223,13 @@
             return
         all_answered = current.answered | current.excluded >= current.requested
         if all_answered or now >= current.majority_at + current.grace_s:
-            self._propose(current, now)
+            self._propose(current, current.own, now)
 
-    def _propose(self, current: Proposal, now: float) -> None:
+    def _propose(self, current: Proposal, own: Promise, now: float) -> None:
         others = [current.promises[core_id] for core_id in sorted(current.promises)]
         view = choose_view(
             current.epoch,
-            current.own,
+            own,
             others,
             current.excluded,
             current.change,
@@ -232,39 +238,41 @@
         if view is None:
             self._fail(current, "this disk isn't in sync in the newest view", now)
             return
-        latest = newest_view(current.own, others)
+        latest = newest_view(own, others)
         current.electorates = [*self._peers.electorates(latest), *self._peers.electorates(view)]
         current.phase = Phase.ACCEPT
         current.view = view
         current.accept_sent_at = now
-        voters = [current.own.voter, *(promise.voter for promise in others)]
+        voters = [own.voter, *(promise.voter for promise in others)]
         request = wire.AcceptRequest(
-            proposer=disk_to_wire(current.own.voter),
+            proposer=disk_to_wire(own.voter),
             view=view_to_wire(view),
             promises=[disk_to_wire(voter) for voter in voters],
         )
         self._witness.accept_from_self(
-            view, voters, now, lambda now: self._on_accepted(current, self._peers.own_id, now)
+            view, voters, now, lambda now: self._on_accepted(current, view, self._peers.own_id, now)
         )
         for core_id in sorted(current.promises):
-            self._send_accept(current, core_id, request)
+            self._send_accept(current, view, core_id, request)
 
-    def _send_accept(self, current: Proposal, core_id: str, request: wire.AcceptRequest) -> None:
+    def _send_accept(
+        self, current: Proposal, view: View, core_id: str, request: wire.AcceptRequest
+    ) -> None:
         def on_answer(answer: wire.AcceptAnswer, now: float) -> None:
             self.saw_epoch(answer.promised_epoch)
             if answer.accepted:
-                self._on_accepted(current, core_id, now)
+                self._on_accepted(current, view, core_id, now)
 
         self._outbox.call(self._peers.address(core_id), request, MESSAGE_DEADLINE_S, on_answer)
 
-    def _on_accepted(self, current: Proposal, core_id: str, now: float) -> None:
+    def _on_accepted(self, current: Proposal, view: View, core_id: str, now: float) -> None:
         if self.proposal is not current:
             return
         current.accepted.add(core_id)
         own = self._peers.own_id in current.accepted
         if own and has_quorum(current.accepted, current.electorates):
             self.proposal = None
-            self._on_chosen(current.view, current.accept_sent_at, now)
+            self._on_chosen(view, current.accept_sent_at, now)
 
     def _fail(self, current: Proposal, reason: str, now: float) -> None:
         if self.proposal is current:
--- a/rooklug/core/witness.py
+++ b/rooklug/core/witness.py
@@ -80,13 +80,15 @@
         """Return whether a promise to ``proposer`` could break another primary's lease."""
         return proposer != self.supported_primary and now < self.last_heartbeat_at + LEASE_GUARD_S
 
-    def promise_to_self(self, epoch: int, now: float, then: Callable[[bool, float], None]) -> None:
+    def promise_to_self(
+        self, epoch: int, now: float, on_granted: Continuation, on_refused: Continuation
+    ) -> None:
         """Promise to this core's own proposal, by the same rules as to others."""
         state = witness_rules.promise(self.state, epoch, self.state.own)
         if state is None or self.blocks_promise_to(self.state.own, now):
-            then(False, now)
-            return
-        self.save(state, now, lambda now: then(True, now))
+            on_refused(now)
+        else:
+            self.save(state, now, on_granted)
 
     def accept_from_self(
         self, view: View, promises: list[MemberDisk], now: float, then: Continuation
@@ -103,7 +105,7 @@
         rule = witness_rules.promise_to_join if request.joining else witness_rules.promise
         state = rule(self.state, request.epoch, proposer)
         if state is None or self.blocks_promise_to(proposer, now):
-            self._outbox.answer(call_id, self._prepare_answer(False))
+            self._outbox.answer(call_id, self._prepare_answer(granted=False))
             return
         self.save(state, now, lambda now: self._answer_prepare(call_id, request.epoch))
 
@@ -114,19 +116,23 @@
         view = view_from_wire(request.view)
         state = witness_rules.accept(self.state, proposer, view, promises)
         if state is None:
-            self._outbox.answer(call_id, self._accept_answer(False))
+            self._outbox.answer(call_id, self._accept_answer(accepted=False))
             return
         self.record_heartbeat(proposer, view.epoch, now)
-        self.save(state, now, lambda now: self._outbox.answer(call_id, self._accept_answer(True)))
+        self.save(
+            state, now, lambda now: self._outbox.answer(call_id, self._accept_answer(accepted=True))
+        )
 
     def on_read(self, call_id: int, request: wire.ReadWitnessRequest, now: float) -> None:
         """Answer a core that lost its disk, after its new disk is registered."""
         state = witness_rules.register(self.state, disk_from_wire(request.reader))
         if state is None:
-            self._outbox.answer(call_id, self._read_answer(False))
+            self._outbox.answer(call_id, self._read_answer(registered=False))
             return
         self._release_if_replaced(disk_from_wire(request.reader), now)
-        self.save(state, now, lambda now: self._outbox.answer(call_id, self._read_answer(True)))
+        self.save(
+            state, now, lambda now: self._outbox.answer(call_id, self._read_answer(registered=True))
+        )
 
     def _release_if_replaced(self, reader: MemberDisk, now: float) -> None:
         """A primary that comes back with another disk has no lease any more."""
@@ -174,9 +180,11 @@
             self.last_heartbeat_at = now - LEASE_GUARD_S
 
     def _answer_prepare(self, call_id: int, epoch: int) -> None:
-        self._outbox.answer(call_id, self._prepare_answer(self.state.promised_epoch == epoch))
+        self._outbox.answer(
+            call_id, self._prepare_answer(granted=self.state.promised_epoch == epoch)
+        )
 
-    def _prepare_answer(self, granted: bool) -> wire.PrepareAnswer:
+    def _prepare_answer(self, *, granted: bool) -> wire.PrepareAnswer:
         state = self.state
         return wire.PrepareAnswer(
             granted=granted,
@@ -187,10 +195,10 @@
             last=position_to_wire(self._last()),
         )
 
-    def _accept_answer(self, accepted: bool) -> wire.AcceptAnswer:
+    def _accept_answer(self, *, accepted: bool) -> wire.AcceptAnswer:
         return wire.AcceptAnswer(accepted=accepted, promised_epoch=self.state.promised_epoch)
 
-    def _read_answer(self, registered: bool) -> wire.ReadWitnessAnswer:
+    def _read_answer(self, *, registered: bool) -> wire.ReadWitnessAnswer:
         return wire.ReadWitnessAnswer(
             registered=registered,
             state=witness_to_wire(self.state),
--- a/rooklug/distribution/core_link.py
+++ b/rooklug/distribution/core_link.py
@@ -97,7 +97,7 @@
 
     # What others request -----------------------------------------------------------------
 
-    def set_ready(self, ready: bool) -> list[fx.Effect]:
+    def set_ready(self, ready: bool) -> list[fx.Effect]:  # noqa: FBT001 - a setter
         """Say whether this node serves.
 
         The next renewal carries it; the effects, if the caller emits them, send one at once.
@@ -106,7 +106,7 @@
         self._renewing.ready = ready
         return [EmitEvent(RenewSoon())] if changed else []
 
-    def set_draining(self, draining: bool) -> list[fx.Effect]:
+    def set_draining(self, draining: bool) -> list[fx.Effect]:  # noqa: FBT001 - a setter
         """Say whether this node is draining; the effects are as those of ``set_ready``."""
         changed = draining != self._renewing.draining
         self._renewing.draining = draining
--- a/rooklug/distribution/lease_renewal.py
+++ b/rooklug/distribution/lease_renewal.py
@@ -3,7 +3,7 @@
 import attrs
 
 from rooklug.distribution.link_events import LeaseReleased
-from rooklug.distribution.link_state import EXPIRY_TIMER, RENEW_TIMER, LinkState, SentCall
+from rooklug.distribution.link_state import EXPIRY_TIMER, RENEW_TIMER, LinkState, SentCall, ended
 from rooklug.distribution.timing import (
     LEAVE_ATTEMPTS,
     RENEW_SOON_S,
@@ -57,7 +57,7 @@
         if self._sent is not None:
             self._again = True
             return []
-        request = self.state.lease.request(self.record(), self.state.stopping, now)
+        request = self.state.lease.request(self.record(), now, releases=self.state.stopping)
         self._sent, call = self.state.call(request, RENEWAL_DEADLINE_S, now)
         return [call]
 
@@ -69,7 +69,7 @@
 
     def answered(self, answer: RenewLeaseAnswer, now: float) -> list[fx.Effect]:
         """Take the answer to the renewal in flight."""
-        sent, self._sent = self._sent, None
+        sent, self._sent = ended(self._sent), None
         lease, finder = self.state.lease, self.state.finder
         if not answer.granted or answer.epoch < lease.epoch:
             address = "" if answer.granted else answer.primary_address
@@ -84,11 +84,14 @@
         self._again = False
         effects = [self.grants_changed(now)] if changed else []
         effects += self.watch_grants(now)
-        return [*effects, fx.StartTimer(RENEW_TIMER, self._next_renewal(immediately, now))]
+        return [
+            *effects,
+            fx.StartTimer(RENEW_TIMER, self._next_renewal(now, immediately=immediately)),
+        ]
 
     def failed(self) -> list[fx.Effect]:
         """The renewal in flight got no answer."""
-        sent, self._sent = self._sent, None
+        sent, self._sent = ended(self._sent), None
         return self._unsuccessful(self.state.finder.failed(sent.address))
 
     def _unsuccessful(self, backoff_s: float) -> list[fx.Effect]:
@@ -99,7 +102,7 @@
             return [EmitEvent(LeaseReleased(confirmed=False))]
         return [fx.StartTimer(RENEW_TIMER, self.state.jittered_delay_s())]
 
-    def _next_renewal(self, immediately: bool, now: float) -> float:
+    def _next_renewal(self, now: float, *, immediately: bool) -> float:
         if immediately:
             return self.state.jittered_delay_s()
         jitter = 1.0 - RENEWAL_JITTER * self.state.context.random.random()
--- a/rooklug/distribution/link_state.py
+++ b/rooklug/distribution/link_state.py
@@ -29,6 +29,23 @@
     epoch: int
 
 
+class NoCallInFlightError(Exception):
+    """An answer was handled by a module that has no call in flight."""
+
+
+def ended(sent: SentCall | None) -> SentCall:
+    """Return the call that has ended.
+
+    Raises
+    ------
+    NoCallInFlightError
+        There was none: a broken invariant of the core link.
+    """
+    if sent is None:
+        raise NoCallInFlightError("an answer without a call")
+    return sent
+
+
 @attrs.define
 class LinkState:
     """What the node knows of the core and has from it; ``stopping``: it releases its lease."""
--- a/rooklug/distribution/node_lease.py
+++ b/rooklug/distribution/node_lease.py
@@ -67,7 +67,7 @@
         self.until = 0.0
         return had_grants
 
-    def request(self, node: NodeRecord, releases: bool, now: float) -> RenewLeaseRequest:
+    def request(self, node: NodeRecord, now: float, *, releases: bool) -> RenewLeaseRequest:
         """Return the next renewal; the lease that it brings counts from ``now``.
 
         ``releases``: the node gives its lease back instead of renewing it.
--- a/rooklug/distribution/polling.py
+++ b/rooklug/distribution/polling.py
@@ -4,7 +4,7 @@
 
 from rooklug.distribution.document_delta import apply_delta
 from rooklug.distribution.link_events import RenewSoon
-from rooklug.distribution.link_state import POLL_TIMER, LinkState, SentCall
+from rooklug.distribution.link_state import POLL_TIMER, LinkState, SentCall, ended
 from rooklug.distribution.subscribed_topics import PendingDelta, RejectedUpdate, TakenUpdate
 from rooklug.distribution.timing import POLL_OVERDUE_S
 from rooklug.engine import effects as fx
@@ -55,12 +55,12 @@
 
     def failed(self) -> list[fx.Effect]:
         """The poll in flight got no answer."""
-        sent, self._sent = self._sent, None
+        sent, self._sent = ended(self._sent), None
         return [fx.StartTimer(POLL_TIMER, self.state.finder.failed(sent.address))]
 
     def answered(self, answer: PollAnswer, now: float) -> list[fx.Effect]:
         """Take the answer to the poll in flight."""
-        sent, self._sent = self._sent, None
+        sent, self._sent = ended(self._sent), None
         finder = self.state.finder
         if not answer.primary_reachable or answer.epoch < self.state.lease.epoch:
             address = "" if answer.primary_reachable else answer.primary_address
--- a/rooklug/distribution/subscribed_topics.py
+++ b/rooklug/distribution/subscribed_topics.py
@@ -23,7 +23,7 @@
 )
 from rooklug.wire.packing import decode_packed
 
-BODY_TYPES = {
+BODY_TYPES: dict[str, type[Any]] = {
     CONFIGURATION: ConfigurationBody,
     ZONES: ZonesBody,
     MEMBERS: MembersBody,
@@ -31,7 +31,7 @@
     PLAN: PlanBody,
 }
 
-DELTA_TYPES = {CONFIGURATION: ConfigurationBody, MEMBERS: MembersDelta}
+DELTA_TYPES: dict[str, type[Any]] = {CONFIGURATION: ConfigurationBody, MEMBERS: MembersDelta}
 """The structs that deltas are encoded in; other topics have no deltas."""
 
 
--- a/rooklug/engine/component.py
+++ b/rooklug/engine/component.py
@@ -47,12 +47,23 @@
         Types of internal events that it receives, subclasses included.
     """
 
-    name: str
-    http_prefixes: tuple[str, ...]
-    http_listeners: tuple[str, ...]
-    head_first_paths: tuple[str, ...]
-    call_types: tuple[type, ...]
-    subscribes_to: tuple[type, ...]
+    @property
+    def name(self) -> str: ...  # noqa: D102 - the attributes are described above
+
+    @property
+    def http_prefixes(self) -> tuple[str, ...]: ...  # noqa: D102
+
+    @property
+    def http_listeners(self) -> tuple[str, ...]: ...  # noqa: D102
+
+    @property
+    def head_first_paths(self) -> tuple[str, ...]: ...  # noqa: D102
+
+    @property
+    def call_types(self) -> tuple[type, ...]: ...  # noqa: D102
+
+    @property
+    def subscribes_to(self) -> tuple[type, ...]: ...  # noqa: D102
 
     def handle(self, event: ev.Event, now: float) -> list[fx.Effect]:
         """Take one event at monotonic time ``now`` (seconds), return effects in order."""
--- a/rooklug/engine/reducer.py
+++ b/rooklug/engine/reducer.py
@@ -1,6 +1,6 @@
 """The contract between a role and the runtime that drives it."""
 
-from collections.abc import Iterable
+from collections.abc import Callable, Iterable
 from itertools import count
 from random import Random
 from typing import Protocol
@@ -13,7 +13,7 @@
 
 @attrs.frozen
 class MetricSample:
-    """One figure for ``GET /metrics``. ``kind`` is "counter" or "gauge"."""
+    """One sample for ``GET /metrics``. ``kind`` is "counter" or "gauge"."""
 
     name: str
     value: float
@@ -36,13 +36,13 @@
         ...
 
     def metrics(self, now: float) -> Iterable[MetricSample]:
-        """Figures of this moment; called from the same task as ``handle``."""
+        """Return the metric samples of this moment; called from the same task as ``handle``."""
         ...
 
 
 @attrs.define
 class Identifiers:
-    """Issues call ids and tickets, unique in one process and shared by its parts."""
+    """Issues call ids and tickets, unique in one process and shared by its components."""
 
     _counter: count = attrs.field(factory=lambda: count(1))
 
@@ -53,10 +53,13 @@
 
 @attrs.define
 class ProcessContext:
-    """What every reducer of a process is built with."""
+    """What every reducer of a process is built with.
+
+    ``wall_clock_ms`` (milliseconds since 1970) is for display only: no decision rests on it.
+    """
 
     node_id: str
     incarnation: str
     random: Random
     identifiers: Identifiers
-    wall_clock_ms: "callable" = attrs.field(default=lambda: 0)
+    wall_clock_ms: Callable[[], int] = attrs.field(default=lambda: 0)
--- a/rooklug/front/executor_metrics.py
+++ b/rooklug/front/executor_metrics.py
@@ -41,16 +41,16 @@
             MetricSample(f"front_requests_{name}_total", value, "counter", text)
             for name, (value, text) in named.items()
         ]
-        for code in sorted(self.refusals):
-            samples.append(
-                MetricSample(
-                    "front_requests_refused_total",
-                    self.refusals[code],
-                    "counter",
-                    "Requests refused and not run.",
-                    {"code": code},
-                )
+        samples.extend(
+            MetricSample(
+                "front_requests_refused_total",
+                self.refusals[code],
+                "counter",
+                "Requests refused and not run.",
+                {"code": code},
             )
+            for code in sorted(self.refusals)
+        )
         for name, value in gauges.items():
             text = f"Requests {name} now."
             samples.append(MetricSample(f"front_requests_{name}", value, "gauge", text))
--- a/rooklug/gateway/patching.py
+++ b/rooklug/gateway/patching.py
@@ -28,10 +28,8 @@
 
 
 def _patched(base: dict[str, Any], patch: dict[str, Any]) -> dict[str, Any]:
-    result = dict(base)
-    for field, value in patch.items():
-        if field not in ("upsert", "remove"):
-            result[field] = value
+    replaced = {field: value for field, value in patch.items() if field not in ("upsert", "remove")}
+    result = {**base, **replaced}
     for field, names in (patch.get("remove") or {}).items():
         gone = set(names)
         result[field] = [item for item in result.get(field, []) if item.get("name") not in gone]
--- a/rooklug/membership/configuration_topic.py
+++ b/rooklug/membership/configuration_topic.py
@@ -64,12 +64,13 @@
         if now < self._next_at:
             self._stage = _Stage.BATCH
             return [fx.StartTimer(PUBLISH_CONFIGURATION, self._next_at - now)]
-        self._in_work, self._pending = self._pending, None
+        event, self._pending = self._pending, None
+        self._in_work = event
         self._next_at = now + CONFIGURATION_BATCH_S
-        document = self._in_work.body.document
+        document = event.body.document
         self._bases = tuple(self._published) if len(document) >= MIN_DOCUMENT_BYTES else ()
         if not self._bases:
-            self._publish(())
+            self._publish(event, ())
             return []
         self._stage = _Stage.DELTAS
         self._ticket = self.identifiers.next()
@@ -81,11 +82,11 @@
         if event.ticket != self._ticket or self._in_work is None:
             return []
         patches = (None,) * len(self._bases) if event.error else event.result
-        self._publish(patches)
+        self._publish(self._in_work, patches)
         return self.advance(now)
 
-    def _publish(self, patches: tuple[bytes | None, ...]) -> None:
-        event, self._in_work = self._in_work, None
+    def _publish(self, event: ConfigurationCommitted, patches: tuple[bytes | None, ...]) -> None:
+        self._in_work = None
         deltas = tuple(
             _delta(base, event, patch)
             for base, patch in zip(self._bases, patches, strict=False)
--- a/rooklug/membership/decisions.py
+++ b/rooklug/membership/decisions.py
@@ -5,7 +5,7 @@
 """
 
 from collections import deque
-from collections.abc import Iterable
+from collections.abc import Callable, Iterable
 
 import attrs
 
@@ -61,7 +61,7 @@
     def __len__(self) -> int:
         return len(self._entries)
 
-    def append(self, records: Iterable[DecisionRecord], announced_again: bool) -> bool:
+    def append(self, records: Iterable[DecisionRecord], *, announced_again: bool) -> bool:
         """Add the decisions that are not there yet; tell whether there were any.
 
         ``announced_again``: their place among those of other owners is not known.
@@ -162,7 +162,7 @@
         self._readers.clear()
         return calls
 
-    def _answer(self, now: float, ready) -> list[DecisionReply]:
+    def _answer(self, now: float, ready: Callable[[_Reader], bool]) -> list[DecisionReply]:
         answered = [reader for reader in self._readers if ready(reader)]
         self._readers = deque(reader for reader in self._readers if reader not in answered)
         return [self._reply(reader, now) for reader in answered]
@@ -170,7 +170,7 @@
     def _reply(self, reader: _Reader, now: float) -> DecisionReply:
         if self._can_answer(reader.cursor, now):
             return DecisionReply(reader.call_id, self.ring.after(reader.cursor))
-        return DecisionReply(reader.call_id, DecisionPage([], False))
+        return DecisionReply(reader.call_id, DecisionPage([], gap=False))
 
     def _has_page(self, cursor: Cursor, now: float) -> bool:
         return self._can_answer(cursor, now) and bool(self.ring.after(cursor).decisions)
--- a/rooklug/membership/lease_service.py
+++ b/rooklug/membership/lease_service.py
@@ -26,17 +26,17 @@
         """Answer a renewal with the complete set of roles that the node may hold."""
         state, request = self.state, event.request
         if not state.acts(now):
-            return [fx.Answer(event.call_id, state.renewal_answer(False, 0, [], now))]
+            return [fx.Answer(event.call_id, state.renewal_refusal(now))]
         if request.leaving:
             return self._leave(event.call_id, request, now)
         outcome = state.leases.renew(request, now)
         if outcome is RenewalOutcome.LATE:
-            return [fx.Answer(event.call_id, state.renewal_answer(False, 0, [], now))]
+            return [fx.Answer(event.call_id, state.renewal_refusal(now))]
         state.roles.take_renewal(request, now)
         if outcome is RenewalOutcome.CHANGED:
             state.roles.plan(state.leases.live(), state.drained_zones, now)
         grants, owners_changed = state.roles.grants_for(request, now)
-        answer = state.renewal_answer(True, _LEASE_MS, grants, now)
+        answer = state.renewal_grant(_LEASE_MS, grants, now)
         effects: list[fx.Effect] = [fx.Answer(event.call_id, answer)]
         if outcome is RenewalOutcome.CHANGED or owners_changed:
             effects += self.members_changed(now)
@@ -46,7 +46,7 @@
         state = self.state
         state.roles.take_leave(request, now)
         state.leases.leave(identity_of(request.node))
-        answer = state.renewal_answer(True, 0, [], now)
+        answer = state.renewal_grant(0, [], now)
         effects = [fx.Answer(call_id, answer), *state.move_roles(now)]
         return effects + self.members_changed(now)
 
--- a/rooklug/membership/members_topic.py
+++ b/rooklug/membership/members_topic.py
@@ -43,8 +43,8 @@
         for state in roles.states()
         if state.owner is not None and state.owner.node_id in addresses
     ]
-    addresses = list(core_addresses) or None
-    return MembersBody(nodes=nodes, role_owners=owners, core_addresses=addresses)
+    cores = list(core_addresses) or None
+    return MembersBody(nodes=nodes, role_owners=owners, core_addresses=cores)
 
 
 @attrs.frozen
--- a/rooklug/membership/membership_component.py
+++ b/rooklug/membership/membership_component.py
@@ -1,6 +1,7 @@
 """The core's component that keeps leases and roles, and serves the topics by long poll."""
 
-from collections.abc import Iterable
+from collections.abc import Callable, Iterable
+from typing import Any
 
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
@@ -54,7 +55,7 @@
         self.configuration = ConfigurationTopic(self.state.store, context.identifiers)
         self.publications = Publications(self.state.store, self.state.roles)
         self._status = _initial_status(context.node_id)
-        self._handlers = {
+        self._handlers: dict[type, Callable[[Any, float], list[fx.Effect]]] = {
             ttypes.RenewLeaseRequest: self.leases.renew,
             ttypes.PollRequest: self._poll,
             ttypes.PublishRequest: self._publish,
@@ -71,7 +72,7 @@
             internal.CoresChanged: self._take_cores,
             ev.Computed: self._computed,
         }
-        self._timers = {
+        self._timers: dict[str, Callable[[float], list[fx.Effect]]] = {
             _TICK: self._tick,
             PUBLISH_MEMBERS: self.leases.publish_members,
             PUBLISH_EARLY: self.leases.publish_early,
@@ -191,16 +192,19 @@
 
     def _publish(self, event: ev.CallArrived, now: float) -> list[fx.Effect]:
         state = self.state
-        refusal = PublishRefusal.NOT_PRIMARY
+        refusal: PublishRefusal | None = PublishRefusal.NOT_PRIMARY
         if state.acts(now):
             refusal = self.publications.publish(event.request, now)
         address = state.primary.address(now)
         if refusal is not None:
-            answer = ttypes.PublishAnswer(False, refusal.value, address)
+            answer = ttypes.PublishAnswer(
+                accepted=False, reason=refusal.value, primary_address=address
+            )
             return [fx.Answer(event.call_id, answer)]
+        accepted = ttypes.PublishAnswer(accepted=True, reason="", primary_address=address)
         replies = state.decisions.append(event.request.decisions, now)
         return [
-            fx.Answer(event.call_id, ttypes.PublishAnswer(True, "", address)),
+            fx.Answer(event.call_id, accepted),
             *state.wake(now),
             *state.decision_answers(replies, now),
         ]
--- a/rooklug/membership/membership_state.py
+++ b/rooklug/membership/membership_state.py
@@ -43,10 +43,19 @@
         nodes = self.roles.nodes_to_renew(now)
         return self.poll_answers(self.polls.request_renewal(nodes), now) if nodes else []
 
-    def renewal_answer(
-        self, granted: bool, lease_ms: int, grants: list[ttypes.RoleGrant], now: float
+    def renewal_refusal(self, now: float) -> ttypes.RenewLeaseAnswer:
+        """Return the answer to a renewal that brings no lease."""
+        return self._renewal_answer(0, [], now, granted=False)
+
+    def renewal_grant(
+        self, lease_ms: int, grants: list[ttypes.RoleGrant], now: float
+    ) -> ttypes.RenewLeaseAnswer:
+        """Return the answer to a renewal with its lease, and the roles that the node owns."""
+        return self._renewal_answer(lease_ms, grants, now, granted=True)
+
+    def _renewal_answer(
+        self, lease_ms: int, grants: list[ttypes.RoleGrant], now: float, *, granted: bool
     ) -> ttypes.RenewLeaseAnswer:
-        """Return the answer to a renewal."""
         return ttypes.RenewLeaseAnswer(
             granted=granted,
             lease_ms=lease_ms,
@@ -78,14 +87,21 @@
         return [
             fx.Answer(
                 reply.call_id,
-                ttypes.ReadDecisionsAnswer(reply.page.decisions, address, True, reply.page.gap),
+                ttypes.ReadDecisionsAnswer(
+                    decisions=reply.page.decisions,
+                    primary_address=address,
+                    ok=True,
+                    gap=reply.page.gap,
+                ),
             )
             for reply in replies
         ]
 
     def decisions_refused(self, call_id: int, now: float) -> fx.Effect:
         """Return the answer to a read of decisions where there are none."""
-        answer = ttypes.ReadDecisionsAnswer([], self.primary.address(now), False, False)
+        answer = ttypes.ReadDecisionsAnswer(
+            decisions=[], primary_address=self.primary.address(now), ok=False, gap=False
+        )
         return fx.Answer(call_id, answer)
 
     def release_all(self, now: float) -> list[fx.Effect]:
--- a/rooklug/membership/role_planning.py
+++ b/rooklug/membership/role_planning.py
@@ -73,6 +73,7 @@
     states: Sequence[RoleState],
     members: Sequence[NodeRecord],
     drained_zones: frozenset[str],
+    *,
     rebalance: bool,
 ) -> None:
     """Choose nodes for the roles of one group among its live ``members``.
--- a/rooklug/membership/roles.py
+++ b/rooklug/membership/roles.py
@@ -181,4 +181,4 @@
             self._next_rebalance = now + REBALANCE_INTERVAL_S
         for group, states in self._groups.items():
             members = [node for node in nodes if node.role == group]
-            plan_group(states, members, drained_zones, rebalance)
+            plan_group(states, members, drained_zones, rebalance=rebalance)
--- a/rooklug/membership/selection.py
+++ b/rooklug/membership/selection.py
@@ -19,15 +19,15 @@
 class Load:
     """How many keys of a group each node and each zone has."""
 
-    by_node: Counter
-    by_zone: Counter
+    by_node: Counter[str]
+    by_zone: Counter[str]
 
     @classmethod
     def of(cls, owners: Iterable[str], nodes: Sequence[NodeRecord]) -> "Load":
         """Count ``owners`` (a node id for each key) over ``nodes``."""
         zones = {node.node_id: node.zone for node in nodes}
         by_node = Counter(owner for owner in owners if owner in zones)
-        by_zone = Counter()
+        by_zone: Counter[str] = Counter()
         for node_id, keys in by_node.items():
             by_zone[zones[node_id]] += keys
         return cls(by_node, by_zone)
--- a/rooklug/placement/exhaustive.py
+++ b/rooklug/placement/exhaustive.py
@@ -49,7 +49,7 @@
             elif name in slot.loaded_models:
                 total += cost.UNLOAD_SHARE * units
     for name in problem.models:
-        counts = {region: 0 for region in problem.regions}
+        counts = dict.fromkeys(problem.regions, 0)
         for slot, models in zip(problem.slots, placement, strict=True):
             counts[slot.region] += name in models
         state = (name, counts["east"], counts["west"])
--- a/rooklug/placement/program.py
+++ b/rooklug/placement/program.py
@@ -127,7 +127,7 @@
                 stations[place_key] = Station(commodity.model, capacity)
             trip = next(place.round_trip_ms for place in commodity.reach if place.region == region)
             stations[place_key].arriving.append(Arrival(column, trip))
-        units = {name: 0.0 for name in self.problem.models}
+        units = dict.fromkeys(self.problem.models, 0.0)
         for place, count in counts.items():
             units[place.model] += count * self.units[place]
         costs = {name: unit_cost(spec) for name, spec in self.problem.models.items()}
@@ -268,8 +268,10 @@
         entries = []
         for region in regions:
             usable = usable_share(self.problem.regions[region])
-            for place in self._places_of.get((model, region), ()):
-                entries.append((self.replicas[place], usable * self._rate(place)))
+            entries.extend(
+                (self.replicas[place], usable * self._rate(place))
+                for place in self._places_of.get((model, region), ())
+            )
         return entries
 
     def _domains(self, regions: tuple[str, ...]) -> int:
--- a/rooklug/runtime/addresses.py
+++ b/rooklug/runtime/addresses.py
@@ -2,6 +2,7 @@
 
 import asyncio
 import socket
+from typing import TypeVar
 
 from tornado.iostream import IOStream, StreamClosedError
 
@@ -9,6 +10,8 @@
 _IP_BIND_ADDRESS_NO_PORT = 24
 _LARGEST_PORT = 65535
 
+Stream = TypeVar("Stream", bound=IOStream)
+
 
 class ConnectError(Exception):
     """The connection was never established: no byte of the request was written."""
@@ -41,8 +44,8 @@
     address: str,
     bind_ip: str,
     timeout_s: float,
-    stream_class: type[IOStream] = IOStream,
-) -> IOStream:
+    stream_class: type[Stream] = IOStream,  # type: ignore[assignment]
+) -> Stream:
     """Connect to ``address`` from ``bind_ip`` ("" for any).
 
     Raises
@@ -59,12 +62,12 @@
     except (ValueError, OSError) as problem:
         connecting.close()
         raise ConnectError(f"{address}: {problem}") from problem
-    connecting.setblocking(False)
+    connecting.setblocking(False)  # noqa: FBT003 - the library's signature
     stream = stream_class(connecting)
     return await _connected(stream, ip, port, timeout_s)
 
 
-async def _connected(stream: IOStream, ip: str, port: int, timeout_s: float) -> IOStream:
+async def _connected(stream: Stream, ip: str, port: int, timeout_s: float) -> Stream:
     try:
         await asyncio.wait_for(stream.connect((ip, port)), timeout_s)
         if stream.closed():
--- a/rooklug/runtime/disk.py
+++ b/rooklug/runtime/disk.py
@@ -33,6 +33,7 @@
         loop: asyncio.AbstractEventLoop,
         folder: DataFolder | None,
         deliver: Callable[[Event], None],
+        *,
         memory_only: bool = False,
     ) -> None:
         self._memory_only = memory_only
@@ -41,7 +42,7 @@
         self._deliver = deliver
         self._jobs: queue.SimpleQueue[_Job | None] = queue.SimpleQueue()
         self._closed: asyncio.Future = loop.create_future()
-        self._thread = threading.Thread(target=self._run, name="disk", daemon=True)
+        self._thread = threading.Thread(target=self._run, args=(folder,), name="disk", daemon=True)
         if folder is not None:
             self._thread.start()
 
@@ -67,12 +68,12 @@
         done, _ = await asyncio.wait([self._closed], timeout=limit_s)
         return bool(done)
 
-    def _run(self) -> None:
+    def _run(self, folder: DataFolder) -> None:
         while True:
             jobs = self._queued_jobs()
-            self._execute([job for job in jobs if job is not None])
+            self._execute(folder, [job for job in jobs if job is not None])
             if None in jobs:
-                self._folder.close()
+                folder.close()
                 self._call_in_loop(self._closed.set_result, None)
                 return
 
@@ -82,40 +83,40 @@
             jobs.append(self._jobs.get())
         return jobs
 
-    def _execute(self, jobs: list[_Job]) -> None:
+    def _execute(self, folder: DataFolder, jobs: list[_Job]) -> None:
         """Append all, each file synced once; a rewrite first syncs its file's appends."""
         appended: dict[str, list[_Job]] = {}
         for job in jobs:
             file = job.effect.file
             if isinstance(job.effect, RewriteFile):
-                self._sync(file, appended.pop(file, []))
-                self._rewrite(job)
-            elif self._append(job):
+                self._sync(folder, file, appended.pop(file, []))
+                self._rewrite(folder, job)
+            elif self._append(folder, job):
                 appended.setdefault(file, []).append(job)
         for file, file_jobs in appended.items():
-            self._sync(file, file_jobs)
+            self._sync(folder, file, file_jobs)
 
-    def _append(self, job: _Job) -> bool:
+    def _append(self, folder: DataFolder, job: _Job) -> bool:
         try:
-            self._folder.append(job.effect.file, job.effect.records)
+            folder.append(job.effect.file, job.effect.records)
         except OSError as problem:
             self._report(WriteFailed(job.effect.ticket, str(problem)))
             return False
         return True
 
-    def _rewrite(self, job: _Job) -> None:
+    def _rewrite(self, folder: DataFolder, job: _Job) -> None:
         try:
-            self._folder.rewrite(job.effect.file, job.effect.records)
+            folder.rewrite(job.effect.file, job.effect.records)
         except OSError as problem:
             self._report(WriteFailed(job.effect.ticket, str(problem)))
             return
         self._report_finished(job)
 
-    def _sync(self, file: str, jobs: list[_Job]) -> None:
+    def _sync(self, folder: DataFolder, file: str, jobs: list[_Job]) -> None:
         if not jobs:
             return
         try:
-            self._folder.sync(file)
+            folder.sync(file)
         except OSError as problem:
             for job in jobs:
                 self._report(WriteFailed(job.effect.ticket, str(problem)))
--- a/rooklug/runtime/host.py
+++ b/rooklug/runtime/host.py
@@ -256,7 +256,7 @@
 
     def _open_disk(self) -> FolderContents:
         if not self._data_folder:
-            self._disk = Disk(self._loop, None, self._deliver, self._memory_only)
+            self._disk = Disk(self._loop, None, self._deliver, memory_only=self._memory_only)
             return FolderContents("", "", {})
         opened = open_folder(self._data_folder, self._node_id)
         if opened.is_error():
--- a/rooklug/runtime/http_client.py
+++ b/rooklug/runtime/http_client.py
@@ -3,6 +3,7 @@
 import asyncio
 from collections.abc import Awaitable, Callable
 from http import HTTPMethod
+from typing import cast
 
 from tornado import httputil
 from tornado.http1connection import HTTP1Connection, HTTP1ConnectionParameters
@@ -19,6 +20,7 @@
 _MAX_HEADER_BYTES = 64 * 1024
 _READ_BYTES = 64 * 1024
 _NO_BODY_STATUSES = (204, 304)
+HTTP_OK = 200
 _HEAD_METHOD = HTTPMethod.HEAD.value
 
 Deliver = Callable[[ev.Event, Callable[[], bool]], Awaitable[None] | None]
@@ -83,10 +85,13 @@
     # What the connection reports -----------------------------------------
 
     def headers_received(
-        self, start_line: httputil.ResponseStartLine, headers: httputil.HTTPHeaders
+        self,
+        start_line: httputil.RequestStartLine | httputil.ResponseStartLine,
+        headers: httputil.HTTPHeaders,
     ) -> Awaitable[None] | None:
         """Take the answer's head."""
-        if start_line.code < 200:
+        start_line = cast(httputil.ResponseStartLine, start_line)
+        if start_line.code < HTTP_OK:
             return None
         self._send_state = ev.SendState.RESPONDING
         self._status = start_line.code
@@ -116,12 +121,13 @@
             or self.effect.method == _HEAD_METHOD
         )
         self._keep = self._keep and framed
-        self._complete = framed or (self._stream.closed() and self._stream.error is None)
+        stream = self._connected_stream
+        self._complete = framed or (stream.closed() and stream.error is None)
         if not self._complete:
             return
         self._end(self._success())
-        if self._stream.writing():  # answered before the whole request was sent
-            self._stream.close()
+        if stream.writing():  # answered before the request was sent completely
+            stream.close()
 
     def on_connection_close(self) -> None:
         """The connection ended within the message."""
@@ -130,32 +136,33 @@
 
     async def _attempt(self) -> None:
         effect = self.effect
-        self._stream = await self._client.pool.take(effect.address, effect.connect_deadline_s)
+        stream = await self._client.pool.take(effect.address, effect.connect_deadline_s)
+        self._stream = stream
         if self._is_too_late():
-            self._client.pool.give_back(effect.address, self._stream)
+            self._client.pool.give_back(effect.address, stream)
             self._end(self._failure("too late to be sent"))
             return
         try:
-            await self._exchange()
+            await self._exchange(stream)
         except (StreamClosedError, httputil.HTTPInputError, ValueError) as problem:
             self._fail(str(problem))
         self._end_exchange()
 
-    async def _exchange(self) -> None:
+    async def _exchange(self, stream: ClientStream) -> None:
         effect = self.effect
         bound = _UNBOUNDED if effect.streaming else MAX_ANSWER_BYTES
         parameters = HTTP1ConnectionParameters(
             max_header_size=_MAX_HEADER_BYTES, max_body_size=bound
         )
-        connection = _ClientConnection(self._stream, True, parameters)
+        connection = _ClientConnection(stream, is_client=True, params=parameters)
         headers = httputil.HTTPHeaders(effect.headers)
         headers.setdefault("host", effect.address)
         if effect.body or effect.method not in ("GET", _HEAD_METHOD):
             headers["content-length"] = str(len(effect.body))
         start_line = httputil.RequestStartLine(effect.method, effect.path, "HTTP/1.1")
-        if self._stream.closed():
+        if stream.closed():
             raise StreamClosedError
-        self._stream.set_nodelay(True)
+        stream.set_nodelay(True)
         self._send_state = ev.SendState.MAYBE_SENT
         connection.write_headers(start_line, headers, effect.body)
         connection.finish()
@@ -166,10 +173,16 @@
             self._fail("the connection ended before the answer did")
         elif self._keep and not self._cancelled:
             idle_s = keep_alive_s(self._headers.get("keep-alive", ""))
-            self._client.pool.give_back(self.effect.address, self._stream, idle_s)
+            self._client.pool.give_back(self.effect.address, self._connected_stream, idle_s)
         else:
             self._drop()
 
+    @property
+    def _connected_stream(self) -> ClientStream:
+        if self._stream is None:
+            raise ConnectError("the call has no connection")
+        return self._stream
+
     def _failure(self, reason: str) -> ev.Event:
         return ev.HttpFailed(self.effect.call_id, reason, self._send_state)
 
--- a/rooklug/runtime/http_exchange.py
+++ b/rooklug/runtime/http_exchange.py
@@ -6,10 +6,12 @@
 from collections import deque
 from collections.abc import Awaitable, Callable, Iterator
 from http.client import responses
+from typing import cast
 from urllib.parse import parse_qsl
 
 import attrs
 from tornado import httputil
+from tornado.http1connection import HTTP1Connection
 
 from rooklug.engine.events import Event, HttpRequestArrived, HttpRequestBody, HttpRequestClosed
 from rooklug.model.constants import MAX_REQUEST_BODY_BYTES
@@ -53,7 +55,7 @@
     """
 
     def __init__(
-        self, exchanges: OpenExchanges, connection: httputil.HTTPConnection, listener: str = ""
+        self, exchanges: OpenExchanges, connection: HTTP1Connection, listener: str = ""
     ) -> None:
         self._listener = listener
         self.unsent_bytes = 0
@@ -61,8 +63,8 @@
         self._exchanges = exchanges
         self._connection = connection
         self._request_id = 0
-        self._start: httputil.RequestStartLine | None = None
-        self._headers: httputil.HTTPHeaders | None = None
+        self._start: httputil.RequestStartLine  # both are set by headers_received
+        self._headers: httputil.HTTPHeaders
         self._body: list[bytes] = []
         self._body_bytes = 0
         self._head_first = False
@@ -79,10 +81,12 @@
     # What the connection reports -----------------------------------------
 
     def headers_received(
-        self, start_line: httputil.RequestStartLine, headers: httputil.HTTPHeaders
+        self,
+        start_line: httputil.RequestStartLine | httputil.ResponseStartLine,
+        headers: httputil.HTTPHeaders,
     ) -> Awaitable[None] | None:
         """Take the head; a withheld body is not read until this future is done."""
-        self._start = start_line
+        self._start = cast(httputil.RequestStartLine, start_line)
         self._headers = headers
         self._request_id = next(self._exchanges.identifiers)
         self._exchanges.by_request_id[self._request_id] = self
@@ -90,7 +94,7 @@
             self._body_wanted = asyncio.get_running_loop().create_future()
             self._refuse_large_body()
             return self._body_wanted
-        path = start_line.path.partition("?")[0]
+        path = self._start.path.partition("?")[0]
         if self._listener or not path.startswith(self._exchanges.head_first_paths):
             return None
         self._head_first = True
@@ -205,7 +209,7 @@
     def _is_chunked(self) -> bool:
         return "transfer-encoding" in self._headers
 
-    def _arrived(self, body: bytes, body_withheld: bool) -> HttpRequestArrived:
+    def _arrived(self, body: bytes, *, body_withheld: bool) -> HttpRequestArrived:
         path, _, query = self._start.path.partition("?")
         return HttpRequestArrived(
             request_id=self._request_id,
@@ -269,7 +273,7 @@
     def _close_exchange(self) -> bool:
         """Close the exchange; return whether it was still open."""
         self._release_waiters()
-        if self._ending and not self.written.done():
+        if self._ending and self.written is not None and not self.written.done():
             self.written.set_result(None)
         return self._exchanges.by_request_id.pop(self._request_id, None) is not None
 
--- a/rooklug/runtime/http_server.py
+++ b/rooklug/runtime/http_server.py
@@ -2,8 +2,10 @@
 
 import asyncio
 from collections.abc import Callable, Iterator
+from typing import Any, cast
 
 from tornado import httputil
+from tornado.http1connection import HTTP1Connection
 from tornado.httpserver import HTTPServer
 
 from rooklug.engine import effects as fx
@@ -16,6 +18,17 @@
 _MAX_HEADER_BYTES = 64 * 1024
 
 
+ServerEffect = (
+    fx.ReadRequestBody
+    | fx.HttpRespond
+    | fx.HttpStreamStart
+    | fx.HttpStreamChunk
+    | fx.HttpStreamEnd
+    | fx.HttpStreamAbort
+)
+"""An effect that an HTTP port executes."""
+
+
 class HttpPort(httputil.HTTPServerConnectionDelegate):
     """Accepts connections, and keeps the exchanges that are not answered yet."""
 
@@ -40,12 +53,12 @@
         self, server_conn: object, request_conn: httputil.HTTPConnection
     ) -> httputil.HTTPMessageDelegate:
         """Begin an exchange."""
-        return HttpExchange(self.exchanges, request_conn)
+        return HttpExchange(self.exchanges, cast(HTTP1Connection, request_conn))
 
     def on_close(self, server_conn: object) -> None:
         """A connection ended; its exchange has its own callback."""
 
-    def execute(self, effect: fx.Effect) -> None:
+    def execute(self, effect: ServerEffect) -> None:
         """Execute an answer's effect; those of a closed exchange are ignored."""
         exchange = self.exchanges.by_request_id.get(effect.request_id)
         if exchange is not None:
@@ -63,7 +76,8 @@
 
     async def flush(self, limit_s: float) -> None:
         """Wait until whole answers have been written, at most ``limit_s``."""
-        waiting = [exchange.written for exchange in self.exchanges.finishing]
+        written = [exchange.written for exchange in self.exchanges.finishing]
+        waiting = [future for future in written if future is not None]
         if waiting:
             await asyncio.wait(waiting, timeout=limit_s)
 
@@ -87,7 +101,7 @@
         self, server_conn: object, request_conn: httputil.HTTPConnection
     ) -> httputil.HTTPMessageDelegate:
         """Begin an exchange."""
-        return HttpExchange(self._exchanges, request_conn, self._name)
+        return HttpExchange(self._exchanges, cast(HTTP1Connection, request_conn), self._name)
 
     def on_close(self, server_conn: object) -> None:
         """A connection ended; its exchange has its own callback."""
@@ -104,7 +118,7 @@
     )
 
 
-_ACTION_BY_EFFECT = {
+_ACTION_BY_EFFECT: dict[type, Callable[[HttpExchange, Any], None]] = {
     fx.ReadRequestBody: lambda exchange, effect: exchange.read_body(),
     fx.HttpRespond: lambda exchange, effect: exchange.respond(
         effect.status, effect.headers, effect.body
--- a/rooklug/runtime/log.py
+++ b/rooklug/runtime/log.py
@@ -4,7 +4,7 @@
 import logging
 import sys
 from datetime import UTC, datetime
-from typing import Any, TextIO
+from typing import Any, TextIO, cast
 
 import attrs
 
@@ -31,7 +31,7 @@
 
     def format(self, record: logging.LogRecord) -> str:
         """Return one line without its end."""
-        entry: LogEntry = record.msg
+        entry = cast(LogEntry, record.msg)
         line = {
             "ts": datetime.fromtimestamp(record.created, UTC).isoformat(timespec="milliseconds"),
             "level": record.levelname.lower(),
--- a/rooklug/runtime/rpc_client.py
+++ b/rooklug/runtime/rpc_client.py
@@ -4,6 +4,7 @@
 from collections.abc import Callable
 
 import attrs
+from tornado.iostream import IOStream
 
 from rooklug.engine.effects import Call
 from rooklug.engine.events import CallAnswered, CallFailed, Event
@@ -18,7 +19,7 @@
 class _PendingCall:
     effect: Call
     data: bytes
-    deadline: asyncio.TimerHandle | None = None
+    deadline: asyncio.TimerHandle = attrs.field(init=False)
     written_at: float | None = None
     finished: bool = False
 
@@ -42,7 +43,7 @@
         """Send the call now, or once connected."""
         self.pending[call.effect.call_id] = call
         if self._connection is not None:
-            self._send(call)
+            self._send(self._connection, call)
 
     def close(self, reason: str) -> None:
         """Close the connection, or give up connecting."""
@@ -54,7 +55,7 @@
         deadlines = self._client.connect_timeouts
         try:
             deadline_s = deadlines.next(self.address)
-            stream = await connect_stream(self.address, self._client.bind_ip, deadline_s)
+            stream: IOStream = await connect_stream(self.address, self._client.bind_ip, deadline_s)
         except ConnectError as problem:
             deadlines.failed(self.address)
             self._client.peer_closed(self, str(problem))
@@ -63,15 +64,14 @@
             self._client.peer_closed(self, f"fault while connecting: {problem!r}")
             raise
         deadlines.connected(self.address)
-        self._connection = FramedConnection(
-            stream, self._message, self._closed, self._client.figures
-        )
-        self._connection.start()
+        connection = FramedConnection(stream, self._message, self._closed, self._client.figures)
+        self._connection = connection
+        connection.start()
         for call in list(self.pending.values()):
-            self._send(call)
+            self._send(connection, call)
 
-    def _send(self, call: _PendingCall) -> None:
-        self._connection.send(OutgoingFrame(call.data, lambda: self._may_write(call)))
+    def _send(self, connection: FramedConnection, call: _PendingCall) -> None:
+        connection.send(OutgoingFrame(call.data, lambda: self._may_write(call)))
 
     def _may_write(self, call: _PendingCall) -> bool:
         if self._client.may_write(call):
@@ -118,9 +118,11 @@
 
     def start(self, effect: Call) -> None:
         """Begin a call."""
-        frame = encode_frame(Message(effect.call_id, False, self._node_id, effect.request))
+        frame = encode_frame(
+            Message(effect.call_id, is_answer=False, sender=self._node_id, body=effect.request)
+        )
         if frame.is_error():
-            self._deliver(CallFailed(effect.call_id, frame.error.message, False))
+            self._deliver(CallFailed(effect.call_id, frame.error.message, maybe_delivered=False))
             return
         call = _PendingCall(effect, frame.ok)
         peer = self._peers.get(effect.address)
@@ -140,7 +142,9 @@
             return False
         now = self.loop.time()
         if call.effect.not_after is not None and now > call.effect.not_after:
-            self.finish(call, CallFailed(call.effect.call_id, "too late to be sent", False))
+            self.finish(
+                call, CallFailed(call.effect.call_id, "too late to be sent", maybe_delivered=False)
+            )
             return False
         call.written_at = now
         return True
--- a/rooklug/runtime/rpc_server.py
+++ b/rooklug/runtime/rpc_server.py
@@ -55,7 +55,9 @@
         call = self._unanswered.pop(effect.call_id, None)
         if call is None:
             return
-        frame = encode_frame(Message(call.caller_id, True, self._node_id, effect.answer))
+        frame = encode_frame(
+            Message(call.caller_id, is_answer=True, sender=self._node_id, body=effect.answer)
+        )
         if frame.is_error():
             self._log("error", "answer not sent", {"reason": frame.error.message})
             return
--- a/rooklug/runtime/timers.py
+++ b/rooklug/runtime/timers.py
@@ -13,7 +13,7 @@
     """One start of a named timer; a replaced or cancelled one never fires."""
 
     name: str
-    handle: asyncio.TimerHandle | None = None
+    handle: asyncio.TimerHandle = attrs.field(init=False)
 
 
 class Timers:
--- a/rooklug/wire/codec.py
+++ b/rooklug/wire/codec.py
@@ -1,13 +1,27 @@
 """Thrift compact encoding of the internal protocol's structs."""
 
-from typing import Any, TypeVar
+from typing import Any, Protocol, TypeVar
 
 import attrs
 from expression import Error, Ok, Result
 from thrift.protocol.TCompactProtocol import TCompactProtocolAccelerated
 from thrift.transport.TTransport import TMemoryBuffer
 
-Struct = TypeVar("Struct")
+
+class ThriftStruct(Protocol):
+    """What every generated struct can do."""
+
+    def read(self, iprot: Any) -> None:
+        """Fill the struct from a protocol."""
+
+    def write(self, oprot: Any) -> None:
+        """Write the struct to a protocol."""
+
+    def validate(self) -> None:
+        """Raise when a required field is unset."""
+
+
+Struct = TypeVar("Struct", bound=ThriftStruct)
 
 
 @attrs.frozen
@@ -17,7 +31,7 @@
     message: str
 
 
-def encode(struct: Any) -> bytes:
+def encode(struct: ThriftStruct) -> bytes:
     """Return the compact encoding of a thrift struct.
 
     Raises
--- a/rooklug/wire/packing.py
+++ b/rooklug/wire/packing.py
@@ -5,21 +5,18 @@
 """
 
 import zlib
-from typing import Any, TypeVar
 
 from expression import Error, Ok, Result
 
-from rooklug.wire.codec import WireError, decode, encode
+from rooklug.wire.codec import Struct, ThriftStruct, WireError, decode, encode
 from rooklug.wire.frames import MAX_FRAME_BYTES
 
-Struct = TypeVar("Struct")
-
 PACK_ABOVE_BYTES = 1024
 _LEVEL = 6
 _ZLIB_FIRST_BYTE = 0x78
 
 
-def encode_packed(struct: Any) -> bytes:
+def encode_packed(struct: ThriftStruct) -> bytes:
     """Return the encoding of a struct, compressed if it is long."""
     data = encode(struct)
     return data if len(data) <= PACK_ABOVE_BYTES else zlib.compress(data, _LEVEL)
--- a/rooklug_lab/deployment.py
+++ b/rooklug_lab/deployment.py
@@ -93,9 +93,11 @@
     def callers(self, duration_s: float = 0.0, start_s: float = 0.0) -> list[CallerSettings]:
         """Return a caller of model and one of once-only requests for each region."""
         callers = []
-        for region in self.regions:
-            for kind in ("model", "once"):
-                callers.append(self._caller(region, kind, start_s, duration_s))
+        callers.extend(
+            self._caller(region, kind, start_s, duration_s)
+            for region in self.regions
+            for kind in ("model", "once")
+        )
         return callers
 
     def caller_ip(self, region: str, number: int) -> str:
--- a/rooklug_lab/hollow/site.py
+++ b/rooklug_lab/hollow/site.py
@@ -200,7 +200,7 @@
 ) -> dict[int, tuple[str, ...]]:
     """Fill each replica with the models that are shortest in its region, by their traffic."""
     needs = model_units(size)
-    weights = {name: 0.0 for name in needs}
+    weights = dict.fromkeys(needs, 0.0)
     for route in build_routes(size):
         weights[route.model] += route.weight
     regions = zone_regions()
--- a/rooklug_lab/oracles/closed_spans.py
+++ b/rooklug_lab/oracles/closed_spans.py
@@ -17,8 +17,9 @@
     ]
     for backend in evidence.backends:
         zone = evidence.zone_of_backend.get(backend.backend_id, "")
-        for execution in backend.executions:
-            arrivals.append((execution.at_s, backend.backend_id, zone))
+        arrivals.extend(
+            (execution.at_s, backend.backend_id, zone) for execution in backend.executions
+        )
     return sorted(arrivals)
 
 
--- a/rooklug_lab/oracles/execution.py
+++ b/rooklug_lab/oracles/execution.py
@@ -66,8 +66,10 @@
     }
     violations = []
     for request in evidence.requests():
-        for problem in request.problems:
-            violations.append(Violation(request.ended_s, f"{request.request_id}: {problem}"))
+        violations.extend(
+            Violation(request.ended_s, f"{request.request_id}: {problem}")
+            for problem in request.problems
+        )
         if request.outcome is not Outcome.DONE or request.key or not request.served_by:
             continue
         replica_id = request.served_by.split("/")[0]
--- a/rooklug_lab/placement/move_oracle.py
+++ b/rooklug_lab/placement/move_oracle.py
@@ -43,7 +43,7 @@
         """Note which models' planned replicas all report loaded: their demand counts now."""
         if self._plan is None:
             return
-        models = {model for model in (*self._plan.required, *self._required)}
+        models = {*self._plan.required, *self._required}
         for model in sorted(models):
             targets = [slot for slot, planned in self._plan.assignments.items() if model in planned]
             if all(slot not in reports or model in reports[slot].loaded for slot in targets):
--- a/rooklug_lab/sim/site.py
+++ b/rooklug_lab/sim/site.py
@@ -136,8 +136,7 @@
 
     def primary(self) -> str:
         """Return the core that says it is primary with the highest epoch, or the first."""
-        best = max(self.groups[CORES], key=lambda name: self._primary_epoch(name))
-        return best
+        return max(self.groups[CORES], key=lambda name: self._primary_epoch(name))
 
     def kill(self, names: Iterable[str], for_s: float, lose_disk: bool = False) -> None:
         """Kill processes now; they return after ``for_s``."""
--- a/rooklug_lab/standins/caller_base.py
+++ b/rooklug_lab/standins/caller_base.py
@@ -100,9 +100,10 @@
         if self.settings.duration_s > 0:
             end_s = self.settings.start_s + self.settings.duration_s
             effects.append(fx.StartTimer(_STOP, end_s))
-        for index in range(len(self.settings.loads)):
-            effects.append(self._next_arrival(index, self.settings.start_s))
-        return effects
+        return effects + [
+            self._next_arrival(index, self.settings.start_s)
+            for index in range(len(self.settings.loads))
+        ]
 
     def _next_arrival(self, index: int, after_s: float = 0.0) -> fx.StartTimer:
         rate = self.settings.loads[index].rate_per_s * self.rate_factor
--- a/scripts/run_tests.py
+++ b/scripts/run_tests.py
@@ -1,4 +1,4 @@
-"""Run ruff and nose2 and print one closing line, ``N passed, N failed``.
+"""Run ruff, mypy, import-linter and nose2; the last line is ``N passed, N failed``.
 
 A test listed in KNOWN-RED.txt (``test: cause: issue``, three lines at most) may fail
 without failing the run; it is printed as known red and is not counted as passed.
@@ -25,20 +25,25 @@
 
 
 def check_style() -> int:
-    """Run the formatter's check and the linter; return how many of them failed."""
+    """Run the formatter's check, the linters and the type checker; return how many failed."""
     ruff = [sys.executable, "-m", "ruff"]
-    commands = ([*ruff, "format", "--check", "."], [*ruff, "check", "."])
+    commands = (
+        [*ruff, "format", "--check", "."],
+        [*ruff, "check", "."],
+        [sys.executable, "-m", "mypy"],
+        [str(Path(sys.executable).with_name("lint-imports")), "--no-cache"],
+    )
     return sum(subprocess.run(command, cwd=ROOT).returncode != 0 for command in commands)
 
 
 class OutcomeCollector(Plugin):
-    """Notes the outcome of each test as nose2 reports it."""
+    """Collects the outcome of each test as nose2 reports it."""
 
     def __init__(self) -> None:
         self.passed: set[str] = set()
         self.broken: set[str] = set()
 
-    def testOutcome(self, event: TestOutcomeEvent) -> None:
+    def testOutcome(self, event: TestOutcomeEvent) -> None:  # noqa: N802 - nose2 calls it so
         """Take one outcome; anything but the expected pass or a skip is broken.
 
         A subtest is reported by itself, whole or with its exception; a test with a broken
--- a/tests/core_exploration.py
+++ b/tests/core_exploration.py
@@ -20,10 +20,10 @@
     Accepted,
     Append,
     Appended,
+    BrokenInvariantError,
     Budget,
     Commit,
     Exploration,
-    InvariantBroken,
     Log,
     Member,
     Message,
@@ -65,12 +65,12 @@
     for one, other in combinations(world.commits, 2):
         shared = min(len(one.log), len(other.log))
         if one.log[:shared] != other.log[:shared]:
-            raise InvariantBroken(f"committed {one} and {other}")
+            raise BrokenInvariantError(f"committed {one} and {other}")
     for commit in world.commits:
         for start in world.chosen:
             lost = start.log[: len(commit.log)] != commit.log
             if start.view.epoch > commit.epoch and lost:
-                raise InvariantBroken(f"{commit} is missing in {start}")
+                raise BrokenInvariantError(f"{commit} is missing in {start}")
 
 
 def successors(world: World) -> Iterator[World]:
@@ -216,7 +216,7 @@
     others = [disk for disk in member.leading.in_sync if disk != member.state.own]
     if not others:
         return
-    reached = {disk: 0 for disk in others}
+    reached = dict.fromkeys(others, 0)
     for message in world.messages:
         if isinstance(message, Appended) and message.epoch == epoch and message.member in reached:
             reached[message.member] = max(reached[message.member], message.length)
--- a/tests/core_exploration_states.py
+++ b/tests/core_exploration_states.py
@@ -100,7 +100,7 @@
     chosen: frozenset[StartView] = frozenset()
 
 
-class InvariantBroken(AssertionError):
+class BrokenInvariantError(AssertionError):
     """A history in which a committed entry is lost or committed twice."""
 
 
--- a/tests/core_faults.py
+++ b/tests/core_faults.py
@@ -5,7 +5,7 @@
 
 from rooklug.engine import events as ev
 from tests.core_cluster import CORE_IDS, LATER_IDS, Cluster
-from tests.core_oracle import Operators, Oracle, PromiseBroken
+from tests.core_oracle import BrokenPromiseError, Operators, Oracle
 
 
 class Faults:
@@ -209,7 +209,7 @@
         try:
             oracle, _ = run_seed(seed)
             acknowledged += len(oracle.acknowledged)
-        except PromiseBroken as problem:
+        except BrokenPromiseError as problem:
             broken += 1
             print(f"seed {seed}: {problem}")
     seeds = options.last + 1 - options.first
--- a/tests/core_member_exploration.py
+++ b/tests/core_member_exploration.py
@@ -70,7 +70,7 @@
     rounds_left: tuple[int, ...]
 
 
-class InvariantBroken(AssertionError):
+class BrokenInvariantError(AssertionError):
     """A view was chosen by cores that don't know of one that was chosen before."""
 
 
@@ -158,7 +158,7 @@
     for one in world.chosen:
         for later in world.chosen:
             if one.view.epoch < later.view.epoch and later.base < one.view.epoch:
-                raise InvariantBroken(f"{later} was chosen without knowledge of {one}")
+                raise BrokenInvariantError(f"{later} was chosen without knowledge of {one}")
 
 
 def successors(world: World) -> Iterator[World]:
--- a/tests/core_oracle.py
+++ b/tests/core_oracle.py
@@ -13,7 +13,7 @@
 FINAL = {"accepted", "conflict", "invalid", "unavailable", "not_primary"}
 
 
-class PromiseBroken(AssertionError):
+class BrokenPromiseError(AssertionError):
     """The oracle has caught a broken promise."""
 
 
@@ -46,7 +46,7 @@
 
 
 class Oracle:
-    """Watches every event of a cluster; raises ``PromiseBroken``."""
+    """Watches every event of a cluster; raises ``BrokenPromiseError``."""
 
     def __init__(self, cluster: Cluster) -> None:
         self.cluster = cluster
@@ -61,7 +61,7 @@
 
     def check(self, holds: bool, message: str) -> None:
         if not holds:
-            raise PromiseBroken(f"at {self.cluster.now:.3f}: {message}")
+            raise BrokenPromiseError(f"at {self.cluster.now:.3f}: {message}")
 
     def after_event(self, core: Core) -> None:
         self._check_commits(core)
--- a/tests/measure_front.py
+++ b/tests/measure_front.py
@@ -133,7 +133,7 @@
 
     async def line(first: int) -> None:
         for number in range(first, requests, lines):
-            latencies.append(await client.request(number))
+            latencies.append(await client.request(number))  # noqa: PERF401 - one after another
 
     begin = time.perf_counter()
     await asyncio.gather(*(line(first) for first in range(lines)))
--- a/tests/test_core_exploration.py
+++ b/tests/test_core_exploration.py
@@ -12,9 +12,9 @@
 from tests import core_exploration
 from tests.core_exploration import explore
 from tests.core_exploration_states import (
+    BrokenInvariantError,
     Budget,
     Exploration,
-    InvariantBroken,
     Member,
     World,
     first_world,
@@ -82,7 +82,7 @@
 
     def caught(self, owner: Any, name: str, replacement: Any, start: World) -> None:
         self.addCleanup(core_exploration._react.cache_clear)
-        with mock.patch.object(owner, name, replacement), self.assertRaises(InvariantBroken):
+        with mock.patch.object(owner, name, replacement), self.assertRaises(BrokenInvariantError):
             explore(start, GUARD_LIMIT)
 
     def test_backup_refuses_lower_epochs(self) -> None:
--- a/tests/test_core_faults.py
+++ b/tests/test_core_faults.py
@@ -12,7 +12,7 @@
 from tests.core_cluster import CORE_IDS, Cluster
 from tests.core_faults import run_seed
 from tests.core_mutations import Mutation
-from tests.core_oracle import Operators, Oracle, PromiseBroken
+from tests.core_oracle import BrokenPromiseError, Operators, Oracle
 from tests.core_storm import Client, free_address
 from tests.test_core_replication import ask, change, started
 
@@ -47,7 +47,7 @@
             for seed in MUTATION_SEEDS:
                 try:
                     run_seed(seed)
-                except PromiseBroken:
+                except BrokenPromiseError:
                     return
         self.fail(f"no seed notices that {mutation.owner.__name__}.{mutation.name} is off")
 
@@ -111,7 +111,7 @@
         survives_a_power_cut()
         mutation = core_mutations.BEFORE_THE_SYNC
         replaced = mock.patch.object(mutation.owner, mutation.name, mutation.replacement)
-        with replaced, self.assertRaises(PromiseBroken):
+        with replaced, self.assertRaises(BrokenPromiseError):
             survives_a_power_cut()
 
 
--- a/tests/test_core_member_exploration.py
+++ b/tests/test_core_member_exploration.py
@@ -55,7 +55,7 @@
 class Guards(unittest.TestCase):
     def caught(self, owner: Any, name: str, replacement: Any, rounds: tuple[int, ...]) -> None:
         patched = mock.patch.object(owner, name, replacement)
-        with patched, self.assertRaises(exploration.InvariantBroken):
+        with patched, self.assertRaises(exploration.BrokenInvariantError):
             start = exploration.world_after_half_change(rounds)
             exploration.walk(start, GUARD_WALKS, STEPS, seed=1)
 
--- a/tests/test_lab_results.py
+++ b/tests/test_lab_results.py
@@ -1,6 +1,7 @@
 import json
 import os
 import unittest
+from types import SimpleNamespace
 
 from rooklug_lab.demo import closing_line
 from rooklug_lab.fleet.process_cost import (
@@ -45,14 +46,8 @@
     in_force_nodes = 11
     in_force_s = 0.25
 
-    class run:
-        problems: list[str] = []
-
-    class fleet:
-        next_version = 6
-
-        class deployment:
-            fronts = tuple(range(11))
+    run = SimpleNamespace(problems=[])
+    fleet = SimpleNamespace(next_version=6, deployment=SimpleNamespace(fronts=tuple(range(11))))
 
 
 class FiguresTest(unittest.TestCase):
--- a/tests/test_membership_tables.py
+++ b/tests/test_membership_tables.py
@@ -109,7 +109,7 @@
             grant = self.grants(node.node_id, now).get(ROLE_PLACER)
             if grant is not None:
                 return node.node_id, grant
-        self.fail("nobody got the placer's role")
+        raise AssertionError("nobody got the placer's role")
 
     def test_an_unannounced_role_waits_for_the_old_primary_and_its_grants(self) -> None:
         self.plan(START_AT + UNANNOUNCED_GRANTS_EXPIRY_S - 0.1)
