--- a/rooklug/controller/order_dispatcher.py
+++ b/rooklug/controller/order_dispatcher.py
@@ -84,7 +84,7 @@
 
 @attrs.define
 class OrderDispatcher:
-    """All orders that have not completed; a newer one for the same replica and model replaces one."""
+    """All orders not yet completed; a newer one for the same replica and model replaces it."""
 
     role: RoleFollower
     identifiers: Identifiers
