--- a/rooklug/gateway/answers.py
+++ b/rooklug/gateway/answers.py
@@ -27,8 +27,8 @@
         return self.value[1]
 
     @property
-    def is_promise(self) -> bool:
-        """Whether it says that the request has not run and never will."""
+    def says_not_run(self) -> bool:
+        """Whether the client may rely on it that the request has not run and never will."""
         return self.status == 503
 
 
--- a/rooklug/gateway/build.py
+++ b/rooklug/gateway/build.py
@@ -1,4 +1,7 @@
-"""Composes a gateway front and a gateway core; imports are inside for the sake of memory."""
+"""Composes the components of a gateway front and a gateway core.
+
+Imports are inside the functions: a front doesn't load a core's modules, which saves memory.
+"""
 
 from random import Random
 from typing import TYPE_CHECKING
@@ -7,8 +10,8 @@
 
 from rooklug.engine.composite import CompositeReducer
 from rooklug.engine.reducer import Identifiers, ProcessContext
-from rooklug.gateway.dialect import ControlDialect, EdgeDialect, HeaderNames
-from rooklug.gateway.replica_pace import ColdBound
+from rooklug.gateway.protocols import ClientProtocol, HeaderNames, OperatorProtocol
+from rooklug.gateway.replica_rate_limiter import SlowStartBound
 from rooklug.gateway.retry_budget import RetryBudgetSettings
 from rooklug.model.settings import CoreSettings, NodeSettings
 
@@ -18,11 +21,11 @@
 
 @attrs.frozen
 class GatewayLimits:
-    """The deployment's bounds that the gateway's parts obey."""
+    """The deployment's bounds on the gateway."""
 
     grace_s: float = 8.0
     directory_ttl_s: float = 2.0
-    cold_bound: ColdBound = attrs.field(factory=ColdBound)
+    slow_start_bound: SlowStartBound = attrs.field(factory=SlowStartBound)
     retry_budget: RetryBudgetSettings = attrs.field(factory=RetryBudgetSettings)
 
 
@@ -36,18 +39,22 @@
     limits: GatewayLimits,
 ) -> "GatewayExecutor":
     """Return a front's executor with its decision object."""
-    from rooklug.gateway.cold_gate import ColdGate
     from rooklug.gateway.decision import Decision
     from rooklug.gateway.executor import GatewayExecutor
-    from rooklug.gateway.replica_pace import ReplicaPace
+    from rooklug.gateway.replica_rate_limiter import ReplicaRateLimiter
+    from rooklug.gateway.slow_start_limiter import SlowStartLimiter
+    from rooklug.gateway.traffic_record import TrafficRecord
 
-    gate = ColdGate(node_id, int(limits.cold_bound.slack))
-    decision = Decision(region, zone, random, gate, ReplicaPace(limits.cold_bound))
+    bound = limits.slow_start_bound
+    traffic = TrafficRecord(
+        random, SlowStartLimiter(node_id, int(bound.slack)), ReplicaRateLimiter(bound)
+    )
+    decision = Decision(region, zone, random, traffic)
     return GatewayExecutor(decision, names, identifiers, limits.retry_budget, limits.grace_s)
 
 
 def compose_gateway_front(
-    settings: NodeSettings, context: ProcessContext, dialect: EdgeDialect, limits: GatewayLimits
+    settings: NodeSettings, context: ProcessContext, protocol: ClientProtocol, limits: GatewayLimits
 ) -> CompositeReducer:
     """Return the reducer of a front that passes requests through."""
     from rooklug.distribution.core_link import CoreLink
@@ -55,27 +62,29 @@
     from rooklug.gateway.directory import Directory
     from rooklug.gateway.lifecycle import Lifecycle
     from rooklug.gateway.peer_exchange import PeerExchange
-    from rooklug.gateway.view_keeper import GatewayViewKeeper
+    from rooklug.gateway.view_builder import GatewayViewBuilder
 
     core_link = CoreLink(settings, context)
-    keeper = GatewayViewKeeper()
+    view_builder = GatewayViewBuilder()
     executor = build_executor(
         settings.node_id,
         settings.region,
         settings.zone,
         context.random,
         context.identifiers,
-        dialect.headers,
+        protocol.headers,
         limits,
     )
     lifecycle = Lifecycle(core_link, executor.active, limits.grace_s)
     return CompositeReducer(
         [
             core_link,
-            keeper,
+            view_builder,
             executor,
             lifecycle,
-            Directory(dialect, keeper, lifecycle, settings.http_address, limits.directory_ttl_s),
+            Directory(
+                protocol, view_builder, lifecycle, settings.http_address, limits.directory_ttl_s
+            ),
             DemandReporter(settings, context, core_link, executor.decision),
             PeerExchange(settings, context, executor.decision),
         ]
@@ -83,14 +92,14 @@
 
 
 def compose_gateway_core(
-    settings: CoreSettings, context: ProcessContext, dialect: ControlDialect
+    settings: CoreSettings, context: ProcessContext, protocol: OperatorProtocol
 ) -> CompositeReducer:
     """Return the reducer of a core that keeps a gateway's configuration."""
     from rooklug.core.build import build_core_components
     from rooklug.core.documents import DocumentChecker
-    from rooklug.gateway.document import read_gateway_configuration
+    from rooklug.gateway.document_reader import read_gateway_configuration
     from rooklug.gateway.listing import ListingWatcher
-    from rooklug.gateway.operators import OperatorCalls
+    from rooklug.gateway.operator_api import OperatorApi
     from rooklug.gateway.patching import apply_named_patch
     from rooklug.gateway.region_planner import RegionPlanner
     from rooklug.membership.build import build_membership_components
@@ -100,8 +109,8 @@
         [
             *build_core_components(settings, context, checker),
             *build_membership_components(settings, context),
-            ListingWatcher(dialect, settings.node.platform_address, context.identifiers),
-            OperatorCalls(dialect, context),
+            ListingWatcher(protocol, settings.node.platform_address, context.identifiers),
+            OperatorApi(protocol, context),
             RegionPlanner(context.identifiers),
         ]
     )
--- a/rooklug/gateway/client_answers.py
+++ b/rooklug/gateway/client_answers.py
@@ -6,37 +6,37 @@
 
 from rooklug.engine import effects as fx
 from rooklug.gateway.answers import GatewayError, error_answer
-from rooklug.gateway.dialect import HeaderNames
-from rooklug.gateway.requests import PassedRequest, end_to_end
+from rooklug.gateway.protocols import HeaderNames
+from rooklug.gateway.requests import InboundRequest, end_to_end
 
-LEAST_RETRY_AFTER_S = 0.3
+MIN_RETRY_AFTER_S = 0.3
 RETRY_AFTER_SHARE = 0.3
-"""Clients wait for at most a third of their time: what is asked must be less."""
+"""Clients wait for at most a third of their deadline; ``Retry-After`` must be less."""
 
 
 class ClientAnswers:
-    """Forms answers; an ending front asks its clients to close their connections."""
+    """Builds answers; a draining front asks its clients to close their connections."""
 
     def __init__(self, names: HeaderNames) -> None:
         self._names = names
-        self.is_ending = False
+        self.is_draining = False
 
     def headers(self, headers: dict[str, str]) -> dict[str, str]:
         """Return a replica's headers as they go to the client."""
         passed = end_to_end(headers)
-        if self.is_ending:
+        if self.is_draining:
             passed["connection"] = "close"
         return passed
 
     def refusal(
-        self, request: PassedRequest, error: GatewayError, retry_after_s: float = 0.0
+        self, request: InboundRequest, error: GatewayError, retry_after_s: float = 0.0
     ) -> fx.HttpRespond:
         """Return the front's own answer to a request."""
         headers = self.headers({})
         if request.request_id:
             headers[self._names.request_id] = request.request_id
-        if error.is_promise:
-            retry_after_s = max(retry_after_s, LEAST_RETRY_AFTER_S)
+        if error.says_not_run:
+            retry_after_s = max(retry_after_s, MIN_RETRY_AFTER_S)
             if request.deadline_s is not None:
                 retry_after_s = min(retry_after_s, request.deadline_s * RETRY_AFTER_SHARE)
         return error_answer(request.http_id, error, headers, retry_after_s)
--- a/rooklug/gateway/demand.py
+++ b/rooklug/gateway/demand.py
@@ -1,13 +1,14 @@
 """Counts the demand that reaches this front and reports it to the primary's planner.
 
 Demand is counted by route, since routes differ in the regions that they may use. Prompt tokens
-are those that replicas are expected to read: what they keep in memory is no work.
+are those that replicas are expected to prefill: cached blocks are no work.
 """
 
 from collections import defaultdict
 
 import attrs
 
+from rooklug.distribution.core_link import CoreLink
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
 from rooklug.engine.component import BaseComponent
@@ -30,13 +31,17 @@
 
 
 class DemandReporter(BaseComponent):
-    """Sends the rates of each service every few seconds; a quiet front sends nothing."""
+    """Sends the rates of each service every ``REPORT_INTERVAL_S``; an idle front sends nothing."""
 
     name = "demand"
     subscribes_to = (RequestCounted,)
 
     def __init__(
-        self, settings: NodeSettings, context: ProcessContext, core_link, decision: Decision
+        self,
+        settings: NodeSettings,
+        context: ProcessContext,
+        core_link: CoreLink,
+        decision: Decision,
     ) -> None:
         self._decision = decision
         self._settings = settings
@@ -68,22 +73,23 @@
             node_id=self._settings.node_id,
             node_incarnation=self._context.incarnation,
             sequence=self._sequence,
-            entries=[self._entry(place, count) for place, count in sorted(taken.items())],
+            entries=[self._entry(key, count) for key, count in sorted(taken.items())],
             observations=[],
-            read_tokens_per_s=self._decision.read_rate.tokens_per_s,
+            read_tokens_per_s=self._decision.traffic.prefill_rate.tokens_per_s,
         )
         call_id = self._context.identifiers.next()
         return [fx.Call(call_id, address, report, CALL_DEADLINE_S)]
 
-    def _entry(self, place: tuple[str, str], count: _Count) -> DemandEntry:
-        route, service = place
+    def _entry(self, key: tuple[str, str], count: _Count) -> DemandEntry:
+        route, service = key
+        prefill_tokens = count.prompt_tokens * self._decision.traffic.prefill_share
         return DemandEntry(
             route=route,
             model=service,
             latency_class="",
             source_region=self._settings.region,
             requests_per_s=count.requests / REPORT_INTERVAL_S,
-            prompt_tokens_per_s=count.prompt_tokens * self._decision.read_share / REPORT_INTERVAL_S,
+            prompt_tokens_per_s=prefill_tokens / REPORT_INTERVAL_S,
             answer_tokens_per_s=count.answer_tokens / REPORT_INTERVAL_S,
             refused_per_s=0.0,
         )
--- a/rooklug/gateway/directory.py
+++ b/rooklug/gateway/directory.py
@@ -5,25 +5,25 @@
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
 from rooklug.engine.component import BaseComponent
-from rooklug.gateway.dialect import EdgeDialect, WhereQuestion
 from rooklug.gateway.lifecycle import Lifecycle
+from rooklug.gateway.protocols import ClientProtocol, ResolveRequest
 from rooklug.gateway.serving_fronts import serving_fronts
 from rooklug.gateway.view import GatewayView
-from rooklug.gateway.view_keeper import GatewayViewKeeper
+from rooklug.gateway.view_builder import GatewayViewBuilder
 from rooklug.wire.generated.control.ttypes import NodeRecord
 
 DIRECTORY_LISTENER = "directory"
 READINESS_LISTENER = "readiness"
 MAX_ADDRESSES = 64
-SETTLED_S = 2.0
-"""An answer that was first given longer ago is taken to last."""
+STABLE_AFTER_S = 2.0
+"""An answer that was first given longer ago counts as stable."""
 CHANGING_TTL_S = 0.5
-"""How long other answers hold: fronts come and go at this moment."""
-MOST_ANSWERS_KEPT = 64
-FAR_FRONTS = 1
-"""How many fronts of another region an answer names."""
-NEAR_WEIGHT = 8
-"""How often a near front stands in an answer beside one of another region."""
+"""TTL of other answers: fronts are coming and going."""
+MAX_REMEMBERED_ANSWERS = 64
+MAX_BACKUP_FRONTS = 1
+"""Fronts of another region in one answer."""
+NEAR_FRONT_REPEATS = 8
+"""Occurrences of each near front in an answer beside one of another region."""
 _JSON = {"content-type": "application/json"}
 
 
@@ -35,60 +35,60 @@
 
     def __init__(
         self,
-        dialect: EdgeDialect,
-        keeper: GatewayViewKeeper,
+        protocol: ClientProtocol,
+        view_builder: GatewayViewBuilder,
         lifecycle: Lifecycle,
         own_address: str,
         ttl_s: float,
     ) -> None:
-        self._dialect = dialect
-        self._keeper = keeper
+        self._protocol = protocol
+        self._view_builder = view_builder
         self._lifecycle = lifecycle
         self._own_address = own_address
         self._ttl_s = ttl_s
-        self._told: dict[tuple[str, ...], float] = {}
+        self._first_given_at: dict[tuple[str, ...], float] = {}
 
     def handle(self, event: ev.Event, now: float) -> list[fx.Effect]:
-        """Answer a question."""
+        """Answer a request for addresses or a readiness check."""
         if not isinstance(event, ev.HttpRequestArrived):
             return []
         if event.listener == READINESS_LISTENER:
             return [self._readiness(event)]
-        question = self._dialect.read_where(event)
-        if question is None:
+        resolve = self._protocol.read_resolve_request(event)
+        if resolve is None:
             return [fx.HttpRespond(event.request_id, 404, b"{}", _JSON)]
-        addresses = self._addresses(question)
+        addresses = self._addresses(resolve)
         if not addresses:
             return [fx.HttpRespond(event.request_id, 503, b"{}", _JSON)]
         addresses = addresses[:MAX_ADDRESSES]
-        body = self._dialect.write_where(addresses, self._ttl_of(addresses, now))
+        body = self._protocol.write_addresses(addresses, self._ttl_of(addresses, now))
         return [fx.HttpRespond(event.request_id, 200, body, _JSON)]
 
     def _ttl_of(self, addresses: list[str], now: float) -> float:
-        """Return how long an answer holds: not long while answers change."""
+        """Return the TTL of an answer: short while answers change."""
         key = tuple(addresses)
-        since = self._told.setdefault(key, now)
-        if len(self._told) > MOST_ANSWERS_KEPT:
-            self._told = {key: since}
-        return self._ttl_s if now - since > SETTLED_S else min(CHANGING_TTL_S, self._ttl_s)
+        since = self._first_given_at.setdefault(key, now)
+        if len(self._first_given_at) > MAX_REMEMBERED_ANSWERS:
+            self._first_given_at = {key: since}
+        return self._ttl_s if now - since > STABLE_AFTER_S else min(CHANGING_TTL_S, self._ttl_s)
 
     def _readiness(self, event: ev.HttpRequestArrived) -> fx.Effect:
-        if event.path != self._dialect.readiness_path:
+        if event.path != self._protocol.readiness_path:
             return fx.HttpRespond(event.request_id, 404, b"{}", _JSON)
         reason = self._lifecycle.reason_not_ready()
         body = json.dumps({"ready": reason == "", "reason": reason}).encode()
         return fx.HttpRespond(event.request_id, 503 if reason else 200, body, _JSON)
 
-    def _addresses(self, question: WhereQuestion) -> list[str]:
-        view = self._keeper.view
+    def _addresses(self, resolve: ResolveRequest) -> list[str]:
+        view = self._view_builder.view
         if not view.ready_fronts:
             return [self._own_address] if not self._lifecycle.reason_not_ready() else []
         configuration = view.configuration
         if configuration is None:
-            return addresses_for(question.region, frozenset(), view, backups=frozenset())
-        homes = configuration.hosts_home(question.host)
-        backups = configuration.common_homes(question.host)
-        return addresses_for(question.region, homes, view, backups)
+            return addresses_for(resolve.region, frozenset(), view, backups=frozenset())
+        homes = configuration.hosts_home(resolve.host)
+        backups = configuration.common_homes(resolve.host)
+        return addresses_for(resolve.region, homes, view, backups)
 
 
 def addresses_for(
@@ -116,7 +116,7 @@
     ]
     far = _backup(region, others if near else [], view)
     weight = max(1, (MAX_ADDRESSES - len(far)) // max(len(nearest), 1))
-    times = min(NEAR_WEIGHT, weight) if far else 1
+    times = min(NEAR_FRONT_REPEATS, weight) if far else 1
     return sorted(node.http_address for node in nearest) * times + far
 
 
@@ -127,5 +127,5 @@
         return []
     following = [name for name in regions if name > region] or regions
     there = [node for node in others if node.region == following[0]]
-    chosen = serving_fronts(there, view.core_machines)[:FAR_FRONTS]
+    chosen = serving_fronts(there, view.core_machines)[:MAX_BACKUP_FRONTS]
     return [node.http_address for node in chosen]
--- a/rooklug/gateway/gateway_events.py
+++ b/rooklug/gateway/gateway_events.py
@@ -1,16 +1,16 @@
-"""Messages between the gateway's parts."""
+"""Internal events between the gateway's components."""
 
 import attrs
 
 from rooklug.engine.component import InternalEvent
-from rooklug.gateway.requests import PassedRequest
+from rooklug.gateway.requests import InboundRequest
 from rooklug.gateway.view import GatewayView
 from rooklug.wire.generated.control.ttypes import ReplicasBody
 
 
 @attrs.frozen
 class ViewChanged(InternalEvent):
-    """This front goes on under a newer snapshot."""
+    """This front decides by a newer snapshot from now on."""
 
     view: GatewayView
 
@@ -19,7 +19,7 @@
 class RequestCounted(InternalEvent):
     """A client's request for a service has arrived on a route."""
 
-    request: PassedRequest
+    request: InboundRequest
     service: str
     route: str
 
--- a/rooklug/gateway/lifecycle.py
+++ b/rooklug/gateway/lifecycle.py
@@ -2,6 +2,7 @@
 
 from collections.abc import Callable
 
+from rooklug.distribution.core_link import CoreLink
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
 from rooklug.engine.component import BaseComponent
@@ -10,28 +11,28 @@
 
 _TIMER = "drain"
 _CHECK_S = 0.1
-NOTICE_S = 2.5
-"""Clients and the directory need so long to see that this front leaves."""
-LAST_RESERVE_S = 0.5
+PROPAGATION_S = 2.5
+"""Clients and the directory need so long to learn that this front drains."""
+EXIT_RESERVE_S = 0.5
 """The process ends this long before its grace is over."""
 
 
 class Lifecycle(BaseComponent):
-    """Says whether this front takes traffic; at ``StopRequested`` waits for what runs."""
+    """Decides whether this front is ready; at ``StopRequested`` it drains before it exits."""
 
     name = "lifecycle"
     subscribes_to = (ViewChanged,)
 
-    def __init__(self, core_link, active: Callable[[], int], grace_s: float) -> None:
+    def __init__(self, core_link: CoreLink, active: Callable[[], int], grace_s: float) -> None:
         self._core_link = core_link
         self._active = active
         self._grace_s = grace_s
         self._view = GatewayView()
-        self._drain_began: float | None = None
+        self._draining_since: float | None = None
 
     def reason_not_ready(self) -> str:
-        """Return "" when ready, else why not. Silent control alone is no reason."""
-        if self._drain_began is not None:
+        """Return "" when ready, else why not. A lost control plane alone is no reason."""
+        if self._draining_since is not None:
             return "draining"
         if self._view.configuration is None:
             return "no configuration yet"
@@ -51,9 +52,9 @@
         return []
 
     def _begin_drain(self, now: float) -> list[fx.Effect]:
-        if self._drain_began is not None:
+        if self._draining_since is not None:
             return []
-        self._drain_began = now
+        self._draining_since = now
         return [
             *self._core_link.set_ready(False),
             *self._core_link.set_draining(True),
@@ -61,9 +62,11 @@
         ]
 
     def _check_drain(self, now: float) -> list[fx.Effect]:
-        elapsed_s = now - self._drain_began
-        if elapsed_s >= self._grace_s - LAST_RESERVE_S:
+        if self._draining_since is None:
+            return []
+        elapsed_s = now - self._draining_since
+        if elapsed_s >= self._grace_s - EXIT_RESERVE_S:
             return [fx.StopProcess(0, f"end of the grace, {self._active()} requests cut off")]
-        if elapsed_s >= min(NOTICE_S, self._grace_s / 2) and self._active() == 0:
+        if elapsed_s >= min(PROPAGATION_S, self._grace_s / 2) and self._active() == 0:
             return [fx.StopProcess(0, "drained")]
         return [fx.StartTimer(_TIMER, _CHECK_S)]
--- a/rooklug/gateway/listing.py
+++ b/rooklug/gateway/listing.py
@@ -1,8 +1,7 @@
 """The primary reads the platform's list of replicas and distributes it to the fronts.
 
-Only the primary asks: the platform counts calls of all nodes together. Another core begins
-with its first moment as the primary, so the list is never read by nobody for longer than a
-failover takes.
+Only the primary polls: the platform limits the calls of all nodes together. A new primary starts
+at once, so the list goes unread for no longer than a failover takes.
 """
 
 import attrs
@@ -11,8 +10,8 @@
 from rooklug.engine import events as ev
 from rooklug.engine.component import BaseComponent, EmitEvent
 from rooklug.engine.reducer import Identifiers
-from rooklug.gateway.dialect import ControlDialect
 from rooklug.gateway.gateway_events import ReplicasListed
+from rooklug.gateway.protocols import OperatorProtocol
 from rooklug.model.internal_events import PrimaryStarted, PrimaryStopped, TopicOffered
 from rooklug.model.topics import REPLICAS
 from rooklug.wire.generated.control.ttypes import ListedReplica, ReplicasBody
@@ -23,8 +22,21 @@
 _OK = 200
 
 
+@attrs.frozen
+class _ReplicaIdentity:
+    """What a change of an entry is judged by."""
+
+    replica_id: str
+    address: str
+    service: str
+    zone: str
+    draining: bool
+    in_slow_start: bool
+    slots: int | None
+
+
 @attrs.define
-class _Round:
+class _ListRead:
     """One reading of the list, page by page."""
 
     replicas: list[ListedReplica] = attrs.field(factory=list)
@@ -37,80 +49,80 @@
     name = "listing"
     subscribes_to = (PrimaryStarted, PrimaryStopped)
 
-    def __init__(self, dialect: ControlDialect, address: str, identifiers: Identifiers) -> None:
-        self._dialect = dialect
+    def __init__(self, protocol: OperatorProtocol, address: str, identifiers: Identifiers) -> None:
+        self._protocol = protocol
         self._address = address
         self._identifiers = identifiers
         self._epoch = 0
         self._sequence = 0
-        self._round: _Round | None = None
-        self._known: tuple | None = None
+        self._read: _ListRead | None = None
+        self._last_published: tuple[_ReplicaIdentity, ...] | None = None
 
     def handle(self, event: ev.Event, now: float) -> list[fx.Effect]:
         """Take one event."""
         match event:
             case PrimaryStarted():
-                return self._begin_term(event.epoch)
+                return self._start_term(event.epoch)
             case PrimaryStopped():
                 return self._end_term()
             case ev.TimerFired():
-                return self._begin_round()
+                return self._start_read()
             case ev.HttpAnswered():
-                return self._page(event)
+                return self._page_received(event)
             case ev.HttpFailed():
-                self._round = None
+                self._read = None
         return []
 
-    def _begin_term(self, epoch: int) -> list[fx.Effect]:
-        going_on = self._epoch > 0
+    def _start_term(self, epoch: int) -> list[fx.Effect]:
+        was_primary = self._epoch > 0
         self._epoch = epoch
-        if going_on:
+        if was_primary:
             return []
-        self._known = None
-        return self._begin_round()
+        self._last_published = None
+        return self._start_read()
 
     def _end_term(self) -> list[fx.Effect]:
         self._epoch = 0
-        self._round = None
+        self._read = None
         return [fx.CancelTimer(_TIMER)]
 
-    def _begin_round(self) -> list[fx.Effect]:
+    def _start_read(self) -> list[fx.Effect]:
         if not self._epoch or not self._address:
             return []
-        self._round = _Round()
-        return [fx.StartTimer(_TIMER, READ_INTERVAL_S), self._ask("")]
+        self._read = _ListRead()
+        return [fx.StartTimer(_TIMER, READ_INTERVAL_S), self._fetch_page(self._read, "")]
 
-    def _ask(self, page: str) -> fx.HttpCall:
-        self._round.call_id = self._identifiers.next()
+    def _fetch_page(self, read: _ListRead, page: str) -> fx.HttpCall:
+        read.call_id = self._identifiers.next()
         return fx.HttpCall(
-            call_id=self._round.call_id,
+            call_id=read.call_id,
             address=self._address,
             method="GET",
-            path=self._dialect.listing_path(page),
+            path=self._protocol.listing_path(page),
             body=b"",
             deadline_s=CALL_DEADLINE_S,
             connect_deadline_s=CALL_DEADLINE_S,
         )
 
-    def _page(self, event: ev.HttpAnswered) -> list[fx.Effect]:
-        current = self._round
+    def _page_received(self, event: ev.HttpAnswered) -> list[fx.Effect]:
+        current = self._read
         if current is None or event.call_id != current.call_id or event.status != _OK:
             return []
-        page = self._dialect.read_listing(event.body)
+        page = self._protocol.read_listing(event.body)
         if page is None:
-            self._round = None
+            self._read = None
             return [fx.Log("warning", "the list of replicas can't be read")]
         current.replicas.extend(page.replicas)
         if page.next_page:
-            return [self._ask(page.next_page)]
-        self._round = None
-        return self._take(sorted(current.replicas, key=lambda replica: replica.replica_id))
+            return [self._fetch_page(current, page.next_page)]
+        self._read = None
+        return self._publish(sorted(current.replicas, key=lambda replica: replica.replica_id))
 
-    def _take(self, replicas: list[ListedReplica]) -> list[fx.Effect]:
-        known = tuple(_identity(replica) for replica in replicas)
-        if known == self._known:
+    def _publish(self, replicas: list[ListedReplica]) -> list[fx.Effect]:
+        identities = tuple(_identity(replica) for replica in replicas)
+        if identities == self._last_published:
             return []
-        self._known = known
+        self._last_published = identities
         self._sequence += 1
         body = ReplicasBody(replicas=replicas)
         return [
@@ -119,9 +131,9 @@
         ]
 
 
-def _identity(replica: ListedReplica) -> tuple:
-    """Return what makes an entry different: how long it stays cold goes by by itself."""
-    return (
+def _identity(replica: ListedReplica) -> _ReplicaIdentity:
+    """Return the fields whose change makes a new list; a slow start runs down by itself."""
+    return _ReplicaIdentity(
         replica.replica_id,
         replica.address,
         replica.backend,
--- a/rooklug/gateway/operators.py
+++ b/rooklug/gateway/operator_api.py
@@ -1,8 +1,7 @@
-"""The operators' calls at a core: taken in the edge's words, forwarded to the primary.
+"""The operators' API at a core: calls are parsed by the protocol and forwarded to the primary.
 
-What is said without an answer of the primary is never a refusal: the order may be taken. A
-caller that gets 503 sends the same order again, to any node; the primary knows it by its
-identity.
+An answer given without the primary's is never a refusal: the change may be committed. A caller
+that gets 503 sends the same call again, to any node; the primary recognizes it by its identity.
 """
 
 import hashlib
@@ -14,13 +13,13 @@
 from rooklug.engine import events as ev
 from rooklug.engine.component import BaseComponent
 from rooklug.engine.reducer import ProcessContext
-from rooklug.gateway.dialect import (
-    BadOrder,
-    ControlDialect,
-    OperatorOrder,
-    ReadOrder,
-    SubmitOrder,
-    ZoneOrder,
+from rooklug.gateway.protocols import (
+    BadCall,
+    DrainZone,
+    OperatorCall,
+    OperatorProtocol,
+    ReadConfiguration,
+    SubmitConfiguration,
 )
 from rooklug.model.internal_events import PrimaryKnown, ZonesCommitted
 from rooklug.model.versions import ZERO_VERSION
@@ -33,42 +32,42 @@
 )
 
 LISTENER = "operators"
-ANSWER_LIMIT_S = 0.9
-"""An operator moves to another node after a second."""
+ANSWER_TIMEOUT_S = 0.9
+"""An operator's client moves to another node after a second."""
 BYTES_PER_S = 1_000_000
-"""Long documents get so much more time: they are sent, checked and synced."""
-RETRY_S = 0.1
+"""Long documents get more time, a second for so many bytes: they are sent, checked and synced."""
+RETRY_INTERVAL_S = 0.1
 _TIMER_PREFIX = "retry:"
 _JSON = {"content-type": "application/json"}
-_STATUS = {"accepted": 200, "conflict": 412, "invalid": 400}
-_UNCLEAR = 503
+_STATUS_OF_OUTCOME = {"accepted": 200, "conflict": 412, "invalid": 400}
+_UNKNOWN_OUTCOME_STATUS = 503
 
 
 @attrs.define(eq=False)
-class _Forward:
+class _ForwardedCall:
     """One operator's call until its answer."""
 
     http_id: int
-    order: OperatorOrder
+    operator_call: OperatorCall
     message: object
-    ends_at: float
+    deadline: float
     call_id: int = 0
 
 
-class OperatorCalls(BaseComponent):
+class OperatorApi(BaseComponent):
     """Serves the operators' listener of a core."""
 
     name = "operators"
     http_listeners = (LISTENER,)
     subscribes_to = (PrimaryKnown, ZonesCommitted)
 
-    def __init__(self, dialect: ControlDialect, context: ProcessContext) -> None:
-        self._dialect = dialect
+    def __init__(self, protocol: OperatorProtocol, context: ProcessContext) -> None:
+        self._protocol = protocol
         self._context = context
         self._primary = ""
         self._known_zones = ZERO_VERSION
-        self._by_http: dict[int, _Forward] = {}
-        self._by_call: dict[int, _Forward] = {}
+        self._by_http: dict[int, _ForwardedCall] = {}
+        self._by_call: dict[int, _ForwardedCall] = {}
 
     def handle(self, event: ev.Event, now: float) -> list[fx.Effect]:
         """Take one event."""
@@ -82,10 +81,10 @@
             case ev.CallAnswered():
                 return self._answered(event, now)
             case ev.CallFailed():
-                return self._later(self._by_call.pop(event.call_id, None), now)
+                return self._schedule_retry(self._by_call.pop(event.call_id, None), now)
             case ev.TimerFired():
                 forward = self._by_http.get(int(event.name.removeprefix(_TIMER_PREFIX)))
-                return self._try(forward, now) if forward else []
+                return self._attempt(forward, now) if forward else []
             case ev.HttpRequestClosed():
                 forward = self._by_http.pop(event.request_id, None)
                 if forward is not None:
@@ -93,50 +92,50 @@
         return []
 
     def _arrived(self, event: ev.HttpRequestArrived, now: float) -> list[fx.Effect]:
-        order = self._dialect.read_order(event)
-        if isinstance(order, BadOrder):
-            return [_respond(event.request_id, order.status, {"error": order.message})]
-        limit_s = ANSWER_LIMIT_S + len(event.body) / BYTES_PER_S
-        forward = _Forward(event.request_id, order, self._message(order), now + limit_s)
+        call = self._protocol.read_call(event)
+        if isinstance(call, BadCall):
+            return [_respond(event.request_id, call.status, {"error": call.message})]
+        timeout_s = ANSWER_TIMEOUT_S + len(event.body) / BYTES_PER_S
+        forward = _ForwardedCall(event.request_id, call, self._message(call), now + timeout_s)
         self._by_http[event.request_id] = forward
-        return self._try(forward, now)
+        return self._attempt(forward, now)
 
-    def _message(self, order: OperatorOrder) -> object:
-        match order:
-            case SubmitOrder():
+    def _message(self, call: OperatorCall) -> object:
+        match call:
+            case SubmitConfiguration():
                 return SubmitChangeRequest(
-                    version=order.version,
-                    digest=hashlib.sha256(order.body).hexdigest(),
-                    body=order.body,
-                    is_patch=order.is_patch,
-                    base_version=order.base_version,
+                    version=call.version,
+                    digest=hashlib.sha256(call.body).hexdigest(),
+                    body=call.body,
+                    is_patch=call.is_patch,
+                    base_version=call.base_version,
                     base_required=True,
                 )
-            case ZoneOrder():
-                # A repeat is a new order with the same effect: zones are set, not toggled.
+            case DrainZone():
+                # A retry is a new operation with the same effect: zones are set, not toggled.
                 operation_id = f"{self._context.incarnation}:{self._context.identifiers.next()}"
-                return SetZoneRequest(order.zone, order.emptied, operation_id)
-            case ReadOrder():
+                return SetZoneRequest(call.zone, call.drained, operation_id)
+            case ReadConfiguration():
                 return ReadConfigurationRequest(linearizable=True)
-        raise AssertionError(f"unknown order {order!r}")
+        raise AssertionError(f"unknown call {call!r}")
 
-    def _try(self, forward: _Forward, now: float) -> list[fx.Effect]:
-        if now >= forward.ends_at:
-            return self._end(forward, _UNCLEAR, {"error": "no primary has answered"})
+    def _attempt(self, forward: _ForwardedCall, now: float) -> list[fx.Effect]:
+        if now >= forward.deadline:
+            return self._end(forward, _UNKNOWN_OUTCOME_STATUS, {"error": "no primary has answered"})
         if not self._primary:
-            return self._later(forward, now)
+            return self._schedule_retry(forward, now)
         forward.call_id = self._context.identifiers.next()
         self._by_call[forward.call_id] = forward
-        left_s = forward.ends_at - now
+        remaining_s = forward.deadline - now
         if isinstance(forward.message, SetZoneRequest):
-            forward.message = _resting_on(forward.message, self._known_zones)
-        return [fx.Call(forward.call_id, self._primary, forward.message, left_s)]
+            forward.message = _with_known_zones(forward.message, self._known_zones)
+        return [fx.Call(forward.call_id, self._primary, forward.message, remaining_s)]
 
-    def _later(self, forward: _Forward | None, now: float) -> list[fx.Effect]:
+    def _schedule_retry(self, forward: _ForwardedCall | None, now: float) -> list[fx.Effect]:
         if forward is None:
             return []
-        pause_s = max(min(RETRY_S, forward.ends_at - now), 0.0)
-        return [fx.StartTimer(f"{_TIMER_PREFIX}{forward.http_id}", pause_s)]
+        delay_s = max(min(RETRY_INTERVAL_S, forward.deadline - now), 0.0)
+        return [fx.StartTimer(f"{_TIMER_PREFIX}{forward.http_id}", delay_s)]
 
     def _answered(self, event: ev.CallAnswered, now: float) -> list[fx.Effect]:
         forward = self._by_call.pop(event.call_id, None)
@@ -145,31 +144,31 @@
         answer = event.answer
         if isinstance(answer, ReadConfigurationAnswer):
             return self._read(forward, answer, now)
-        status = _STATUS.get(answer.outcome)
-        if status is None:  # another primary, or a fate that isn't known
-            return self._later(forward, now)
+        status = _STATUS_OF_OUTCOME.get(answer.outcome)
+        if status is None:  # another primary, or an unknown outcome
+            return self._schedule_retry(forward, now)
         body = {"outcome": answer.outcome, "problems": answer.problems}
         return self._end(forward, status, body)
 
     def _read(
-        self, forward: _Forward, answer: ReadConfigurationAnswer, now: float
+        self, forward: _ForwardedCall, answer: ReadConfigurationAnswer, now: float
     ) -> list[fx.Effect]:
         if not answer.ok:
-            return self._later(forward, now)
+            return self._schedule_retry(forward, now)
         self._by_http.pop(forward.http_id, None)
         if not answer.configuration.version:
             return [_respond(forward.http_id, 503, {"error": "no configuration yet"})]
-        body = self._dialect.write_configuration(answer.configuration.document)
+        body = self._protocol.write_configuration(answer.configuration.document)
         return [fx.HttpRespond(forward.http_id, 200, body, _JSON)]
 
-    def _end(self, forward: _Forward, status: int, body: dict) -> list[fx.Effect]:
+    def _end(self, forward: _ForwardedCall, status: int, body: dict) -> list[fx.Effect]:
         self._by_http.pop(forward.http_id, None)
         return [_respond(forward.http_id, status, body)]
 
 
-def _resting_on(order: SetZoneRequest, known_zones: VersionMark) -> SetZoneRequest:
-    """Return the order with what this core knows now: one that arrives late is not taken."""
-    return SetZoneRequest(order.zone, order.emptied, order.operation_id, known_zones)
+def _with_known_zones(request: SetZoneRequest, known_zones: VersionMark) -> SetZoneRequest:
+    """Return the request with the version known now: one that arrives late is rejected."""
+    return SetZoneRequest(request.zone, request.emptied, request.operation_id, known_zones)
 
 
 def _respond(http_id: int, status: int, body: dict) -> fx.HttpRespond:
--- a/rooklug/gateway/patching.py
+++ b/rooklug/gateway/patching.py
@@ -51,21 +51,21 @@
     if not isinstance(patch, dict):
         return [Problem("$", "must be an object")]
     problems = []
-    for part in ("upsert", "remove"):
-        value = patch.get(part)
+    for member in ("upsert", "remove"):
+        value = patch.get(member)
         if value is None:
             continue
         if not isinstance(value, dict):
-            problems.append(Problem(f"$.{part}", "must be an object of lists"))
+            problems.append(Problem(f"$.{member}", "must be an object of lists"))
             continue
         for field, items in value.items():
-            if not _is_fitting(part, items):
-                problems.append(Problem(f"$.{part}.{field}", "must be a list of named items"))
+            if not _is_fitting(member, items):
+                problems.append(Problem(f"$.{member}.{field}", "must be a list of named items"))
     return problems
 
 
-def _is_fitting(part: str, items: Any) -> bool:
-    if part == "remove":
+def _is_fitting(member: str, items: Any) -> bool:
+    if member == "remove":
         return isinstance(items, list) and all(isinstance(name, str) for name in items)
     if isinstance(items, dict):
         return True
--- a/rooklug/gateway/dialect.py
+++ b/rooklug/gateway/protocols.py
@@ -1,4 +1,8 @@
-"""What the edge's wire format is called: names and codecs, given to the parts that decide."""
+"""The formats that a deployment's clients, replicas, operators and platform speak.
+
+Header names and codecs come from outside as a ``ClientProtocol`` and an ``OperatorProtocol``, so
+that the gateway decides without knowing any of them.
+"""
 
 from collections.abc import Callable
 
@@ -25,8 +29,8 @@
 
 
 @attrs.frozen
-class WhereQuestion:
-    """A client asks which fronts to connect to."""
+class ResolveRequest:
+    """A client asks the directory which fronts to connect to."""
 
     host: str
     region: str
@@ -34,8 +38,8 @@
 
 
 @attrs.frozen
-class SubmitOrder:
-    """A whole configuration or a patch, in the product's own document format."""
+class SubmitConfiguration:
+    """A whole configuration or a patch, in rooklug's own document format."""
 
     version: int
     body: bytes
@@ -44,27 +48,27 @@
 
 
 @attrs.frozen
-class ZoneOrder:
-    """Empty a zone, or take it back."""
+class DrainZone:
+    """Drain a zone, or take it back into service."""
 
     zone: str
-    emptied: bool
+    drained: bool
 
 
 @attrs.frozen
-class ReadOrder:
+class ReadConfiguration:
     """Read the newest configuration."""
 
 
 @attrs.frozen
-class BadOrder:
-    """An order that can't be read, with the status it gets."""
+class BadCall:
+    """A call that can't be parsed, with the HTTP status of its answer."""
 
     status: int
     message: str
 
 
-OperatorOrder = SubmitOrder | ZoneOrder | ReadOrder | BadOrder
+OperatorCall = SubmitConfiguration | DrainZone | ReadConfiguration | BadCall
 
 
 @attrs.frozen
@@ -76,20 +80,20 @@
 
 
 @attrs.frozen
-class EdgeDialect:
-    """Everything a front needs to speak with clients and replicas."""
+class ClientProtocol:
+    """Names and codecs that a front needs for clients, replicas and readiness checks."""
 
     headers: HeaderNames
     readiness_path: str
-    read_where: Callable[[HttpRequestArrived], WhereQuestion | None]
-    write_where: Callable[[list[str], float], bytes]
+    read_resolve_request: Callable[[HttpRequestArrived], ResolveRequest | None]
+    write_addresses: Callable[[list[str], float], bytes]
 
 
 @attrs.frozen
-class ControlDialect:
-    """Everything a core needs to speak with operators and the platform's list."""
+class OperatorProtocol:
+    """Codecs that a core needs for operators' calls and the platform's list of replicas."""
 
-    read_order: Callable[[HttpRequestArrived], OperatorOrder]
+    read_call: Callable[[HttpRequestArrived], OperatorCall]
     write_configuration: Callable[[bytes], bytes]
     listing_path: Callable[[str], str]
     read_listing: Callable[[bytes], ListingPage | None]
--- a/rooklug/gateway/region_order.py
+++ b/rooklug/gateway/region_choice.py
@@ -1,12 +1,12 @@
-"""In which region a request is served: by the plan's matrix, else the front's own."""
+"""Chooses the region of a request: by the plan's matrix, else the front's own."""
 
 from rooklug.gateway.document import Route, Service
-from rooklug.gateway.requests import PassedRequest
+from rooklug.gateway.requests import InboundRequest
 from rooklug.gateway.view import GatewayView
 
 
 def region_order(
-    view: GatewayView, region: str, request: PassedRequest, route: Route, service: Service
+    view: GatewayView, region: str, request: InboundRequest, route: Route, service: Service
 ) -> tuple[str, ...]:
     """Return the regions to try in order, for a front of ``region``; after them any will do."""
     shares = view.region_shares(service.name, region, route.home_regions)
--- a/rooklug/gateway/region_planner.py
+++ b/rooklug/gateway/region_planner.py
@@ -1,7 +1,7 @@
 """Decides at the primary where each region's traffic goes: one GSP solve, one matrix.
 
 Replicas of a gateway take no load orders, so the moves of a plan are its matrix.
-Demand comes from the fronts, capacity from the list of replicas and the emptied zones.
+Demand comes from the fronts, capacity from the list of replicas and the drained zones.
 """
 
 from collections import defaultdict
@@ -13,7 +13,8 @@
 from rooklug.engine import events as ev
 from rooklug.engine.component import BaseComponent, EmitEvent
 from rooklug.engine.reducer import Identifiers
-from rooklug.gateway.document import GatewayConfiguration, read_gateway_configuration
+from rooklug.gateway.document import GatewayConfiguration
+from rooklug.gateway.document_reader import read_gateway_configuration
 from rooklug.gateway.gateway_events import ReplicasListed
 from rooklug.gateway.view import MatrixKey
 from rooklug.model.internal_events import (
@@ -36,9 +37,9 @@
 
 SOLVE_INTERVAL_S = 2.0
 REPORT_VALID_S = 8.0
-"""A front's demand counts for so long; a quiet front reports nothing."""
-LEAST_CHANGE = 0.1
-"""A matrix is published anew if a weight moves by more than this."""
+"""A front's demand counts for so long; an idle front reports nothing."""
+MIN_PUBLISHED_CHANGE = 0.1
+"""A matrix is published again if a weight changes by more than this."""
 _TIMER = "solve"
 
 
@@ -51,7 +52,7 @@
 
 @attrs.frozen
 class _FrontDemand:
-    """A front's last report: tokens/s by (service, region, homes), and how fast replicas read."""
+    """A front's last report: tokens/s by (service, region, homes), and the prefill rate."""
 
     at: float
     loads: dict[MatrixKey, float]
@@ -79,7 +80,7 @@
         self._configuration_version = 0
         self._homes: dict[str, tuple[str, ...]] = {}
         self._replicas: tuple[ListedReplica, ...] = ()
-        self._emptied: frozenset[str] = frozenset()
+        self._drained_zones: frozenset[str] = frozenset()
         self._fronts: dict[str, _FrontDemand] = {}
         self._ticket = 0
         self._published: dict[tuple, float] = {}
@@ -88,28 +89,28 @@
         """Take one event."""
         match event:
             case PrimaryStarted():
-                return self._begin_term(event.epoch)
+                return self._start_term(event.epoch)
             case PrimaryStopped():
                 self._epoch = 0
                 return [fx.CancelTimer(_TIMER)]
             case ReplicasListed():
                 self._replicas = tuple(event.body.replicas)
             case ZonesCommitted():
-                self._emptied = frozenset(event.body.emptied_zones)
+                self._drained_zones = frozenset(event.body.emptied_zones)
             case ConfigurationCommitted():
                 self._take_configuration(event)
             case ev.CallArrived():
-                return self._report(event, now)
+                return self._demand_reported(event, now)
             case ev.TimerFired():
                 return [fx.StartTimer(_TIMER, SOLVE_INTERVAL_S), *self._solve(now)]
             case ev.Computed():
                 return self._solved(event)
         return []
 
-    def _begin_term(self, epoch: int) -> list[fx.Effect]:
-        going_on = self._epoch > 0
+    def _start_term(self, epoch: int) -> list[fx.Effect]:
+        was_primary = self._epoch > 0
         self._epoch = epoch
-        if going_on:
+        if was_primary:
             return []
         self._fronts = {}
         self._published = {}
@@ -123,7 +124,7 @@
             self._configuration_version = event.body.version
             self._homes = {route.name: route.home_regions for route in read.ok.all_routes()}
 
-    def _report(self, event: ev.CallArrived, now: float) -> list[fx.Effect]:
+    def _demand_reported(self, event: ev.CallArrived, now: float) -> list[fx.Effect]:
         if not self._epoch:
             return [fx.Answer(event.call_id, DemandAnswer(accepted=False))]
         report = event.request
@@ -142,11 +143,13 @@
         from rooklug.gateway.region_problem import RegionSite
 
         self._ticket = self._identifiers.next()
-        site = RegionSite(self._configuration, self._replicas, self._emptied, self._read_rate(now))
+        site = RegionSite(
+            self._configuration, self._replicas, self._drained_zones, self._prefill_rate(now)
+        )
         return [fx.Compute(self._ticket, solve_lazily, site.problem(self._measured(now)))]
 
-    def _read_rate(self, now: float) -> float | None:
-        """Return how fast replicas read, by the fronts that have reported; None: not known."""
+    def _prefill_rate(self, now: float) -> float | None:
+        """Return the mean prefill rate that fronts have reported; None if none has."""
         rates = [
             front.read_tokens_per_s
             for front in self._fronts.values()
@@ -158,8 +161,8 @@
         measured: dict[MatrixKey, float] = defaultdict(float)
         for front in self._fronts.values():
             if now - front.at <= REPORT_VALID_S:
-                for place, load in front.loads.items():
-                    measured[place] += load
+                for key, load in front.loads.items():
+                    measured[key] += load
         return measured
 
     def _solved(self, event: ev.Computed) -> list[fx.Effect]:
@@ -177,16 +180,17 @@
             )
             for c in cells
         }
-        if not self._has_moved(weights):
+        if not self._has_changed(weights):
             return []
         self._published = weights
         self._sequence += 1
         body = PlanBody(self._configuration_version, [], cells, "demand and replicas")
         return [EmitEvent(TopicOffered(PLAN, self._epoch, self._sequence, body))]
 
-    def _has_moved(self, weights: dict[tuple, float]) -> bool:
+    def _has_changed(self, weights: dict[tuple, float]) -> bool:
         if weights.keys() != self._published.keys():
             return True
         return any(
-            abs(weight - self._published[key]) > LEAST_CHANGE for key, weight in weights.items()
+            abs(weight - self._published[key]) > MIN_PUBLISHED_CHANGE
+            for key, weight in weights.items()
         )
--- a/rooklug/gateway/region_problem.py
+++ b/rooklug/gateway/region_problem.py
@@ -24,12 +24,12 @@
 ASSUMED_ROUND_TRIP_MS = 50.0
 """Between regions: beyond "zonal", so that a plan keeps traffic near while it can."""
 TARGET_UTILIZATION = 0.4
-"""Share of its reading that a model replica is planned to use: prompts come in clumps, and streams
-pause while a backlog is read. The rest is the reserve for a lost zone."""
-USUAL_READ_TOKENS_PER_S = 30_000.0
-"""Taken before any front has observed how fast replicas read."""
-REQUESTS_A_SLOT_S = 40.0
-"""What a slot of another service sustains; a default of ours."""
+"""Share of its prefill rate that a model replica is planned to use: prompts come in bursts, and
+streams stall while a backlog is prefilled. The rest is the reserve for a lost zone."""
+DEFAULT_PREFILL_TOKENS_PER_S = 30_000.0
+"""Assumed before any front has observed a prefill rate."""
+REQUESTS_PER_SLOT_S = 40.0
+"""What a slot of a service without an engine sustains; a default of ours."""
 _CLASS = "any"
 
 MeasuredLoads = dict[MatrixKey, float]
@@ -39,7 +39,7 @@
 
 @attrs.frozen
 class RegionSite:
-    """What a plan is made for: configuration, listed replicas and emptied zones."""
+    """What a plan is made for: configuration, listed replicas and drained zones."""
 
     configuration: GatewayConfiguration
     replicas: tuple[ListedReplica, ...]
@@ -71,9 +71,9 @@
     def _model(self, service: str, replicas: list[ListedReplica]) -> Model:
         slots = max(replica.slots or 1 for replica in replicas if replica.backend == service)
         if self.configuration.services[service].engine is None:
-            capacity = REQUESTS_A_SLOT_S * slots
+            capacity = REQUESTS_PER_SLOT_S * slots
         else:
-            capacity = TARGET_UTILIZATION * (self.read_tokens_per_s or USUAL_READ_TOKENS_PER_S)
+            capacity = TARGET_UTILIZATION * (self.read_tokens_per_s or DEFAULT_PREFILL_TOKENS_PER_S)
         need = ResourceNeed(units=1.0, tokens_per_s=capacity, concurrency=slots)
         return Model(latency_classes={_CLASS: RoundTrip.ZONAL}, resources={service: need})
 
@@ -115,8 +115,8 @@
 def matrix_cells(matrix: tuple[RouteShare, ...]) -> list[RouteWeight]:
     """Return the matrix for fronts: planned traffic first, by its amounts, also the late part.
 
-    Fronts of a gateway don't know how full a region is, so a spill that the plan counts on
-    must be a weight of the first preference.
+    Fronts of a gateway don't know how full a region is, so a spill in the plan must be a weight
+    of the first preference.
     """
     totals: dict[DemandKey, float] = defaultdict(float)
     for share in matrix:
--- a/rooklug/gateway/replica_cost.py
+++ b/rooklug/gateway/replica_cost.py
@@ -1,40 +1,41 @@
-"""What it would cost to send a request to a replica, in seconds.
+"""Cost model of the choice of a replica, in seconds.
 
-An engine reads prompts between the tokens of the streams that run on it: while a backlog of
-prompts is read, every stream there pauses. So a prompt's cost at a replica has three parts: the
-chance that it is late itself, the streams that its reading makes late by a pause beyond their
-objective, and the shared parts that are read again.
+An engine prefills prompts between the decode steps of the streams that run on it: while a backlog
+of prompts is prefilled, every stream there stalls. The cost of a request at a replica adds up the
+time to its first token, a penalty for missing the latency objective, a penalty for each running
+stream whose gap between tokens grows beyond its objective, and the prefill of shared blocks that
+another replica holds in its cache.
 """
 
 import attrs
 import xxhash
 
-from rooklug.gateway.prefix_table import PrefixTable
-from rooklug.gateway.replicas import GatewayReplica
-from rooklug.gateway.requests import PromptPart
-from rooklug.routing.peer_loads import Use
-
-READ_AGAIN_WEIGHT = 2.0
-"""Reading shared tokens again weighs as much as waiting so many times as long."""
-LIKELY_HELD_SHARE = 0.5
-"""Weight of a token at the replica that all fronts agree on: another front may have sent it."""
-RUNNING_S = 0.002
-"""A running request slows the others as much as so long a wait."""
-PATIENCE_SHARE = 0.2
-"""A wait of more than this part of the route's latency objective endangers it."""
-LATE_WEIGHT = 10.0
-"""Weight of each second beyond that."""
-PAUSE_SHARE = 0.5
-"""A backlog of more than this part of the longest pause endangers the streams beside it."""
-PAUSE_WEIGHT = 2.0
-"""Weight of each second beyond that, for each of those streams."""
-USUAL_GAP_S = 0.5
-"""Taken where a route tells no longest pause."""
+from rooklug.gateway.gateway_replica import GatewayReplica
+from rooklug.gateway.prefix_cache_table import PrefixCacheTable
+from rooklug.gateway.requests import PrefixBlock
+from rooklug.routing.peer_loads import ReplicaUsage
+
+REPREFILL_WEIGHT = 2.0
+"""Weight of a second spent on prefilling shared blocks again."""
+PROBABLY_CACHED_WEIGHT = 0.5
+"""Weight of an uncached token at the owner: another front may have sent its block there."""
+RUNNING_REQUEST_COST_S = 0.002
+"""Cost of each running request, which slows the others."""
+LATENCY_BUDGET_SHARE = 0.2
+"""Share of the latency objective that the time to the first token may take without penalty."""
+SLO_MISS_WEIGHT = 10.0
+"""Weight of each second beyond that share."""
+GAP_SHARE = 0.5
+"""Share of the gap objective that a prefill backlog may take without penalty."""
+GAP_MISS_WEIGHT = 2.0
+"""Weight of each second beyond that share, for each running stream."""
+DEFAULT_GAP_S = 0.5
+"""Gap objective of a route that has none."""
 
 
 @attrs.frozen
 class Cost:
-    """What a replica would cost, in seconds, and its rank for the prompt."""
+    """Cost of one replica in seconds, and its rank for the prompt."""
 
     replica: GatewayReplica
     total_s: float
@@ -42,47 +43,61 @@
 
     @property
     def order(self) -> tuple[float, int]:
-        """Return what replicas are compared by: the cost, then the rank that fronts agree on."""
+        """Return the sort key: the cost, then the rank that all fronts agree on."""
         return self.total_s, -self.rank
 
 
 @attrs.frozen
 class CostModel:
-    """Costs of one request: what it shares, how long it and its neighbours may wait.
+    """Inputs of the costs of one request.
 
-    ``parts`` are shared prompt parts, ``own_tokens`` the rest of the prompt, ``ranks`` are the
-    replicas' ranks for these parts, ``likely`` is the replica that every front would choose, and
-    ``tokens_per_s`` is the rate at which replicas read.
+    Attributes:
+        shared_blocks: Blocks of the prompt that other prompts may begin with, too.
+        unique_tokens: Tokens of the rest of the prompt.
+        latency_objective_s: The route's objective for the first token.
+        gap_objective_s: The route's objective for the gap between tokens; 0 takes the default.
+        tokens_per_s: Rate at which replicas prefill.
+        prefixes: Blocks that each replica's cache probably holds.
+        ranks: Rank of each replica for the shared blocks, by replica id.
+        owner: Id of the replica that every front would choose for these blocks.
     """
 
-    parts: tuple[PromptPart, ...]
-    own_tokens: int
-    objective_s: float
-    gap_s: float
+    shared_blocks: tuple[PrefixBlock, ...]
+    unique_tokens: int
+    latency_objective_s: float
+    gap_objective_s: float
     tokens_per_s: float
-    prefixes: PrefixTable
+    prefixes: PrefixCacheTable
     ranks: dict[str, int]
-    likely: str
-
-    def of(self, replica: GatewayReplica, load: Use, now: float) -> Cost:
-        """Return the cost of one replica."""
-        missing = self.prefixes.missing(replica.replica_id, self.parts, now)
-        before_s = load.waiting_tokens / self.tokens_per_s
-        after_s = before_s + (missing + self.own_tokens) / self.tokens_per_s
-        held = LIKELY_HELD_SHARE if replica.replica_id == self.likely else 1.0
-        again_s = missing * held / self.tokens_per_s
-        late_s = max(after_s - self.objective_s * PATIENCE_SHARE, 0.0)
-        pause_s = (self.gap_s or USUAL_GAP_S) * PAUSE_SHARE
-        paused_s = max(after_s - pause_s, 0.0) - max(before_s - pause_s, 0.0)
+    owner: str
+
+    def of(self, replica: GatewayReplica, usage: ReplicaUsage, now: float) -> Cost:
+        """Return the cost of one replica under its present usage."""
+        missing = self.prefixes.missing_tokens(replica.replica_id, self.shared_blocks, now)
+        backlog_s = usage.queued_prefill_tokens / self.tokens_per_s
+        first_token_s = backlog_s + (missing + self.unique_tokens) / self.tokens_per_s
+        uncached_weight = PROBABLY_CACHED_WEIGHT if replica.replica_id == self.owner else 1.0
+        reprefill_s = missing * uncached_weight / self.tokens_per_s
+        budget_s = self.latency_objective_s * LATENCY_BUDGET_SHARE
+        slo_miss_s = max(first_token_s - budget_s, 0.0)
         total_s = (
-            after_s
-            + again_s * READ_AGAIN_WEIGHT
-            + late_s * LATE_WEIGHT
-            + load.running * (RUNNING_S + paused_s * PAUSE_WEIGHT)
+            first_token_s
+            + reprefill_s * REPREFILL_WEIGHT
+            + slo_miss_s * SLO_MISS_WEIGHT
+            + usage.running
+            * (
+                RUNNING_REQUEST_COST_S
+                + self._added_gap_miss_s(backlog_s, first_token_s) * GAP_MISS_WEIGHT
+            )
         )
         return Cost(replica, total_s, self.ranks[replica.replica_id])
 
+    def _added_gap_miss_s(self, backlog_s: float, first_token_s: float) -> float:
+        """Return by how much more the streams beside this request miss their gap objective."""
+        allowed_s = (self.gap_objective_s or DEFAULT_GAP_S) * GAP_SHARE
+        return max(first_token_s - allowed_s, 0.0) - max(backlog_s - allowed_s, 0.0)
+
 
-def rank_of(parts: tuple[PromptPart, ...], replica_id: str) -> int:
+def rank_of(blocks: tuple[PrefixBlock, ...], replica_id: str) -> int:
     """Return a rendezvous hash: all fronts rank the replicas for a prompt alike."""
-    return xxhash.xxh64_intdigest(f"{parts[-1].part_id}/{replica_id}".encode())
+    return xxhash.xxh64_intdigest(f"{blocks[-1].block_id}/{replica_id}".encode())
--- /dev/null
+++ b/rooklug/gateway/replica_rate_limiter.py
@@ -0,0 +1,120 @@
+"""Limits what all fronts send to any replica to about what it bears when it enters slow start now.
+
+A replica may restart at any moment, and the list shows it only seconds later, while the bound on
+a replica in slow start counts from the first moment. So replicas of a service with a slow-start
+rate are rate-limited even while they are warm. Fronts don't coordinate: each has a share of the
+bound. Up to its share a front sends freely; beyond it other replicas come first, and only when
+all of them are at their shares does it go on, up to a limit that it never passes.
+"""
+
+import math
+from collections import deque
+from enum import IntEnum
+
+import attrs
+
+from rooklug.routing.send_shares import SenderRole, SendShare
+
+RATE_WINDOW_S = 1.1
+"""The bound's second, and a margin for requests that arrive in a burst."""
+
+
+class Allowance(IntEnum):
+    """Whether one more request to a replica is allowed."""
+
+    NONE = 0
+    """Beyond the limit."""
+    SPARE = 1
+    """Beyond the front's share, within its limit."""
+    FREE = 2
+    """Within the front's share."""
+
+
+@attrs.frozen
+class SlowStartBound:
+    """Requests a second to a replica in slow start: its rate times ``overshoot``, and ``slack``."""
+
+    overshoot: float = 1.0
+    slack: float = 5.0
+
+    def requests(self, rate_per_s: float) -> float:
+        """Return the requests that all fronts together may send within a second."""
+        return rate_per_s * self.overshoot + self.slack
+
+
+@attrs.frozen
+class AllowedCounts:
+    """One front's share and limit at a replica, in requests a second."""
+
+    share: int
+    limit: int
+
+
+@attrs.frozen
+class RateShare:
+    """How the fronts of one sender role divide the bound.
+
+    ``share`` and ``limit`` are fractions of the bound for all of them together; a single front
+    gets at least ``min_share_count`` and ``min_limit_count`` requests a second.
+    """
+
+    share: float
+    limit: float
+    min_share_count: int
+    min_limit_count: int
+
+    def counts(self, bound: float, fronts: int) -> AllowedCounts:
+        """Return what one of so many fronts may send."""
+        share = math.floor(bound * self.share / fronts)
+        limit = math.floor(bound * self.limit / fronts)
+        return AllowedCounts(max(share, self.min_share_count), max(limit, self.min_limit_count))
+
+
+SHARES = {
+    SenderRole.OWN_REGION: RateShare(share=0.8, limit=1.0, min_share_count=1, min_limit_count=2),
+    SenderRole.OTHER_REGION: RateShare(share=0.2, limit=0.5, min_share_count=1, min_limit_count=2),
+    SenderRole.STANDBY: RateShare(share=0.0, limit=0.0, min_share_count=1, min_limit_count=2),
+    SenderRole.NONE: RateShare(share=0.0, limit=0.0, min_share_count=1, min_limit_count=1),
+}
+"""With many fronts the least counts add up to more than the bound; a replica then gets requests
+of all of them within one second only if all of them choose it. A front without a share may have
+been given a client's request all the same: one a second."""
+
+
+def allowed_counts(bound: float, share: SendShare) -> AllowedCounts:
+    """Return a front's share and limit at a replica, in requests a second."""
+    return SHARES[share.role].counts(bound, share.sharers)
+
+
+@attrs.define
+class ReplicaRateLimiter:
+    """One front's sends to each replica within the last ``RATE_WINDOW_S``."""
+
+    bound: SlowStartBound = attrs.field(factory=SlowStartBound)
+    _sent_at: dict[str, deque[float]] = attrs.field(factory=dict)
+
+    def allowance(
+        self, replica_id: str, rate_per_s: float, share: SendShare, now: float
+    ) -> Allowance:
+        """Tell whether one more request to a replica is allowed; a rate of 0 has no limit."""
+        recent = len(self._recent(replica_id, now))
+        if rate_per_s <= 0 or not recent:
+            return Allowance.FREE
+        allowed = allowed_counts(self.bound.requests(rate_per_s), share)
+        if recent < allowed.share:
+            return Allowance.FREE
+        return Allowance.SPARE if recent < allowed.limit else Allowance.NONE
+
+    def record_send(self, replica_id: str, now: float) -> None:
+        """Count a request that goes out."""
+        self._sent_at.setdefault(replica_id, deque()).append(now)
+
+    def forget_except(self, replica_ids: set[str]) -> None:
+        """Drop what is kept of replicas that are gone."""
+        self._sent_at = {key: sent for key, sent in self._sent_at.items() if key in replica_ids}
+
+    def _recent(self, replica_id: str, now: float) -> deque[float]:
+        recent = self._sent_at.get(replica_id, deque())
+        while recent and recent[0] <= now - RATE_WINDOW_S:
+            recent.popleft()
+        return recent
--- a/rooklug/gateway/requests.py
+++ b/rooklug/gateway/requests.py
@@ -1,13 +1,13 @@
-"""A caller's request as the gateway sees it, and the headers that go on."""
+"""A client's request as the gateway reads it, and the headers that are forwarded."""
 
 import zlib
 
 import attrs
 
 from rooklug.engine.events import HttpRequestArrived
-from rooklug.gateway.dialect import HeaderNames
+from rooklug.gateway.protocols import HeaderNames
 
-_HOP_HEADERS = frozenset(
+_HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
         "keep-alive",
@@ -25,16 +25,20 @@
 
 
 @attrs.frozen
-class PromptPart:
-    """One part of a prompt: its identity and its size in tokens."""
+class PrefixBlock:
+    """One block of a prompt that a KV cache may hold: its identity and its size in tokens."""
 
-    part_id: str
+    block_id: str
     tokens: int
 
 
 @attrs.frozen
-class PassedRequest:
-    """One attempt of a client. ``deadline_s`` is the client's patience from the arrival."""
+class InboundRequest:
+    """One attempt of a client.
+
+    ``deadline_s`` is how long the client waits, counted from the arrival, None if it says nothing.
+    ``prefix_blocks`` are the prompt's blocks in their order; the last one is usually its own.
+    """
 
     http_id: int
     method: str
@@ -43,7 +47,7 @@
     path: str
     request_id: str
     deadline_s: float | None
-    parts: tuple[PromptPart, ...]
+    prefix_blocks: tuple[PrefixBlock, ...]
     prompt_tokens: int
     answer_tokens: int
     headers: dict[str, str]
@@ -51,15 +55,15 @@
 
     @property
     def draw(self) -> float:
-        """A number in [0, 1) that is the same for each look at this request."""
+        """A number in [0, 1) from the request id, for weighted choices."""
         return (zlib.crc32(self.request_id.encode()) & 0xFFFFFF) / 0x1000000
 
 
-def read_request(event: HttpRequestArrived, names: HeaderNames) -> PassedRequest:
-    """Return the request of an HTTP event; fields that can't be read are left out."""
+def read_request(event: HttpRequestArrived, names: HeaderNames) -> InboundRequest:
+    """Return the request of an HTTP event; fields that can't be parsed are left out."""
     headers = event.headers
-    counts = _whole_numbers(headers.get(names.token_counts, ""))
-    return PassedRequest(
+    counts = _integers(headers.get(names.token_counts, ""))
+    return InboundRequest(
         http_id=event.request_id,
         method=event.method,
         target=event.target,
@@ -67,7 +71,7 @@
         path=event.path,
         request_id=headers.get(names.request_id, ""),
         deadline_s=_milliseconds(headers.get(names.deadline_ms, "")),
-        parts=_prompt_parts(headers.get(names.prompt_parts, "")),
+        prefix_blocks=_prefix_blocks(headers.get(names.prompt_parts, "")),
         prompt_tokens=counts[0] if counts else 0,
         answer_tokens=counts[1] if len(counts) > 1 else 0,
         headers=headers,
@@ -81,7 +85,7 @@
     return {
         name: value
         for name, value in headers.items()
-        if name not in _HOP_HEADERS and name not in named
+        if name not in _HOP_BY_HOP_HEADERS and name not in named
     }
 
 
@@ -92,15 +96,15 @@
         return None
 
 
-def _whole_numbers(text: str) -> list[int]:
-    words = [word.strip() for word in text.split(",")]
-    return [int(word) for word in words if word.isascii() and word.isdigit()]
+def _integers(text: str) -> list[int]:
+    items = [item.strip() for item in text.split(",")]
+    return [int(item) for item in items if item.isascii() and item.isdigit()]
 
 
-def _prompt_parts(text: str) -> tuple[PromptPart, ...]:
-    parts = []
-    for word in text.split(","):
-        part_id, _, tokens = word.strip().partition(":")
-        if part_id and tokens.isascii() and tokens.isdigit():
-            parts.append(PromptPart(part_id, int(tokens)))
-    return tuple(parts)
+def _prefix_blocks(text: str) -> tuple[PrefixBlock, ...]:
+    blocks = []
+    for item in text.split(","):
+        block_id, _, tokens = item.strip().partition(":")
+        if block_id and tokens.isascii() and tokens.isdigit():
+            blocks.append(PrefixBlock(block_id, int(tokens)))
+    return tuple(blocks)
--- /dev/null
+++ b/rooklug/gateway/response_handler.py
@@ -0,0 +1,169 @@
+"""Handles what comes back from replicas: answers, streams and failed calls."""
+
+from rooklug.engine import effects as fx
+from rooklug.engine import events as ev
+from rooklug.front.outcomes import AttemptOutcome
+from rooklug.gateway.event_stream import complete_length, last_event_id
+from rooklug.gateway.proxied_request import ProxiedRequest, ResponseState
+from rooklug.gateway.replica_call import REPLACED_STATUS, is_answer_to, is_not_executed
+from rooklug.gateway.request_forwarder import (
+    MIN_TIME_TO_SEND_S,
+    RETRY_AFTER_FULL_S,
+    RequestForwarder,
+)
+
+BAD_REQUEST_STATUS = 400
+FIRST_SERVER_ERROR_STATUS = 500
+MAX_UNSENT_ATTEMPTS = 4
+"""Replicas that are tried for one request while no connection comes about."""
+MAX_ERROR_BODY_BYTES = 1024 * 1024
+"""An answer that is no success is held until it is complete; a longer one counts as broken."""
+
+
+class ResponseHandler:
+    """Decides for each answer whether it is forwarded, retried elsewhere or given up."""
+
+    def __init__(self, forwarder: RequestForwarder) -> None:
+        self._forwarder = forwarder
+
+    def answered(self, event: ev.HttpAnswered, now: float) -> list[fx.Effect]:
+        """Take a complete answer."""
+        proxied = self._forwarder.by_call.pop(event.call_id, None)
+        if proxied is None:
+            return []
+        return self._complete_answer(proxied, event.status, event.headers, event.body, now)
+
+    def started(self, event: ev.HttpResponseStarted, now: float) -> list[fx.Effect]:
+        """Take the head of a streamed answer."""
+        proxied = self._forwarder.by_call.get(event.call_id)
+        if proxied is None:
+            return []
+        self._record_response(proxied, event.call_id, now)
+        proxied.status = event.status
+        proxied.headers = event.headers
+        proxied.error_body = []
+        if not proxied.is_success:
+            return []
+        if not is_answer_to(proxied, event.headers, self._forwarder.names):
+            cancel = self._forwarder.cancel_call(event.call_id)
+            return [cancel, *self._retry_after_broken_answer(proxied, now)]
+        if proxied.response_state is ResponseState.STREAMING:
+            return []  # a resumed stream goes on under the head of its first replica
+        proxied.response_state = ResponseState.STREAMING
+        headers = self._forwarder.answers.headers(event.headers)
+        return [fx.HttpStreamStart(proxied.request.http_id, event.status, headers)]
+
+    def chunk(self, event: ev.HttpBodyChunk, now: float) -> list[fx.Effect]:
+        """Take bytes of a streamed answer; only complete events go on to the client."""
+        proxied = self._forwarder.by_call.get(event.call_id)
+        if proxied is None:
+            return []
+        if not proxied.is_success:
+            return self._error_chunk(proxied, event, now)
+        self._record_response(proxied, event.call_id, now)
+        data = proxied.incomplete_event + event.data
+        length = complete_length(data)
+        proxied.incomplete_event = data[length:]
+        if not length:
+            return []
+        events = data[:length]
+        proxied.last_event_id = last_event_id(events) or proxied.last_event_id
+        return [fx.HttpStreamChunk(proxied.request.http_id, events)]
+
+    def completed(self, event: ev.HttpResponseCompleted, now: float) -> list[fx.Effect]:
+        """Take the end of a streamed answer."""
+        proxied = self._forwarder.by_call.pop(event.call_id, None)
+        if proxied is None:
+            return []
+        if not proxied.is_success:
+            body = b"".join(proxied.error_body)
+            return self._complete_answer(proxied, proxied.status, proxied.headers, body, now)
+        if proxied.incomplete_event:
+            self._forwarder.record_end(proxied, AttemptOutcome.BROKEN, now)
+            return self._forwarder.resume_stream(proxied, now)
+        self._forwarder.record_end(proxied, AttemptOutcome.SUCCESS, now)
+        return self._forwarder.end_stream(proxied)
+
+    def failed(self, event: ev.HttpFailed, now: float) -> list[fx.Effect]:
+        """Take the failure of a call."""
+        proxied = self._forwarder.by_call.pop(event.call_id, None)
+        if proxied is None:
+            return []
+        if event.send_state is ev.SendState.NOT_SENT:
+            return self._not_sent(proxied, now)
+        outcome = AttemptOutcome.BROKEN
+        if proxied.remaining_s(now) <= MIN_TIME_TO_SEND_S:
+            outcome = AttemptOutcome.TIMED_OUT
+        elif event.send_state is ev.SendState.MAYBE_SENT:
+            outcome = AttemptOutcome.RESET
+        self._forwarder.record_end(proxied, outcome, now)
+        proxied.may_have_run = True
+        if proxied.response_state is ResponseState.STREAMING:
+            return self._forwarder.resume_stream(proxied, now)
+        return self._forwarder.retry(proxied, now)
+
+    def _not_sent(self, proxied: ProxiedRequest, now: float) -> list[fx.Effect]:
+        """Try another replica after a connection that did not come about."""
+        self._forwarder.record_end(proxied, AttemptOutcome.CONNECT_FAILED, now)
+        proxied.executions -= 1
+        proxied.sends -= 1
+        if len(proxied.tried) >= MAX_UNSENT_ATTEMPTS:
+            return self._forwarder.give_up(proxied, now, RETRY_AFTER_FULL_S)
+        if proxied.sends:
+            return self._forwarder.retry(proxied, now)
+        return self._forwarder.send(proxied, now)
+
+    def _complete_answer(
+        self,
+        proxied: ProxiedRequest,
+        status: int,
+        headers: dict[str, str],
+        body: bytes,
+        now: float,
+    ) -> list[fx.Effect]:
+        if is_not_executed(status, headers, self._forwarder.names):
+            self._forwarder.record_end(proxied, None, now)
+            return self._not_executed(proxied, status, headers, body, now)
+        if not is_answer_to(proxied, headers, self._forwarder.names):
+            return self._retry_after_broken_answer(proxied, now)
+        is_server_error = status >= FIRST_SERVER_ERROR_STATUS
+        outcome = AttemptOutcome.BROKEN if is_server_error else AttemptOutcome.SUCCESS
+        self._forwarder.record_end(proxied, outcome, now)
+        return self._forwarder.respond(proxied, status, headers, body)
+
+    def _not_executed(
+        self,
+        proxied: ProxiedRequest,
+        status: int,
+        headers: dict[str, str],
+        body: bytes,
+        now: float,
+    ) -> list[fx.Effect]:
+        """Retry a request that a replica has rejected unrun, unless the request itself is bad."""
+        if status == BAD_REQUEST_STATUS:
+            return self._forwarder.respond(proxied, status, headers, body)
+        if status == REPLACED_STATUS:
+            # The address is another replica's by now: the send spends the retry budget, but
+            # none of the route's executions.
+            proxied.executions -= 1
+            self._forwarder.decision.traffic.record_address_mismatch(proxied.sent_to)
+        return self._forwarder.retry(proxied, now)
+
+    def _retry_after_broken_answer(self, proxied: ProxiedRequest, now: float) -> list[fx.Effect]:
+        self._forwarder.record_end(proxied, AttemptOutcome.BROKEN, now)
+        proxied.may_have_run = True
+        return self._forwarder.retry(proxied, now)
+
+    def _error_chunk(
+        self, proxied: ProxiedRequest, event: ev.HttpBodyChunk, now: float
+    ) -> list[fx.Effect]:
+        proxied.error_body.append(event.data)
+        if sum(len(chunk) for chunk in proxied.error_body) <= MAX_ERROR_BODY_BYTES:
+            return []
+        cancel = self._forwarder.cancel_call(event.call_id)
+        self._forwarder.record_end(proxied, AttemptOutcome.BROKEN, now)
+        return [cancel, *self._forwarder.resume_stream(proxied, now)]
+
+    def _record_response(self, proxied: ProxiedRequest, call_id: int, now: float) -> None:
+        self._forwarder.decision.traffic.record_response(call_id, proxied.sent_to, now)
+        proxied.last_response_at = now
--- a/rooklug/gateway/retry_budget.py
+++ b/rooklug/gateway/retry_budget.py
@@ -1,15 +1,15 @@
-"""A front's part of the retry budget that all fronts share.
+"""A front's share of the retry budget of all fronts.
 
-In any window a service may get ``ratio`` repeats a request and ``slack`` more, from all fronts
-together. A front spends repeats from the requests it took itself, and its part of the slack.
+In any window a service may get ``ratio`` retries a request and ``slack`` more, from all fronts
+together. A front spends retries from the requests it took itself, and its share of the slack.
 """
 
 from collections import deque
 
 import attrs
 
-SAFETY = 0.7
-"""Share of the budget that is used: fronts disagree for a moment on how many they are."""
+BUDGET_SAFETY_SHARE = 0.7
+"""Share of the budget that is used: fronts disagree briefly on how many they are."""
 
 DEFAULT_RATIO = 0.2
 DEFAULT_WINDOW_S = 10.0
@@ -27,31 +27,31 @@
 
 @attrs.define
 class RetryBudget:
-    """Counts this front's requests and repeats of one service in the last window."""
+    """Counts this front's requests and retries of one service in the last window."""
 
     settings: RetryBudgetSettings
     _requests: deque[float] = attrs.field(factory=deque)
-    _repeats: deque[float] = attrs.field(factory=deque)
+    _retries: deque[float] = attrs.field(factory=deque)
 
     def count_request(self, now: float) -> None:
-        """Note a client's request."""
+        """Count a client's request."""
         self._requests.append(now)
 
-    def may_repeat(self, fronts: int, now: float) -> bool:
+    def may_retry(self, fronts: int, now: float) -> bool:
         """Tell whether a request may be sent once more."""
         self._forget(now)
         settings = self.settings
         slack = settings.slack / fronts if fronts > 0 else 0.0
-        allowed = SAFETY * (settings.ratio * len(self._requests) + slack)
-        return len(self._repeats) + 1 <= allowed
+        allowed = BUDGET_SAFETY_SHARE * (settings.ratio * len(self._requests) + slack)
+        return len(self._retries) + 1 <= allowed
 
-    def count_repeat(self, now: float) -> None:
-        """Note a repeat."""
-        self._repeats.append(now)
+    def count_retry(self, now: float) -> None:
+        """Count a retry."""
+        self._retries.append(now)
 
     def _forget(self, now: float) -> None:
         oldest = now - self.settings.window_s
-        for times in (self._requests, self._repeats):
+        for times in (self._requests, self._retries):
             while times and times[0] < oldest:
                 times.popleft()
 
--- a/rooklug/gateway/serving_fronts.py
+++ b/rooklug/gateway/serving_fronts.py
@@ -1,35 +1,35 @@
-"""Which fronts take the clients' traffic of a region: the same ones in every front's opinion."""
+"""Which fronts take the clients' traffic of a region; every front computes the same ones."""
 
 import math
 
 from rooklug.runtime.addresses import split_address
 from rooklug.wire.generated.control.ttypes import NodeRecord
 
-LEAST_FRONTS = 2
-MOST_COLLECTORS = 3
-"""The second is asked when the first doesn't answer, and so on."""
-FRONTS_SHARE = 1 / 8
+MIN_SERVING_FRONTS = 2
+MAX_COLLECTORS = 3
+"""The second is called when the first doesn't answer, and so on."""
+SERVING_SHARE = 1 / 8
 """Share of a region's fronts that its clients are sent to: fewer fronts know more of the load of
 each replica and of what it holds, and keep fewer connections; the rest stand by. With half as
 many a burst of long prompts filled the links of the fronts that served."""
 
 
 def serving_fronts(fronts: list[NodeRecord], core_machines: frozenset[str]) -> list[NodeRecord]:
-    """Return the part of a region's ready fronts that takes traffic.
+    """Return those of a region's ready fronts that take traffic.
 
-    Zones take turns, and machines that also run a core come last: they have other work, and
-    what strikes the core need not strike the traffic. ``core_machines`` are IP addresses.
+    Zones alternate, and machines that also run a core come last: they have other work, and a
+    fault of the core's machine should not hit the traffic, too. ``core_machines`` are IP addresses.
     """
     return _ranked(fronts, core_machines)[: serving_count(len(fronts))]
 
 
 def load_collectors(fronts: list[NodeRecord], core_machines: frozenset[str]) -> list[NodeRecord]:
-    """Return the fronts of a region that collect loads, in the order in which they are asked.
+    """Return the fronts of a region that collect loads, in the order in which they are called.
 
-    They are the next ones after those that take traffic: they have the time for it.
+    They are the next ones after those that take traffic: they are idle.
     """
     count = serving_count(len(fronts))
-    return _ranked(fronts, core_machines)[count : count + MOST_COLLECTORS]
+    return _ranked(fronts, core_machines)[count : count + MAX_COLLECTORS]
 
 
 def _ranked(fronts: list[NodeRecord], core_machines: frozenset[str]) -> list[NodeRecord]:
@@ -42,7 +42,7 @@
     for node in sorted(fronts, key=lambda n: (runs_core(n), n.node_id)):
         by_zone.setdefault(node.zone, []).append(node)
     ranked = [
-        (place, zone, node) for zone, nodes in by_zone.items() for place, node in enumerate(nodes)
+        (rank, zone, node) for zone, nodes in by_zone.items() for rank, node in enumerate(nodes)
     ]
     ranked.sort(key=lambda entry: (runs_core(entry[2]), *entry[:2]))
     return [node for _, _, node in ranked]
@@ -50,7 +50,7 @@
 
 def serving_count(fronts: int) -> int:
     """Return how many of a region's ready fronts take its traffic."""
-    return max(LEAST_FRONTS, math.ceil(fronts * FRONTS_SHARE))
+    return max(MIN_SERVING_FRONTS, math.ceil(fronts * SERVING_SHARE))
 
 
 def machine_of(address: str) -> str:
--- a/rooklug/gateway/view.py
+++ b/rooklug/gateway/view.py
@@ -5,10 +5,10 @@
 import attrs
 
 from rooklug.gateway.document import GatewayConfiguration
+from rooklug.gateway.gateway_replica import GatewayReplica
 from rooklug.gateway.replica_pool import RegionPool
-from rooklug.gateway.replicas import GatewayReplica
 from rooklug.gateway.serving_fronts import load_collectors, serving_fronts
-from rooklug.routing.send_rights import SendRights
+from rooklug.routing.send_shares import SendShares
 from rooklug.wire.generated.control.ttypes import NodeRecord, RouteWeight
 
 FRONT_ROLE = "front"
@@ -48,7 +48,7 @@
         return [
             replica
             for replica in self.replicas.get(service, ())
-            if not replica.leaving
+            if not replica.draining
             and replica.zone not in self.drained_zones
             and (not homes or replica.region in homes)
         ]
@@ -68,20 +68,20 @@
 
     @cached_property
     def ready_fronts(self) -> tuple[NodeRecord, ...]:
-        """The fronts that take traffic."""
+        """The fronts that are ready and not draining."""
         return tuple(node for node in self.fronts if node.ready and not node.draining)
 
     @cached_property
-    def send_rights(self) -> SendRights:
+    def send_shares(self) -> SendShares:
         """Which fronts take the traffic of each region."""
         serving = {
             region: tuple(node.node_id for node in serving_fronts(found, self.core_machines))
             for region, found in self._fronts_by_region.items()
         }
-        return SendRights(serving, frozenset(node.node_id for node in self.ready_fronts))
+        return SendShares(serving, frozenset(node.node_id for node in self.ready_fronts))
 
     def load_collectors(self, region: str) -> list[NodeRecord]:
-        """Return the fronts that collect the loads of a region, in the order they are asked."""
+        """Return the fronts that collect the loads of a region, in the order they are called."""
         return load_collectors(self._fronts_by_region.get(region, []), self.core_machines)
 
     @cached_property
--- a/rooklug/gateway/view_keeper.py
+++ b/rooklug/gateway/view_builder.py
@@ -1,11 +1,14 @@
 """Builds the gateway's view from the topics that the core distributes."""
 
+from collections.abc import Callable
+from typing import Any
+
 import attrs
 
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
 from rooklug.engine.component import BaseComponent, EmitEvent
-from rooklug.gateway.document import read_gateway_configuration
+from rooklug.gateway.document_reader import read_gateway_configuration
 from rooklug.gateway.gateway_events import ViewChanged
 from rooklug.gateway.serving_fronts import machine_of
 from rooklug.gateway.view import FRONT_ROLE, GatewayReplica, GatewayView, matrix_of
@@ -20,22 +23,23 @@
     ZonesBody,
 )
 
-RESTORED_COLD_S = 2.5
-"""Replicas of a zone that is taken back may have turned cold a moment before; the list tells so
-only after its lag, one reading and the way to the fronts. Until then they count as cold."""
+RESTORED_SLOW_START_S = 2.5
+"""Replicas of a zone that is taken back may have restarted a moment before; the list shows it
+only after its lag, one read and the distribution to the fronts. Until then they count as in slow
+start."""
 
 
-class GatewayViewKeeper(BaseComponent):
-    """Holds the newest view and tells the other parts of each change."""
+class GatewayViewBuilder(BaseComponent):
+    """Holds the newest view and announces each change to the other components."""
 
     name = "gateway-view"
     subscribes_to = (TopicChanged,)
 
     def __init__(self) -> None:
         self.view = GatewayView()
-        self._listed_cold_until: dict[str, float] = {}
+        self._listed_until: dict[str, float] = {}
         self._restored_until: dict[str, float] = {}
-        self._takers = {
+        self._handlers: dict[str, Callable[[Any, float], list[fx.Effect]]] = {
             CONFIGURATION: self._take_configuration,
             ZONES: self._take_zones,
             MEMBERS: self._take_members,
@@ -47,7 +51,7 @@
         """Take a topic's newer body."""
         if not isinstance(event, TopicChanged):
             return []
-        effects = self._takers[event.topic](event.body, now)
+        effects = self._handlers[event.topic](event.body, now)
         return [*effects, EmitEvent(ViewChanged(self.view))]
 
     def _take_configuration(self, body: ConfigurationBody, now: float) -> list[fx.Effect]:
@@ -59,14 +63,14 @@
         return [fx.Log("debug", "serves under a configuration", {"version": body.version})]
 
     def _take_zones(self, body: ZonesBody, now: float) -> list[fx.Effect]:
-        emptied = frozenset(body.emptied_zones)
-        for zone in self.view.drained_zones - emptied:
-            self._restored_until[zone] = now + RESTORED_COLD_S
+        drained = frozenset(body.emptied_zones)
+        for zone in self.view.drained_zones - drained:
+            self._restored_until[zone] = now + RESTORED_SLOW_START_S
         replicas = {
-            service: tuple(self._with_cold(replica, now) for replica in found)
+            service: tuple(self._with_slow_start(replica, now) for replica in found)
             for service, found in self.view.replicas.items()
         }
-        self.view = attrs.evolve(self.view, drained_zones=emptied, replicas=replicas)
+        self.view = attrs.evolve(self.view, drained_zones=drained, replicas=replicas)
         return []
 
     def _take_members(self, body: MembersBody, now: float) -> list[fx.Effect]:
@@ -76,28 +80,28 @@
         return []
 
     def _take_replicas(self, body: ReplicasBody, now: float) -> list[fx.Effect]:
-        self._note_cold(body.replicas, now)
+        self._record_slow_starts(body.replicas, now)
         by_service: dict[str, list[GatewayReplica]] = {}
         for listed in body.replicas:
-            replica = self._with_cold(_replica(listed), now)
+            replica = self._with_slow_start(_replica(listed), now)
             by_service.setdefault(listed.backend, []).append(replica)
         replicas = {service: tuple(found) for service, found in by_service.items()}
         self.view = attrs.evolve(self.view, replicas=replicas, is_listed=True)
         return [fx.Log("debug", "knows the replicas", {"replicas": len(body.replicas)})]
 
-    def _note_cold(self, listed: list[ListedReplica], now: float) -> None:
-        """Note until when each replica is cold; a repeated entry doesn't prolong it."""
-        held, self._listed_cold_until = self._listed_cold_until, {}
+    def _record_slow_starts(self, listed: list[ListedReplica], now: float) -> None:
+        """Note the end of each replica's slow start; a repeated entry doesn't prolong it."""
+        known, self._listed_until = self._listed_until, {}
         for replica in listed:
             if replica.cold_ms:
-                until = held.get(replica.replica_id, 0.0)
+                until = known.get(replica.replica_id, 0.0)
                 fresh = now + replica.cold_ms / 1000
-                self._listed_cold_until[replica.replica_id] = until if until > now else fresh
+                self._listed_until[replica.replica_id] = until if until > now else fresh
 
-    def _with_cold(self, replica: GatewayReplica, now: float) -> GatewayReplica:
-        listed = self._listed_cold_until.get(replica.replica_id, 0.0)
+    def _with_slow_start(self, replica: GatewayReplica, now: float) -> GatewayReplica:
+        listed = self._listed_until.get(replica.replica_id, 0.0)
         restored = self._restored_until.get(replica.zone, 0.0)
-        return attrs.evolve(replica, cold_until=max(listed, restored))
+        return attrs.evolve(replica, slow_start_until=max(listed, restored))
 
     def _take_plan(self, body: PlanBody, now: float) -> list[fx.Effect]:
         self.view = attrs.evolve(self.view, matrix=matrix_of(body.matrix))
@@ -112,5 +116,5 @@
         region=listed.region,
         zone=listed.zone,
         slots=listed.slots or 1,
-        leaving=listed.leaving,
+        draining=listed.leaving,
     )
--- a/rooklug/routing/__init__.py
+++ b/rooklug/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Pure routing policies: where a request goes. Typed inputs, no input or output, no clock."""
+"""Pure routing policies: hash ring, senders' shares and peers' loads; no I/O and no clock."""
--- a/rooklug/routing/peer_loads.py
+++ b/rooklug/routing/peer_loads.py
@@ -1,69 +1,75 @@
-"""What the other fronts of a region have under way at each replica, as they told last."""
+"""Calls in flight of a region's other fronts at each replica, by their newest reports."""
 
 import attrs
 
-STALE_S = 0.6
-"""A peer that was silent for so long counts as having nothing under way."""
+REPORT_TTL_S = 0.6
+"""A peer without a report for so long counts as having no calls in flight."""
 
 
 @attrs.frozen
-class Use:
-    """Requests without an end, and prompt tokens of those without a byte of an answer."""
+class ReplicaUsage:
+    """Calls in flight, and prompt tokens of those without a byte of an answer."""
 
     running: int = 0
-    waiting_tokens: int = 0
+    queued_prefill_tokens: int = 0
 
 
-NO_USE = Use()
+NO_USAGE = ReplicaUsage()
 
 
 @attrs.frozen
-class _Told:
+class _PeerReport:
     at: float
     incarnation: str
     sequence: int
-    uses: dict[str, Use]
+    usages: dict[str, ReplicaUsage]
 
 
 @attrs.define
 class PeerLoads:
-    """The newest word of each peer. It changes decisions only; nothing is promised by it."""
+    """The newest report of each peer. Only decisions depend on it, no guarantee does."""
 
-    _told: dict[str, _Told] = attrs.field(factory=dict)
+    _reports: dict[str, _PeerReport] = attrs.field(factory=dict)
 
     def take(
-        self, node_id: str, incarnation: str, sequence: int, uses: dict[str, Use], now: float
+        self,
+        node_id: str,
+        incarnation: str,
+        sequence: int,
+        usages: dict[str, ReplicaUsage],
+        now: float,
     ) -> bool:
-        """Take a peer's message; tell whether it is newer than what is held."""
-        known = self._told.get(node_id)
+        """Take a peer's report; tell whether it is newer than the one held."""
+        known = self._reports.get(node_id)
         if known and known.incarnation == incarnation and known.sequence >= sequence:
             return False
-        self._told[node_id] = _Told(now, incarnation, sequence, uses)
+        self._reports[node_id] = _PeerReport(now, incarnation, sequence, usages)
         return True
 
-    def at_replica(self, replica_id: str, now: float) -> Use:
-        """Return what all peers together have under way at a replica."""
-        running = waiting_tokens = 0
-        for told in self._told.values():
-            use = told.uses.get(replica_id)
-            if use is not None and now - told.at <= STALE_S:
-                running += use.running
-                waiting_tokens += use.waiting_tokens
-        return Use(running, waiting_tokens)
-
-    def all_but(self, node_id: str, now: float) -> dict[str, Use]:
-        """Return what all peers but one have under way, by replica."""
-        totals: dict[str, Use] = {}
-        for name, told in self._told.items():
-            if name == node_id or now - told.at > STALE_S:
+    def usage_at(self, replica_id: str, now: float) -> ReplicaUsage:
+        """Return what all peers together have in flight at a replica."""
+        running = queued_prefill_tokens = 0
+        for report in self._reports.values():
+            usage = report.usages.get(replica_id)
+            if usage is not None and now - report.at <= REPORT_TTL_S:
+                running += usage.running
+                queued_prefill_tokens += usage.queued_prefill_tokens
+        return ReplicaUsage(running, queued_prefill_tokens)
+
+    def totals_without(self, node_id: str, now: float) -> dict[str, ReplicaUsage]:
+        """Return what all peers but one have in flight, by replica id."""
+        totals: dict[str, ReplicaUsage] = {}
+        for name, report in self._reports.items():
+            if name == node_id or now - report.at > REPORT_TTL_S:
                 continue
-            for replica_id, use in told.uses.items():
-                sum_ = totals.get(replica_id, NO_USE)
-                totals[replica_id] = Use(
-                    sum_.running + use.running, sum_.waiting_tokens + use.waiting_tokens
+            for replica_id, usage in report.usages.items():
+                total = totals.get(replica_id, NO_USAGE)
+                totals[replica_id] = ReplicaUsage(
+                    total.running + usage.running,
+                    total.queued_prefill_tokens + usage.queued_prefill_tokens,
                 )
         return totals
 
     def forget_except(self, node_ids: frozenset[str]) -> None:
         """Drop the fronts that are not ready any more."""
-        self._told = {key: told for key, told in self._told.items() if key in node_ids}
+        self._reports = {key: report for key, report in self._reports.items() if key in node_ids}
--- a/rooklug_lab/cli.py
+++ b/rooklug_lab/cli.py
@@ -17,7 +17,7 @@
   rooklug-lab lag --routes 500 --changes 20
   rooklug-lab sim all --seeds 1-5
   rooklug-lab gateway all --seeds 1-5
-  rooklug-lab policy compare --set serving_fronts.FRONTS_SHARE=0.1 --seeds 1-4
+  rooklug-lab policy compare --set serving_fronts.SERVING_SHARE=0.1 --seeds 1-4
 """
 
 
--- a/rooklug_lab/gateway/clients.py
+++ b/rooklug_lab/gateway/clients.py
@@ -8,8 +8,8 @@
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
 from rooklug.engine.reducer import MetricSample, ProcessContext
-from rooklug_lab.gateway.dialect import CHANGE_PATH, CONFIGURATION_PATH, NAMES, WHERE_PATH
 from rooklug_lab.gateway.journal import Attempt, Journal, Order
+from rooklug_lab.gateway.protocols import CHANGE_PATH, CONFIGURATION_PATH, NAMES, WHERE_PATH
 
 HOST = "desk.example"
 ASK_TIMEOUT_S = 1.0
@@ -62,7 +62,7 @@
             case ev.TimerFired():
                 return self._timer(event.name, now)
             case ev.HttpAnswered() if event.call_id == self._asking:
-                return self._told(event)
+                return self._directory_answered(event)
             case ev.HttpFailed() if event.call_id == self._asking:
                 return [fx.StartTimer(_ASK_TIMER, 0.1)]
             case ev.HttpResponseStarted():
@@ -85,7 +85,7 @@
         call = fx.HttpCall(self._asking, address, "GET", path, b"", ASK_TIMEOUT_S)
         return [call]
 
-    def _told(self, event: ev.HttpAnswered) -> list[fx.Effect]:
+    def _directory_answered(self, event: ev.HttpAnswered) -> list[fx.Effect]:
         if event.status != 200:
             return [fx.StartTimer(_ASK_TIMER, 0.1)]
         answer = json.loads(event.body)
--- a/rooklug_lab/gateway/dialect.py
+++ b/rooklug_lab/gateway/protocols.py
@@ -3,17 +3,17 @@
 import json
 
 from rooklug.engine.events import HttpRequestArrived
-from rooklug.gateway.dialect import (
-    BadOrder,
-    ControlDialect,
-    EdgeDialect,
+from rooklug.gateway.protocols import (
+    BadCall,
+    ClientProtocol,
+    DrainZone,
     HeaderNames,
     ListingPage,
-    OperatorOrder,
-    ReadOrder,
-    SubmitOrder,
-    WhereQuestion,
-    ZoneOrder,
+    OperatorCall,
+    OperatorProtocol,
+    ReadConfiguration,
+    ResolveRequest,
+    SubmitConfiguration,
 )
 from rooklug.wire.generated.control.ttypes import ListedReplica
 
@@ -25,38 +25,38 @@
 LIST_PATH = "/list"
 
 
-def edge_dialect() -> EdgeDialect:
+def client_protocol() -> ClientProtocol:
     """Return what the simulated fronts speak."""
-    return EdgeDialect(NAMES, READY_PATH, _read_where, _write_where)
+    return ClientProtocol(NAMES, READY_PATH, _read_resolve_request, _write_addresses)
 
 
-def control_dialect() -> ControlDialect:
+def operator_protocol() -> OperatorProtocol:
     """Return what the simulated cores speak."""
-    return ControlDialect(_read_order, bytes, _listing_path, _read_listing)
+    return OperatorProtocol(_read_call, bytes, _listing_path, _read_listing)
 
 
-def _read_where(event: HttpRequestArrived) -> WhereQuestion | None:
+def _read_resolve_request(event: HttpRequestArrived) -> ResolveRequest | None:
     if event.path != WHERE_PATH:
         return None
     query = event.query
-    return WhereQuestion(query.get("host", ""), query.get("region", ""), query.get("zone", ""))
+    return ResolveRequest(query.get("host", ""), query.get("region", ""), query.get("zone", ""))
 
 
-def _write_where(addresses: list[str], ttl_s: float) -> bytes:
+def _write_addresses(addresses: list[str], ttl_s: float) -> bytes:
     return json.dumps({"addresses": addresses, "ttl_s": ttl_s}).encode()
 
 
-def _read_order(event: HttpRequestArrived) -> OperatorOrder:
+def _read_call(event: HttpRequestArrived) -> OperatorCall:
     if event.path == CONFIGURATION_PATH:
-        return ReadOrder()
+        return ReadConfiguration()
     if event.path == CHANGE_PATH:
         query = event.query
         is_patch = query.get("patch") == "1"
-        return SubmitOrder(int(query["version"]), event.body, is_patch, int(query["base"]))
+        return SubmitConfiguration(int(query["version"]), event.body, is_patch, int(query["base"]))
     _, _, zone, action = f"{event.path}//".split("/", 4)[:4]
     if event.path.startswith("/zone/") and action in ("empty", "restore"):
-        return ZoneOrder(zone, emptied=action == "empty")
-    return BadOrder(404, "no such call")
+        return DrainZone(zone, drained=action == "empty")
+    return BadCall(404, "no such call")
 
 
 def _listing_path(page: str) -> str:
--- a/rooklug_lab/gateway/replicas.py
+++ b/rooklug_lab/gateway/replicas.py
@@ -9,8 +9,8 @@
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
 from rooklug.engine.reducer import MetricSample, ProcessContext
-from rooklug_lab.gateway.dialect import NAMES
 from rooklug_lab.gateway.journal import Arrival, Journal, Leaving, Run
+from rooklug_lab.gateway.protocols import NAMES
 from rooklug_lab.sim.process import SimulatedProcess
 
 ENDED_LISTED_S = 3.0
--- a/rooklug_lab/gateway/scenarios.py
+++ b/rooklug_lab/gateway/scenarios.py
@@ -192,7 +192,7 @@
     )
 }
 
-DRAWN = frozenset({random_day.__name__})
+RANDOM_SCENARIOS = frozenset({random_day.__name__})
 """Scenarios whose deployment is drawn, too."""
 WIDE = frozenset({region_is_lost.__name__, control_falls_apart.__name__})
 """Scenarios that need a deployment which bears the loss of a region."""
@@ -224,7 +224,7 @@
 
 
 def _shape_for(name: str, seed: int) -> SiteShape:
-    if name in DRAWN:
+    if name in RANDOM_SCENARIOS:
         return drawn_shape(Random(seed))
     if name in LARGE:
         return LARGE_SHAPE
--- a/rooklug_lab/gateway/site.py
+++ b/rooklug_lab/gateway/site.py
@@ -5,16 +5,16 @@
 from random import Random
 
 from rooklug.gateway.build import GatewayLimits, compose_gateway_core, compose_gateway_front
-from rooklug.gateway.replica_pace import ColdBound
+from rooklug.gateway.replica_rate_limiter import SlowStartBound
 from rooklug.model.settings import CoreSettings, NodeSettings
 from rooklug_lab.gateway.clients import ClientStandIn, OperatorStandIn
-from rooklug_lab.gateway.dialect import control_dialect, edge_dialect
 from rooklug_lab.gateway.journal import Disturbance, Journal, Order
 from rooklug_lab.gateway.oracles import (
     BUDGET,
     COLD_OVERSHOOT,
     COLD_SLACK,
 )
+from rooklug_lab.gateway.protocols import client_protocol, operator_protocol
 from rooklug_lab.gateway.replicas import Conduct, PlatformStandIn, ReplicaEntry, ReplicaStandIn
 from rooklug_lab.gateway.shape import FIXED_SHAPE, SiteShape
 from rooklug_lab.gateway.site_document import site_document
@@ -47,7 +47,7 @@
         self._core_ips: dict[int, str] = {}
         self.fronts: list[str] = []
         self._limits = limits or GatewayLimits(
-            cold_bound=ColdBound(COLD_OVERSHOOT, COLD_SLACK), retry_budget=BUDGET
+            slow_start_bound=SlowStartBound(COLD_OVERSHOOT, COLD_SLACK), retry_budget=BUDGET
         )
         self._first_start = True
         self._version = 0
@@ -319,7 +319,7 @@
                 self._first_start,
                 min_in_sync_replicas=self.shape.min_in_sync_replicas,
             )
-            return compose_gateway_core(settings, context, control_dialect())
+            return compose_gateway_core(settings, context, operator_protocol())
 
         self.world.add(
             core.node_id,
@@ -343,7 +343,7 @@
         node = _node(name, "front", zone, region, ip, "8000", seeds)
 
         def build(context):
-            return compose_gateway_front(node, context, edge_dialect(), self._limits)
+            return compose_gateway_front(node, context, client_protocol(), self._limits)
 
         http = self.world.http
         process = self.world.add(
--- a/rooklug_lab/policy/arrivals.py
+++ b/rooklug_lab/policy/arrivals.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from rooklug.gateway.requests import PromptPart
+from rooklug.gateway.requests import PrefixBlock
 from rooklug_lab.policy.shapes import ChainLevel, PolicySite, RequestKind, Spread, ZoneShape
 
 CLUMP_S = 0.1
@@ -24,7 +24,7 @@
     at: float
     kind: RequestKind
     zone: ZoneShape
-    parts: tuple[PromptPart, ...]
+    parts: tuple[PrefixBlock, ...]
     prompt_tokens: int
     events: int
     work_s: float
@@ -38,7 +38,7 @@
     site: PolicySite
     random: Random
     rates: dict[str, float] = attrs.field(factory=dict)
-    _chains: dict[str, list[list[PromptPart]]] = attrs.field(factory=dict)
+    _chains: dict[str, list[list[PrefixBlock]]] = attrs.field(factory=dict)
     _weights: dict[tuple[int, float], list[float]] = attrs.field(factory=dict)
 
     def draw(self, factor: float = 1.0) -> list[ClientRequest]:
@@ -67,10 +67,10 @@
             while self.random.random() > 1 / wave.clump:
                 yield min(at + self.random.uniform(0.0, CLUMP_S), self.site.length_s)
 
-    def _level(self, kind: RequestKind, level: int) -> list[PromptPart]:
+    def _level(self, kind: RequestKind, level: int) -> list[PrefixBlock]:
         shape = kind.chain[level]
         return [
-            PromptPart(f"{kind.name}-{level}-{thing}", max(1, round(self._size(shape.tokens))))
+            PrefixBlock(f"{kind.name}-{level}-{thing}", max(1, round(self._size(shape.tokens))))
             for thing in range(shape.things)
         ]
 
@@ -80,13 +80,13 @@
             return ClientRequest(number, at, kind, zone, (), 0, 0, work_s, 1.0)
         parts = self._parts(number, kind)
         own = max(1, round(self._size(kind.prompt)))
-        parts = (*parts, PromptPart(f"own-{number}", own))
+        parts = (*parts, PrefixBlock(f"own-{number}", own))
         events = max(EVENT_LEAST, round(self._size(kind.events)))
         mean = kind.prompt.mean + sum(level.tokens.mean for level in kind.chain)
         prompt = sum(part.tokens for part in parts)
         return ClientRequest(number, at, kind, zone, parts, prompt, events, 0.0, prompt / mean)
 
-    def _parts(self, number: int, kind: RequestKind) -> tuple[PromptPart, ...]:
+    def _parts(self, number: int, kind: RequestKind) -> tuple[PrefixBlock, ...]:
         """Return a chain; what stands behind a part belongs to that part alone."""
         if not kind.chain:
             return ()
--- a/rooklug_lab/policy/clients.py
+++ b/rooklug_lab/policy/clients.py
@@ -8,7 +8,7 @@
 from rooklug.engine import events as ev
 from rooklug.gateway.directory import addresses_for
 from rooklug.gateway.executor import LISTENER
-from rooklug_lab.gateway.dialect import NAMES
+from rooklug_lab.gateway.protocols import NAMES
 from rooklug_lab.policy.arrivals import ClientRequest
 from rooklug_lab.policy.credit import Outcome
 
@@ -18,7 +18,7 @@
 
 NEXT_ADDRESS_S = 0.01
 CONNECT_PATIENCE_S = 1.0
-PATIENCE_SHARE = 1 / 3
+RETRY_WAIT_SHARE = 1 / 3
 """Clients wait as they are told for at most this part of the time that they have left."""
 REFUSED_FAST_SHARE = 0.25
 DIRECTORY_AGE_S = 2.0
@@ -124,7 +124,7 @@
             NAMES.deadline_ms: str(left_ms),
         }
         if request.parts:
-            chain = ",".join(f"{part.part_id}:{part.tokens}" for part in request.parts)
+            chain = ",".join(f"{part.block_id}:{part.tokens}" for part in request.parts)
             every = self.world.tokens_per_event(request.kind)
             headers[NAMES.prompt_parts] = chain
             headers[NAMES.token_counts] = f"{request.prompt_tokens},{request.events * every}"
@@ -184,7 +184,7 @@
         outcome.refused_fast = now - attempt.sent_at <= kind.objective_s * REFUSED_FAST_SHARE
         left_s = self._ends_at(outcome) - now
         if outcome.attempts <= kind.retries:
-            wait_s = min(retry_after_s, left_s * PATIENCE_SHARE)
+            wait_s = min(retry_after_s, left_s * RETRY_WAIT_SHARE)
             self.world.scheduler.after(wait_s, lambda: self._send(outcome))
 
     def _failed(self, attempt: Attempt) -> None:
--- a/rooklug_lab/policy/control.py
+++ b/rooklug_lab/policy/control.py
@@ -16,7 +16,7 @@
 from rooklug.gateway.listing import READ_INTERVAL_S
 from rooklug.gateway.region_planner import SOLVE_INTERVAL_S, RegionPlanner
 from rooklug.gateway.view import GatewayView
-from rooklug.gateway.view_keeper import GatewayViewKeeper
+from rooklug.gateway.view_builder import GatewayViewBuilder
 from rooklug.model.internal_events import (
     ConfigurationCommitted,
     PrimaryStarted,
@@ -59,7 +59,7 @@
     """Keeps one view for all fronts."""
 
     world: "PolicyWorld"
-    keeper: GatewayViewKeeper = attrs.field(factory=GatewayViewKeeper)
+    keeper: GatewayViewBuilder = attrs.field(factory=GatewayViewBuilder)
     planner: RegionPlanner = attrs.field(factory=lambda: RegionPlanner(Identifiers()))
     emptied: set[str] = attrs.field(factory=set)
     _counter: int = 0
@@ -181,7 +181,7 @@
                 sequence=self._counter,
                 entries=[_entry(place, front, counts) for place, counts in sorted(taken.items())],
                 observations=[],
-                read_tokens_per_s=front.executor.decision.read_rate.tokens_per_s,
+                read_tokens_per_s=front.executor.decision.traffic.prefill_rate.tokens_per_s,
             )
             self._plan(ev.CallArrived(number, front.name, report))
 
@@ -189,7 +189,7 @@
 def _entry(place: tuple[str, str], front: "EmulatedFront", counts: list[float]) -> DemandEntry:
     route, service = place
     requests, prompt_tokens, answer_tokens = (count / REPORT_INTERVAL_S for count in counts)
-    prompt_tokens *= front.executor.decision.read_share
+    prompt_tokens *= front.executor.decision.traffic.prefill_share
     region = front.zone.region
     return DemandEntry(route, service, "", region, requests, prompt_tokens, answer_tokens, 0.0)
 
--- a/rooklug_lab/policy/decision_cost.py
+++ b/rooklug_lab/policy/decision_cost.py
@@ -1,8 +1,8 @@
 """What one decision costs a front, in processor time, by the number of replicas.
 
 A front of a region with steady traffic is asked for one request after the other; each runs for
-``RUNNING_S`` and then ends. Only the decision object is measured: the question, and the counts
-that it keeps of the request.
+``REQUEST_DURATION_S`` and then ends. Only the decision object is
+measured: the choice, and the counts that it keeps of the request.
 """
 
 import time
@@ -12,7 +12,6 @@
 import attrs
 
 from rooklug.front.outcomes import AttemptOutcome
-from rooklug.gateway.cold_gate import ColdGate
 from rooklug.gateway.decision import Decision, ServeAt
 from rooklug.gateway.document import (
     Engine,
@@ -22,14 +21,16 @@
     Service,
     ServiceShare,
 )
-from rooklug.gateway.requests import PassedRequest, PromptPart
+from rooklug.gateway.requests import InboundRequest, PrefixBlock
+from rooklug.gateway.slow_start_limiter import SlowStartLimiter
+from rooklug.gateway.traffic_record import TrafficRecord
 from rooklug.gateway.view import GatewayReplica, GatewayView
 from rooklug.wire.generated.control.ttypes import NodeRecord, VersionMark
 
 SIZES = (10, 65, 200, 830)
 REQUESTS = 1_500
 REQUESTS_PER_S = 30.0
-RUNNING_S = 0.5
+REQUEST_DURATION_S = 0.5
 FRONTS = 200
 ZONES = 6
 _REGIONS = ("north", "south")
@@ -66,21 +67,24 @@
         now = number / REQUESTS_PER_S
         while running and running[0][0] <= now:
             _, call_id, replica = running.popleft()
-            decision.heard(call_id, replica, now)
-            decision.ended(call_id, replica, AttemptOutcome.SUCCESS, now)
+            decision.traffic.record_response(call_id, replica, now)
+            decision.traffic.record_end(call_id, replica, AttemptOutcome.SUCCESS, now)
         request = _request(number, random)
         began = time.process_time()
-        verdict = decision.ask(request, _ROUTE, _SERVICE, frozenset(), now)
+        verdict = decision.choose(request, _ROUTE, _SERVICE, frozenset(), now)
         if isinstance(verdict, ServeAt):
-            decision.sent(number, request, verdict.replica, _SERVICE, now)
+            senders = decision.senders_to(verdict.replica)
+            decision.traffic.record_send(number, request, verdict.replica, _SERVICE, senders, now)
         spent_s += time.process_time() - began
         if isinstance(verdict, ServeAt):
-            running.append((now + RUNNING_S, number, verdict.replica))
+            running.append((now + REQUEST_DURATION_S, number, verdict.replica))
     return DecisionCost(replicas, spent_s / requests)
 
 
 def _decision(replicas: int) -> Decision:
-    decision = Decision("north", "zone-0", Random(1), ColdGate("front-0"))
+    random = Random(1)
+    traffic = TrafficRecord(random, SlowStartLimiter("front-0"))
+    decision = Decision("north", "zone-0", random, traffic)
     configuration = GatewayConfiguration(1, {"host": {"/review/": _ROUTE}}, {"model": _SERVICE})
     listed = tuple(_replica(number) for number in range(replicas))
     fronts = tuple(_front(number) for number in range(FRONTS))
@@ -96,7 +100,7 @@
         region=_REGIONS[number % 2],
         zone=f"zone-{number % ZONES}",
         slots=64,
-        leaving=False,
+        draining=False,
     )
 
 
@@ -115,13 +119,13 @@
     )
 
 
-def _request(number: int, random: Random) -> PassedRequest:
-    parts = (
-        PromptPart(f"head-{random.randrange(4)}", 2_500),
-        PromptPart(f"subject-{random.randrange(1_000)}", 3_700),
-        PromptPart(f"own-{number}", 2_800),
+def _request(number: int, random: Random) -> InboundRequest:
+    blocks = (
+        PrefixBlock(f"head-{random.randrange(4)}", 2_500),
+        PrefixBlock(f"subject-{random.randrange(1_000)}", 3_700),
+        PrefixBlock(f"own-{number}", 2_800),
     )
-    return PassedRequest(
+    return InboundRequest(
         http_id=number,
         method="POST",
         target="/review/1",
@@ -129,7 +133,7 @@
         path="/review/1",
         request_id=str(number),
         deadline_s=5.0,
-        parts=parts,
+        prefix_blocks=blocks,
         prompt_tokens=9_000,
         answer_tokens=50,
         headers={},
--- a/rooklug_lab/policy/engine.py
+++ b/rooklug_lab/policy/engine.py
@@ -9,7 +9,7 @@
 
 import attrs
 
-from rooklug.gateway.requests import PromptPart
+from rooklug.gateway.requests import PrefixBlock
 from rooklug_lab.policy.part_cache import PartCache
 from rooklug_lab.policy.shapes import EngineShape
 
@@ -26,7 +26,7 @@
 
     key: str
     priority: int
-    parts: tuple[PromptPart, ...]
+    parts: tuple[PrefixBlock, ...]
     prompt_tokens: int
     answer_tokens: int
     arrived_at: float
--- a/rooklug_lab/policy/part_cache.py
+++ b/rooklug_lab/policy/part_cache.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from rooklug.gateway.requests import PromptPart
+from rooklug.gateway.requests import PrefixBlock
 
 
 @attrs.define
@@ -16,21 +16,21 @@
     cached_tokens: int = 0
     _parts: OrderedDict[str, int] = attrs.field(factory=OrderedDict)
 
-    def kept_tokens(self, parts: tuple[PromptPart, ...]) -> int:
+    def kept_tokens(self, parts: tuple[PrefixBlock, ...]) -> int:
         """Return the tokens of the leading parts that needn't be read again, and touch them."""
         kept = 0
         for part in parts:
-            if part.part_id not in self._parts:
+            if part.block_id not in self._parts:
                 break
-            self._parts.move_to_end(part.part_id)
+            self._parts.move_to_end(part.block_id)
             kept += part.tokens
         return kept
 
-    def store(self, parts: tuple[PromptPart, ...]) -> None:
+    def store(self, parts: tuple[PrefixBlock, ...]) -> None:
         """Keep the parts of a prompt that has been read."""
         for part in parts:
-            self.cached_tokens += part.tokens - self._parts.pop(part.part_id, 0)
-            self._parts[part.part_id] = part.tokens
+            self.cached_tokens += part.tokens - self._parts.pop(part.block_id, 0)
+            self._parts[part.block_id] = part.tokens
         self.make_room()
 
     def make_room(self) -> None:
--- a/rooklug_lab/policy/replicas.py
+++ b/rooklug_lab/policy/replicas.py
@@ -7,7 +7,7 @@
 
 from rooklug.engine import events as ev
 from rooklug.engine.effects import HttpCall
-from rooklug_lab.gateway.dialect import NAMES
+from rooklug_lab.gateway.protocols import NAMES
 from rooklug_lab.policy.arrivals import ClientRequest
 from rooklug_lab.policy.engine import Sequence, ServingEngine
 from rooklug_lab.policy.shapes import ServiceShape, ZoneShape
--- a/rooklug_lab/policy/settings.py
+++ b/rooklug_lab/policy/settings.py
@@ -1,7 +1,7 @@
 """Sets constants of the product for one experiment, by the names of their modules.
 
 An experiment names a constant as ``MODULE.NAME``, with ``rooklug.gateway.`` or
-``rooklug.routing.`` left out: ``serving_fronts.FRONTS_SHARE=0.1``.
+``rooklug.routing.`` left out: ``serving_fronts.SERVING_SHARE=0.1``.
 """
 
 import ast
--- a/rooklug_lab/policy/world.py
+++ b/rooklug_lab/policy/world.py
@@ -6,9 +6,9 @@
 from rooklug.engine.reducer import Identifiers
 from rooklug.gateway.build import GatewayLimits, build_executor
 from rooklug.gateway.executor import GatewayExecutor
-from rooklug.gateway.replica_pace import ColdBound
+from rooklug.gateway.replica_rate_limiter import SlowStartBound
 from rooklug.gateway.retry_budget import RetryBudgetSettings
-from rooklug_lab.gateway.dialect import NAMES
+from rooklug_lab.gateway.protocols import NAMES
 from rooklug_lab.policy.arrivals import ArrivalPlan
 from rooklug_lab.policy.clients import EmulatedClients
 from rooklug_lab.policy.control import EmulatedControl
@@ -41,7 +41,7 @@
         self._used_at: dict[str, float] = {}
         self._arrived: set[str] = set()
         self._limits = GatewayLimits(
-            cold_bound=ColdBound(site.cold_overshoot, site.cold_slack),
+            slow_start_bound=SlowStartBound(site.cold_overshoot, site.cold_slack),
             retry_budget=RetryBudgetSettings(site.retry_ratio, 10.0, site.retry_slack),
         )
         self._build_replicas()
@@ -109,11 +109,11 @@
         kept = sequence.kept_tokens
         for part in sequence.parts[:-1]:
             kept -= part.tokens
-            used_at = self._used_at.get(part.part_id, -self.site.prices.again_within_s)
+            used_at = self._used_at.get(part.block_id, -self.site.prices.again_within_s)
             if kept < 0 and now - used_at < self.site.prices.again_within_s:
                 self.usage.tokens_again += part.tokens
                 outcome.tokens_again += part.tokens
-            self._used_at[part.part_id] = now
+            self._used_at[part.block_id] = now
 
     def count_pauses(self, job: Job) -> None:
         """Take the longest pause of a stream that has ended at its replica."""
--- a/tests/gateway_support.py
+++ b/tests/gateway_support.py
@@ -8,13 +8,15 @@
 from rooklug.engine import events as ev
 from rooklug.engine.component import EmitEvent
 from rooklug.engine.reducer import Identifiers
-from rooklug.gateway.cold_gate import ColdGate
 from rooklug.gateway.decision import Decision
-from rooklug.gateway.dialect import HeaderNames
-from rooklug.gateway.document import GatewayConfiguration, read_gateway_configuration
+from rooklug.gateway.document import GatewayConfiguration
+from rooklug.gateway.document_reader import read_gateway_configuration
 from rooklug.gateway.executor import LISTENER, GatewayExecutor
 from rooklug.gateway.gateway_events import ViewChanged
+from rooklug.gateway.protocols import HeaderNames
 from rooklug.gateway.retry_budget import RetryBudgetSettings
+from rooklug.gateway.slow_start_limiter import SlowStartLimiter
+from rooklug.gateway.traffic_record import TrafficRecord
 from rooklug.gateway.view import GatewayReplica, GatewayView
 from rooklug.wire.generated.control.ttypes import NodeRecord, VersionMark
 
@@ -67,7 +69,7 @@
         "region": "north",
         "zone": "north-a",
         "slots": 6,
-        "leaving": False,
+        "draining": False,
     }
     return GatewayReplica(**{**defaults, **fields})
 
@@ -109,7 +111,9 @@
             is_listed=True,
             fronts=tuple(front(number) for number in range(1, fronts + 1)),
         )
-        self.decision = Decision("north", "north-a", Random(1), ColdGate("front-1"))
+        random = Random(1)
+        traffic = TrafficRecord(random, SlowStartLimiter("front-1"))
+        self.decision = Decision("north", "north-a", random, traffic)
         self.executor = GatewayExecutor(
             self.decision, NAMES, Identifiers(), budget or RetryBudgetSettings(slack=60.0)
         )
--- a/tests/test_gateway_balancing.py
+++ b/tests/test_gateway_balancing.py
@@ -3,63 +3,63 @@
 import attrs
 
 from rooklug.engine import events as ev
-from rooklug.gateway.prefix_table import HELD_S, PrefixTable
-from rooklug.gateway.read_rate import ReadRate
-from rooklug.gateway.replica_load import SILENCE_S, ReplicaLoad
-from rooklug.gateway.requests import PromptPart
+from rooklug.gateway.prefill_rate import PrefillRate
+from rooklug.gateway.prefix_cache_table import CACHE_TTL_S, PrefixCacheTable
+from rooklug.gateway.replica_load import RESPONSE_TIMEOUT_S, ReplicaLoad
+from rooklug.gateway.requests import PrefixBlock
 from rooklug.gateway.view import GatewayView, RegionShare
 from tests.gateway_support import NAMES, GatewayFront, replica, route_item
 
 ROUTE = route_item("s", "/s/", execution="event_stream", service="model", affinity=True)
-FIRST, SECOND, OWN = PromptPart("a", 300), PromptPart("b", 500), PromptPart("c", 100)
+FIRST, SECOND, OWN = PrefixBlock("a", 300), PrefixBlock("b", 500), PrefixBlock("c", 100)
 
 
 class Prefixes(unittest.TestCase):
     def test_a_part_is_kept_only_after_all_before_it(self):
-        table = PrefixTable()
-        table.used("r", (FIRST, SECOND), 10_000, 0.0)
-        self.assertEqual(table.missing("r", (FIRST, SECOND, OWN), 1.0), 100)
-        self.assertEqual(table.missing("r", (OWN, FIRST, SECOND), 1.0), 900)
-        self.assertEqual(table.missing("other", (FIRST,), 1.0), 300)
+        table = PrefixCacheTable()
+        table.record_use("r", (FIRST, SECOND), 10_000, 0.0)
+        self.assertEqual(table.missing_tokens("r", (FIRST, SECOND, OWN), 1.0), 100)
+        self.assertEqual(table.missing_tokens("r", (OWN, FIRST, SECOND), 1.0), 900)
+        self.assertEqual(table.missing_tokens("other", (FIRST,), 1.0), 300)
 
     def test_parts_go_with_time_and_with_memory(self):
-        table = PrefixTable()
-        table.used("r", (FIRST,), 10_000, 0.0)
-        self.assertEqual(table.missing("r", (FIRST,), HELD_S + 0.1), 300)
-        table.used("r", (SECOND,), 900, 1.0)
-        self.assertEqual(table.missing("r", (FIRST,), 1.0), 300)
-        self.assertEqual(table.missing("r", (SECOND,), 1.0), 0)
+        table = PrefixCacheTable()
+        table.record_use("r", (FIRST,), 10_000, 0.0)
+        self.assertEqual(table.missing_tokens("r", (FIRST,), CACHE_TTL_S + 0.1), 300)
+        table.record_use("r", (SECOND,), 900, 1.0)
+        self.assertEqual(table.missing_tokens("r", (FIRST,), 1.0), 300)
+        self.assertEqual(table.missing_tokens("r", (SECOND,), 1.0), 0)
 
     def test_a_replica_that_is_gone_holds_nothing(self):
-        table = PrefixTable()
-        table.used("r", (FIRST,), 10_000, 0.0)
+        table = PrefixCacheTable()
+        table.record_use("r", (FIRST,), 10_000, 0.0)
         table.forget_except({"other"})
-        self.assertEqual(table.missing("r", (FIRST,), 0.0), 300)
+        self.assertEqual(table.missing_tokens("r", (FIRST,), 0.0), 300)
 
 
 class Loads(unittest.TestCase):
     def test_only_a_replica_that_owes_answers_is_silent(self):
         load = ReplicaLoad()
-        self.assertFalse(load.is_silent(100.0))
-        load.sent(1, 50, 100.0)
-        self.assertFalse(load.is_silent(99.9 + SILENCE_S))
-        self.assertTrue(load.is_silent(100.1 + SILENCE_S))
-        load.heard(1, 101.5)
-        self.assertFalse(load.is_silent(101.6))
-        load.ended(1, 101.7)
-        self.assertFalse(load.is_silent(200.0))
-        load.sent(2, 50, 200.0)
-        self.assertFalse(load.is_silent(200.1))
+        self.assertFalse(load.is_unresponsive(100.0))
+        load.record_send(1, 50, 100.0)
+        self.assertFalse(load.is_unresponsive(99.9 + RESPONSE_TIMEOUT_S))
+        self.assertTrue(load.is_unresponsive(100.1 + RESPONSE_TIMEOUT_S))
+        load.record_response(1, 101.5)
+        self.assertFalse(load.is_unresponsive(101.6))
+        load.record_end(1, 101.7)
+        self.assertFalse(load.is_unresponsive(200.0))
+        load.record_send(2, 50, 200.0)
+        self.assertFalse(load.is_unresponsive(200.1))
 
     def test_prompts_wait_until_their_first_byte(self):
         load = ReplicaLoad()
-        load.sent(1, 50, 0.0)
-        load.sent(2, 70, 0.0)
-        self.assertEqual(load.waiting_tokens, 120)
-        load.heard(1, 0.1)
-        self.assertEqual(load.waiting_tokens, 70)
-        load.ended(2, 0.2)
-        self.assertEqual(load.waiting_tokens, 0)
+        load.record_send(1, 50, 0.0)
+        load.record_send(2, 70, 0.0)
+        self.assertEqual(load.queued_prefill_tokens, 120)
+        load.record_response(1, 0.1)
+        self.assertEqual(load.queued_prefill_tokens, 70)
+        load.record_end(2, 0.2)
+        self.assertEqual(load.queued_prefill_tokens, 0)
 
 
 class Choice(unittest.TestCase):
@@ -95,7 +95,7 @@
         home = {**ROUTE, "home_regions": ["north"]}
         replicas = [
             replica(1, "model", zone="emptied"),
-            replica(2, "model", leaving=True),
+            replica(2, "model", draining=True),
             replica(3, "model", region="south", zone="south-a"),
         ]
         front = GatewayFront([home], replicas)
@@ -118,7 +118,7 @@
 
     def test_a_silent_replica_is_passed_over(self):
         first = self.send("aa:3000,bb:5000,cc:10")
-        self.front.now += SILENCE_S + 0.1
+        self.front.now += RESPONSE_TIMEOUT_S + 0.1
         self.assertNotEqual(self.send("aa:3000,bb:5000,dd:10").address, first.address)
 
 
@@ -128,17 +128,17 @@
 
 class Rates(unittest.TestCase):
     def test_the_rate_follows_what_is_seen(self):
-        rate = ReadRate()
+        rate = PrefillRate()
         for number in range(200):
-            rate.sent(number, 10_000, float(number))
-            rate.heard(number, number + 1.0)
+            rate.record_send(number, 10_000, float(number))
+            rate.record_response(number, number + 1.0)
         self.assertAlmostEqual(rate.tokens_per_s, 10_000, delta=500)
 
     def test_short_reads_and_lost_requests_teach_nothing(self):
-        rate = ReadRate()
-        rate.sent(1, 10, 0.0)
-        rate.heard(1, 9.0)
-        rate.sent(2, 10_000, 0.0)
-        rate.ended(2)
-        rate.heard(2, 9.0)
-        self.assertEqual(rate.tokens_per_s, ReadRate().tokens_per_s)
+        rate = PrefillRate()
+        rate.record_send(1, 10, 0.0)
+        rate.record_response(1, 9.0)
+        rate.record_send(2, 10_000, 0.0)
+        rate.record_end(2)
+        rate.record_response(2, 9.0)
+        self.assertEqual(rate.tokens_per_s, PrefillRate().tokens_per_s)
--- a/tests/test_gateway_control.py
+++ b/tests/test_gateway_control.py
@@ -6,25 +6,25 @@
 from rooklug.engine import events as ev
 from rooklug.engine.component import EmitEvent
 from rooklug.engine.reducer import Identifiers, ProcessContext
-from rooklug.gateway.dialect import (
-    BadOrder,
-    ControlDialect,
-    EdgeDialect,
-    HeaderNames,
-    ListingPage,
-    ReadOrder,
-    SubmitOrder,
-    WhereQuestion,
-    ZoneOrder,
-)
 from rooklug.gateway.directory import DIRECTORY_LISTENER, READINESS_LISTENER, Directory
 from rooklug.gateway.gateway_events import ReplicasListed, ViewChanged
 from rooklug.gateway.lifecycle import Lifecycle
 from rooklug.gateway.listing import ListingWatcher
-from rooklug.gateway.operators import LISTENER, OperatorCalls
+from rooklug.gateway.operator_api import LISTENER, OperatorApi
+from rooklug.gateway.protocols import (
+    BadCall,
+    ClientProtocol,
+    DrainZone,
+    HeaderNames,
+    ListingPage,
+    OperatorProtocol,
+    ReadConfiguration,
+    ResolveRequest,
+    SubmitConfiguration,
+)
 from rooklug.gateway.region_planner import RegionPlanner, solve_lazily
 from rooklug.gateway.view import GatewayView
-from rooklug.gateway.view_keeper import GatewayViewKeeper
+from rooklug.gateway.view_builder import GatewayViewBuilder
 from rooklug.model.internal_events import (
     ConfigurationCommitted,
     PrimaryKnown,
@@ -64,14 +64,14 @@
     return ListedReplica(**{**defaults, **fields})
 
 
-def control_dialect(pages: dict[str, ListingPage] | None = None) -> ControlDialect:
+def operator_protocol(pages: dict[str, ListingPage] | None = None) -> OperatorProtocol:
     orders = {
-        "/change": SubmitOrder(2, b"{}", False, 1),
-        "/zone": ZoneOrder("north-a", True),
-        "/read": ReadOrder(),
+        "/change": SubmitConfiguration(2, b"{}", False, 1),
+        "/zone": DrainZone("north-a", True),
+        "/read": ReadConfiguration(),
     }
-    return ControlDialect(
-        read_order=lambda event: orders.get(event.path, BadOrder(404, "no such call")),
+    return OperatorProtocol(
+        read_call=lambda event: orders.get(event.path, BadCall(404, "no such call")),
         write_configuration=lambda body: b"<" + body + b">",
         listing_path=lambda page: f"/list/{page}",
         read_listing=lambda body: (pages or {}).get(body.decode()),
@@ -85,7 +85,7 @@
 class OperatorCase(unittest.TestCase):
     def setUp(self):
         self.now = 10.0
-        self.component = OperatorCalls(control_dialect(), context())
+        self.component = OperatorApi(operator_protocol(), context())
         self.component.handle(PrimaryKnown(1, PRIMARY), self.now)
 
     def ask(self, path: str) -> list[fx.Effect]:
@@ -149,7 +149,7 @@
             "warm": ListingPage((listed(1), listed(2)), ""),
             "gone": ListingPage((listed(1, leaving=True), listed(2)), ""),
         }
-        self.component = ListingWatcher(control_dialect(self.pages), "10.5.0.1:80", Identifiers())
+        self.component = ListingWatcher(operator_protocol(self.pages), "10.5.0.1:80", Identifiers())
 
     def read(self, body: str) -> list[fx.Effect]:
         return self.component.handle(ev.HttpAnswered(self.call_id, 200, {}, body.encode()), 0.0)
@@ -276,24 +276,28 @@
 
 class DirectoryCase(unittest.TestCase):
     def setUp(self):
-        self.keeper = GatewayViewKeeper()
+        self.view_builder = GatewayViewBuilder()
         self.active = 0
         self.lifecycle = Lifecycle(_Link(), lambda: self.active, grace_s=8.0)
-        self.dialect = EdgeDialect(
+        self.protocol = ClientProtocol(
             HeaderNames(),
             "/ready",
-            lambda event: WhereQuestion(**event.query) if event.path == "/where" else None,
+            lambda event: ResolveRequest(**event.query) if event.path == "/where" else None,
             lambda addresses, ttl_s: json.dumps([addresses, ttl_s]).encode(),
         )
-        self.component = Directory(self.dialect, self.keeper, self.lifecycle, "10.1.0.9:8000", 2.0)
+        self.component = Directory(
+            self.protocol, self.view_builder, self.lifecycle, "10.1.0.9:8000", 2.0
+        )
         self.be_ready()
 
     def be_ready(self, routes=None, **view):
         routes = routes or [route_item("a", "/a/", home_regions=["south"])]
         read = json.dumps(document(routes)).encode()
-        self.keeper._take_configuration(ConfigurationBody(1, "", read), 0.0)
-        known = GatewayView(configuration=self.keeper.view.configuration, is_listed=True, **view)
-        self.keeper.view = known
+        self.view_builder._take_configuration(ConfigurationBody(1, "", read), 0.0)
+        known = GatewayView(
+            configuration=self.view_builder.view.configuration, is_listed=True, **view
+        )
+        self.view_builder.view = known
         self.lifecycle.handle(ViewChanged(known), 0.0)
 
     def where(self, host="other.example", region="north", zone="north-a") -> list[str]:
--- a/tests/test_gateway_document.py
+++ b/tests/test_gateway_document.py
@@ -4,7 +4,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from rooklug.gateway.document import Execution, read_gateway_configuration
+from rooklug.gateway.document import Execution
+from rooklug.gateway.document_reader import read_gateway_configuration
 from rooklug.gateway.patching import apply_named_patch
 from tests.gateway_support import HOST, configuration, document, route_item
 
@@ -32,7 +33,7 @@
                 route_item("d", "/d/"),
             ]
         )
-        repeatable = {p: r.is_repeatable for p, r in found.routes[HOST].items()}
+        repeatable = {p: r.is_idempotent for p, r in found.routes[HOST].items()}
         self.assertEqual(repeatable, {"/a/": True, "/b/": False, "/c/": True, "/d/": False})
         self.assertIs(found.find(HOST, "/a/1").execution, Execution.EVENT_STREAM)
 
--- a/tests/test_gateway_executor.py
+++ b/tests/test_gateway_executor.py
@@ -2,12 +2,12 @@
 
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
-from rooklug.gateway.executor import MAX_FAILURE_BYTES
+from rooklug.gateway.response_handler import MAX_ERROR_BODY_BYTES
 from rooklug.gateway.retry_budget import RetryBudgetSettings
 from tests.gateway_support import NAMES, GatewayFront, answer_headers, replica, route_item
 
 ONCE = route_item("once", "/pay/")
-REPEATABLE = route_item("again", "/again/", execution="repeatable", max_replicas=2)
+IDEMPOTENT = route_item("again", "/again/", execution="repeatable", max_replicas=2)
 STREAM = route_item("stream", "/s/", execution="event_stream", service="model", timeout_ms=5000)
 BUSY = {NAMES.not_executed: "1"}
 
@@ -15,7 +15,7 @@
 class PassingThrough(unittest.TestCase):
     def setUp(self):
         self.front = GatewayFront(
-            [ONCE, REPEATABLE, STREAM],
+            [ONCE, IDEMPOTENT, STREAM],
             [replica(1), replica(2), replica(3, "model"), replica(4, "model")],
         )
 
@@ -80,7 +80,7 @@
 
     def test_a_client_that_leaves_ends_the_replicas_work(self):
         (call,) = self.front.request("/s/1")
-        http_id = next(iter(self.front.executor._by_http))
+        http_id = next(iter(self.front.executor.forwarder.by_http))
         self.assertEqual(
             self.front.handle(ev.HttpRequestClosed(http_id)), [fx.CancelHttpCall(call.call_id)]
         )
@@ -89,7 +89,7 @@
 
 class TryingAgain(unittest.TestCase):
     def setUp(self):
-        self.front = GatewayFront([ONCE, REPEATABLE], [replica(1), replica(2), replica(3)])
+        self.front = GatewayFront([ONCE, IDEMPOTENT], [replica(1), replica(2), replica(3)])
 
     def test_a_request_that_may_have_run_is_not_sent_again(self):
         (call,) = self.front.request("/pay/1")
@@ -122,7 +122,7 @@
 
     def test_without_budget_nothing_is_repeated(self):
         front = GatewayFront(
-            [REPEATABLE], [replica(1), replica(2)], budget=RetryBudgetSettings(0.0, 10.0, 0.0)
+            [IDEMPOTENT], [replica(1), replica(2)], budget=RetryBudgetSettings(0.0, 10.0, 0.0)
         )
         (call,) = front.request("/again/1")
         (answer,) = front.handle(ev.HttpFailed(call.call_id, "r", ev.SendState.MAYBE_SENT))
@@ -204,7 +204,7 @@
 
     def test_a_failure_without_an_end_is_given_up(self):
         self.start(500)
-        piece = b"x" * (MAX_FAILURE_BYTES // 2)
+        piece = b"x" * (MAX_ERROR_BODY_BYTES // 2)
         self.assertEqual(self.piece(piece), [])
         self.assertEqual(self.piece(piece), [])
         cancelled, answer = self.piece(b"x")
--- a/tests/test_gateway_large.py
+++ b/tests/test_gateway_large.py
@@ -101,7 +101,7 @@
             self.caught("emptied_get_nothing", "machines_are_added")
 
     def test_repeats_have_a_budget_whatever_clients_do(self) -> None:
-        with mock.patch.object(RetryBudget, "may_repeat", _always):
+        with mock.patch.object(RetryBudget, "may_retry", _always):
             self.caught("repeats_within_budget", "clients_repeat_at_once", 2)
 
     def test_enough_disks_hold_a_change(self) -> None:
--- a/tests/test_gateway_limits.py
+++ b/tests/test_gateway_limits.py
@@ -4,8 +4,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from rooklug.gateway.cold_gate import ColdGate
 from rooklug.gateway.retry_budget import RetryBudget, RetryBudgetSettings
+from rooklug.gateway.slow_start_limiter import SlowStartLimiter
 
 
 def busiest_second(times: list[float]) -> int:
@@ -17,13 +17,13 @@
 
     def pressed(self, fronts: int, rate: float, slack: int) -> int:
         ids = tuple(f"front-{n}" for n in range(fronts))
-        gates = [ColdGate(front_id, slack) for front_id in ids]
+        limiters = [SlowStartLimiter(front_id, slack) for front_id in ids]
         times = []
         for step in range(600):
             now = step / 200
-            for gate in gates:
-                if gate.may_send("r", rate, ids, now):
-                    gate.sent("r", rate, ids, now)
+            for limiter in limiters:
+                if limiter.may_send("r", rate, ids, now):
+                    limiter.record_send("r", rate, ids, now)
                     times.append(now)
         self.assertTrue(times)
         return busiest_second(times)
@@ -36,20 +36,20 @@
 
     def test_a_front_that_is_not_listed_sends_nothing(self):
         for ids in ((), ("front-1", "front-2")):
-            self.assertFalse(ColdGate("front-9", 5).may_send("r", 5.0, ids, 0.0))
+            self.assertFalse(SlowStartLimiter("front-9", 5).may_send("r", 5.0, ids, 0.0))
 
     def test_fronts_that_start_one_after_the_other_stay_below_the_bound_together(self):
         """Each front's list grows while its region returns, and no two lists are alike."""
         ids = tuple(f"front-{n}" for n in range(30))
-        gates = [ColdGate(front_id) for front_id in ids]
+        limiters = [SlowStartLimiter(front_id) for front_id in ids]
         times = []
         for step in range(600):
             now = step / 200
-            for number, gate in enumerate(gates):
+            for number, limiter in enumerate(limiters):
                 known = ids[: min(30, max(0, step // 6 - number % 5))]
                 senders = known[:2]
-                if gate.may_send("r", 8.8, senders, now):
-                    gate.sent("r", 8.8, senders, now)
+                if limiter.may_send("r", 8.8, senders, now):
+                    limiter.record_send("r", 8.8, senders, now)
                     times.append(now)
         self.assertTrue(times)
         self.assertLessEqual(busiest_second(times), 8.8 * 1.5 + 5)
@@ -58,16 +58,16 @@
         ids = tuple(f"front-{n}" for n in range(11))
         senders = Counter()
         for number in range(50):
-            able = [i for i in ids if ColdGate(i, 5).may_send(f"r-{number}", 1.0, ids, 0.0)]
+            able = [i for i in ids if SlowStartLimiter(i, 5).may_send(f"r-{number}", 1.0, ids, 0.0)]
             self.assertEqual(len(able), 5)
             senders.update(able)
         self.assertEqual(len(senders), 11)
 
     def test_a_service_without_a_cold_rate_is_not_limited(self):
-        gate = ColdGate("front-1")
+        limiter = SlowStartLimiter("front-1")
         for _ in range(100):
-            self.assertTrue(gate.may_send("r", 0.0, (), 0.0))
-            gate.sent("r", 0.0, (), 0.0)
+            self.assertTrue(limiter.may_send("r", 0.0, (), 0.0))
+            limiter.record_send("r", 0.0, (), 0.0)
 
 
 class Retries(unittest.TestCase):
@@ -80,8 +80,8 @@
         for at, number in sorted(arrivals):
             budgets[number].count_request(at)
             requests.append(at)
-            while budgets[number].may_repeat(len(budgets), at):
-                budgets[number].count_repeat(at)
+            while budgets[number].may_retry(len(budgets), at):
+                budgets[number].count_retry(at)
                 repeats.append(at)
         for start in repeats:
             spent = sum(start <= t <= start + bounds.window_s for t in repeats)
@@ -94,4 +94,4 @@
     def test_a_front_that_knows_of_nobody_spends_no_slack(self):
         budget = RetryBudget(RetryBudgetSettings(ratio=0.2, slack=1000.0))
         budget.count_request(0.0)
-        self.assertFalse(budget.may_repeat(0, 0.0))
+        self.assertFalse(budget.may_retry(0, 0.0))
--- a/tests/test_gateway_load_collector.py
+++ b/tests/test_gateway_load_collector.py
@@ -5,19 +5,19 @@
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
 from rooklug.gateway.load_collector import (
-    MOST_PROMPTS_KEPT,
-    MOST_PROMPTS_TOLD,
+    MAX_ANSWERED_PROMPTS,
+    MAX_STORED_PROMPTS,
     LoadCollector,
 )
 from rooklug.gateway.peer_exchange import (
-    COLLECTOR_LOST_S,
-    MOST_PEERS,
-    STANDBY_PAUSE_S,
+    COLLECTOR_RETRY_S,
+    MAX_DIRECT_PEERS,
+    STANDBY_INTERVAL_S,
     PeerExchange,
 )
-from rooklug.gateway.replica_pace import ColdBound
+from rooklug.gateway.replica_rate_limiter import SlowStartBound
 from rooklug.gateway.serving_fronts import load_collectors, serving_fronts
-from rooklug.routing.peer_loads import NO_USE, STALE_S, Use
+from rooklug.routing.peer_loads import NO_USAGE, REPORT_TTL_S, ReplicaUsage
 from rooklug.wire.codec import decode, encode
 from rooklug.wire.generated.peers.ttypes import FrontUse, FrontUseTaken, ReplicaUse, SentPrompt
 from tests.gateway_support import GatewayFront, replica
@@ -46,7 +46,7 @@
     def test_a_front_that_fell_silent_is_left_out(self):
         collector = LoadCollector()
         collector.take(word("a", 1, running=2), 0.0)
-        self.assertEqual([], collector.take(word("b", 1), STALE_S + 0.1).others)
+        self.assertEqual([], collector.take(word("b", 1), REPORT_TTL_S + 0.1).others)
 
     def test_prompts_are_told_once_and_never_to_their_sender(self):
         collector = LoadCollector()
@@ -72,12 +72,12 @@
 
     def test_what_it_keeps_and_tells_is_bounded(self):
         collector = LoadCollector()
-        many = [prompt(str(number)) for number in range(3 * MOST_PROMPTS_KEPT)]
+        many = [prompt(str(number)) for number in range(3 * MAX_STORED_PROMPTS)]
         collector.take(word("a", 1, prompts=many), 0.0)
         told = collector.take(word("b", 1), 0.0)
-        self.assertEqual(MOST_PROMPTS_TOLD, len(told.prompts))
+        self.assertEqual(MAX_ANSWERED_PROMPTS, len(told.prompts))
         self.assertEqual(["1535"], told.prompts[-1].part_ids)
-        self.assertEqual(MOST_PROMPTS_KEPT, len(collector._prompts))
+        self.assertEqual(MAX_STORED_PROMPTS, len(collector._prompts))
 
 
 class Asking(unittest.TestCase):
@@ -86,7 +86,7 @@
     def setUp(self):
         self.gateway = GatewayFront([ROUTE], [replica(1, "model"), replica(2, "model")], FRONTS)
         view = self.gateway.view
-        self.serving = view.send_rights.serving["north"]
+        self.serving = view.send_shares.serving["north"]
         self.collectors = [node.node_id for node in view.load_collectors("north")]
         self.exchange = self.exchange_named(self.serving[0])
 
@@ -111,7 +111,7 @@
         return nodes[name]
 
     def test_its_answer_shapes_the_next_choice(self):
-        self.gateway.decision.pace.bound = ColdBound(slack=1e6)
+        self.gateway.decision.traffic.rate_limiter.bound = SlowStartBound(slack=1e6)
         (busy,) = self.gateway.request("/s/1", headers=LONG)
         (call,) = self.tell()
         idle = "model-2" if busy.address == replica(1, "model").address else "model-1"
@@ -127,8 +127,8 @@
             (call,) = self.tell()
             told = FrontUseTaken([ReplicaUse("model-1", running, 0)], [], 0)
             self.exchange.handle(ev.CallAnswered(call.call_id, told), self.gateway.now)
-        peers = self.gateway.decision.peers
-        self.assertEqual(Use(2, 0), peers.at_replica("model-1", self.gateway.now))
+        peers = self.gateway.decision.traffic.peers
+        self.assertEqual(ReplicaUsage(2, 0), peers.usage_at("model-1", self.gateway.now))
 
     def test_a_silent_collector_is_passed_over_and_later_asked_again(self):
         self.gateway.request("/s/1", headers=LONG)
@@ -137,11 +137,11 @@
             self.assertEqual(self.address_of(name), call.address)
             self.exchange.handle(ev.CallFailed(call.call_id, "deadline", True), self.gateway.now)
         directly = self.tell()
-        self.assertEqual(MOST_PEERS, len(directly))
+        self.assertEqual(MAX_DIRECT_PEERS, len(directly))
         self.assertTrue(all(call.request.prompts_seen is None for call in directly))
         for call in directly:
             self.exchange.handle(ev.CallAnswered(call.call_id, FrontUseTaken()), self.gateway.now)
-        self.gateway.now += COLLECTOR_LOST_S + 0.1
+        self.gateway.now += COLLECTOR_RETRY_S + 0.1
         (call,) = self.tell()
         self.assertEqual(self.address_of(self.collectors[0]), call.address)
 
@@ -159,20 +159,20 @@
             collector.handle(ev.CallArrived(1, name, message), self.gateway.now)
         (answer,) = collector.handle(ev.CallArrived(2, "x", word("x", 1)), self.gateway.now)
         self.assertEqual([ReplicaUse("model-1", 6, 600)], answer.answer.others)
-        peers = self.gateway.decision.peers
-        self.assertEqual(NO_USE, peers.at_replica("model-1", self.gateway.now))
+        peers = self.gateway.decision.traffic.peers
+        self.assertEqual(NO_USAGE, peers.usage_at("model-1", self.gateway.now))
 
     def test_a_front_that_stands_by_looks_seldom(self):
         standby = self.exchange_named(self.collectors[0])
         (timer,) = standby.handle(ev.TimerFired("tell"), self.gateway.now)
-        self.assertEqual(STANDBY_PAUSE_S, timer.delay_s)
+        self.assertEqual(STANDBY_INTERVAL_S, timer.delay_s)
 
     def test_messages_grow_with_the_number_of_fronts_and_not_with_its_square(self):
         calls = {}
         for fronts in (80, 320):
             gateway = GatewayFront([ROUTE], [replica(1, "model")], fronts)
             gateway.request("/s/1", headers=LONG)
-            serving = gateway.view.send_rights.serving["north"]
+            serving = gateway.view.send_shares.serving["north"]
             calls[fronts] = 0
             for name in serving:
                 exchange = exchange_of(gateway, int(name.rpartition("-")[2]))
--- a/tests/test_gateway_peers.py
+++ b/tests/test_gateway_peers.py
@@ -7,10 +7,10 @@
 from rooklug.engine import events as ev
 from rooklug.engine.reducer import Identifiers, ProcessContext
 from rooklug.gateway.gateway_events import ViewChanged
-from rooklug.gateway.peer_exchange import MOST_PEERS, PeerExchange
-from rooklug.gateway.requests import PromptPart
+from rooklug.gateway.peer_exchange import MAX_DIRECT_PEERS, PeerExchange
+from rooklug.gateway.requests import PrefixBlock
 from rooklug.model.settings import NodeSettings
-from rooklug.routing.peer_loads import NO_USE, STALE_S, PeerLoads, Use
+from rooklug.routing.peer_loads import NO_USAGE, REPORT_TTL_S, PeerLoads, ReplicaUsage
 from rooklug.wire.codec import decode, encode
 from rooklug.wire.generated.peers.ttypes import FrontUse, FrontUseTaken, ReplicaUse
 from tests.gateway_support import NAMES, GatewayFront, replica, route_item
@@ -111,42 +111,42 @@
         exchange = exchange_of(gateway)
         gateway.request("/s/1", headers=LONG)
         calls = calls_of(exchange.handle(ev.TimerFired("tell"), gateway.now))
-        serving = gateway.view.send_rights.serving["north"]
-        self.assertLessEqual(len(calls), min(len(serving), MOST_PEERS))
+        serving = gateway.view.send_shares.serving["north"]
+        self.assertLessEqual(len(calls), min(len(serving), MAX_DIRECT_PEERS))
         self.assertGreater(len(calls), 0)
 
     def test_prompts_of_a_front_without_peers_are_not_kept_for_ever(self):
         for _ in range(600):
             self.one.request("/s/1", headers=SHORT)
-        self.assertLessEqual(len(self.one.decision.take_sent_prompts()), 256)
+        self.assertLessEqual(len(self.one.decision.traffic.take_unreported_prompts()), 256)
 
 
 class Loads(unittest.TestCase):
     def test_all_peers_count_together(self):
         loads = PeerLoads()
-        loads.take("a", "1", 1, {"r": Use(2, 100)}, 0.0)
-        loads.take("b", "1", 1, {"r": Use(3, 50)}, 0.0)
-        self.assertEqual(loads.at_replica("r", 0.1), Use(5, 150))
-        self.assertEqual(loads.at_replica("other", 0.1), NO_USE)
+        loads.take("a", "1", 1, {"r": ReplicaUsage(2, 100)}, 0.0)
+        loads.take("b", "1", 1, {"r": ReplicaUsage(3, 50)}, 0.0)
+        self.assertEqual(loads.usage_at("r", 0.1), ReplicaUsage(5, 150))
+        self.assertEqual(loads.usage_at("other", 0.1), NO_USAGE)
 
     def test_a_silent_peer_lapses(self):
         loads = PeerLoads()
-        loads.take("a", "1", 1, {"r": Use(2, 100)}, 0.0)
-        self.assertEqual(loads.at_replica("r", STALE_S + 0.1), NO_USE)
+        loads.take("a", "1", 1, {"r": ReplicaUsage(2, 100)}, 0.0)
+        self.assertEqual(loads.usage_at("r", REPORT_TTL_S + 0.1), NO_USAGE)
 
     def test_an_older_message_changes_nothing_and_a_restart_begins_anew(self):
         loads = PeerLoads()
-        self.assertTrue(loads.take("a", "1", 7, {"r": Use(2, 100)}, 0.0))
+        self.assertTrue(loads.take("a", "1", 7, {"r": ReplicaUsage(2, 100)}, 0.0))
         self.assertFalse(loads.take("a", "1", 6, {}, 0.0))
-        self.assertEqual(loads.at_replica("r", 0.1).running, 2)
+        self.assertEqual(loads.usage_at("r", 0.1).running, 2)
         self.assertTrue(loads.take("a", "2", 1, {}, 0.2))
-        self.assertEqual(loads.at_replica("r", 0.3), NO_USE)
+        self.assertEqual(loads.usage_at("r", 0.3), NO_USAGE)
 
     def test_fronts_that_have_gone_are_forgotten(self):
         loads = PeerLoads()
-        loads.take("a", "1", 1, {"r": Use(2, 100)}, 0.0)
+        loads.take("a", "1", 1, {"r": ReplicaUsage(2, 100)}, 0.0)
         loads.forget_except(frozenset({"b"}))
-        self.assertEqual(loads.at_replica("r", 0.1), NO_USE)
+        self.assertEqual(loads.usage_at("r", 0.1), NO_USAGE)
 
 
 class Wire(unittest.TestCase):
@@ -155,6 +155,8 @@
         exchange = exchange_of(gateway)
         message = FrontUse("front-2", "1", 1, [ReplicaUse("model-1", 1, 10)], [])
         exchange.handle(ev.CallArrived(1, "front-2", message), gateway.now)
-        self.assertEqual(gateway.decision.peers.at_replica("model-1", gateway.now).running, 1)
-        parts = (PromptPart("shared", 10),)
-        self.assertEqual(gateway.decision.prefixes.missing("model-1", parts, gateway.now), 10)
+        self.assertEqual(gateway.decision.traffic.peers.usage_at("model-1", gateway.now).running, 1)
+        parts = (PrefixBlock("shared", 10),)
+        self.assertEqual(
+            gateway.decision.traffic.prefixes.missing_tokens("model-1", parts, gateway.now), 10
+        )
--- a/tests/test_gateway_planning.py
+++ b/tests/test_gateway_planning.py
@@ -57,9 +57,9 @@
             if isinstance(effect, EmitEvent):
                 self.matrix = matrix_of(effect.event.body.matrix)
 
-    def report(self, route: str, region: str, tokens_per_s: float, read_rate: float) -> None:
+    def report(self, route: str, region: str, tokens_per_s: float, prefill_rate: float) -> None:
         entry = DemandEntry(route, "model", "", region, 1.0, tokens_per_s, 0.0, 0.0)
-        report = DemandReport(f"front-{region}-{route}", "1", 1, [entry], [], read_rate)
+        report = DemandReport(f"front-{region}-{route}", "1", 1, [entry], [], prefill_rate)
         self.handle(ev.CallArrived(1, "front", report))
 
     def solve(self) -> None:
--- a/tests/test_gateway_pace.py
+++ b/tests/test_gateway_rate_limiter.py
@@ -1,18 +1,23 @@
-"""Replicas that turn cold without a word: the bound holds from the first moment."""
+"""Replicas that restart unannounced: the slow-start bound holds from the first moment."""
 
 import unittest
 from collections import Counter
 
 from rooklug.engine import effects as fx
-from rooklug.gateway.replica_pace import ColdBound, ReplicaPace, Room, own_counts
+from rooklug.gateway.replica_rate_limiter import (
+    Allowance,
+    ReplicaRateLimiter,
+    SlowStartBound,
+    allowed_counts,
+)
 from rooklug.gateway.serving_fronts import serving_fronts
 from rooklug.gateway.view import GatewayView
-from rooklug.routing.send_rights import NO_RIGHT, SendRight, Side
+from rooklug.routing.send_shares import NO_SHARE, SenderRole, SendShare
 from tests.gateway_support import NAMES, GatewayFront, front, replica, route_item
 from tests.test_gateway_limits import busiest_second
 
 ROUTE = route_item("s", "/s/", execution="event_stream", service="model", affinity=True)
-BOUND = ColdBound(1.5, 5.0)
+BOUND = SlowStartBound(1.5, 5.0)
 
 
 def view_of(north: int, south: int) -> GatewayView:
@@ -22,8 +27,8 @@
     return GatewayView(fronts=tuple(fronts))
 
 
-class Parts(unittest.TestCase):
-    def test_the_parts_of_all_serving_fronts_stay_within_the_bound(self):
+class Shares(unittest.TestCase):
+    def test_the_shares_of_all_serving_fronts_stay_within_the_bound(self):
         for north, south in ((8, 3), (4, 4), (1, 0), (5, 0)):
             for rate in (6.0, 10.0, 40.0):
                 with self.subTest(north=north, south=south, rate=rate):
@@ -31,37 +36,37 @@
                     most = BOUND.requests(rate)
                     total = 0
                     for node in view.fronts:
-                        right = view.send_rights.towards(target.region, node.node_id)
-                        if right.side in (Side.OWN_REGION, Side.OTHER_REGION):
-                            total += own_counts(most, right)[0]
+                        share = view.send_shares.towards(target.region, node.node_id)
+                        if share.role in (SenderRole.OWN_REGION, SenderRole.OTHER_REGION):
+                            total += allowed_counts(most, share).share
                     self.assertLessEqual(total, most)
 
-    def test_a_front_keeps_to_its_part_in_every_second(self):
-        pace, right, times = ReplicaPace(BOUND), SendRight(Side.OWN_REGION, 3), []
+    def test_a_front_keeps_to_its_limit_in_every_second(self):
+        limiter, share, times = ReplicaRateLimiter(BOUND), SendShare(SenderRole.OWN_REGION, 3), []
         for step in range(600):
             now = step / 200
-            if pace.room("r-1", 10.0, right, now) is not Room.NONE:
-                pace.sent("r-1", now)
+            if limiter.allowance("r-1", 10.0, share, now) is not Allowance.NONE:
+                limiter.record_send("r-1", now)
                 times.append(now)
-        self.assertEqual(busiest_second(times), own_counts(20.0, right)[1])
+        self.assertEqual(busiest_second(times), allowed_counts(20.0, share).limit)
 
     def test_a_service_without_a_cold_rate_is_not_limited(self):
-        pace = ReplicaPace(BOUND)
+        limiter = ReplicaRateLimiter(BOUND)
         for _ in range(100):
-            pace.sent("r-1", 0.0)
-        self.assertIs(pace.room("r-1", 0.0, NO_RIGHT, 0.0), Room.FREE)
+            limiter.record_send("r-1", 0.0)
+        self.assertIs(limiter.allowance("r-1", 0.0, NO_SHARE, 0.0), Allowance.FREE)
 
     def test_a_front_without_a_share_sends_one_request_a_second(self):
-        pace = ReplicaPace(BOUND)
-        self.assertIs(pace.room("r-1", 10.0, NO_RIGHT, 0.0), Room.FREE)
-        pace.sent("r-1", 0.0)
-        self.assertIs(pace.room("r-1", 10.0, NO_RIGHT, 0.5), Room.NONE)
+        limiter = ReplicaRateLimiter(BOUND)
+        self.assertIs(limiter.allowance("r-1", 10.0, NO_SHARE, 0.0), Allowance.FREE)
+        limiter.record_send("r-1", 0.0)
+        self.assertIs(limiter.allowance("r-1", 10.0, NO_SHARE, 0.5), Allowance.NONE)
 
     def test_replicas_that_are_gone_are_forgotten(self):
-        pace = ReplicaPace(BOUND)
-        pace.sent("r-1", 0.0)
-        pace.forget_except({"r-2"})
-        self.assertEqual(pace._sent_at, {})
+        limiter = ReplicaRateLimiter(BOUND)
+        limiter.record_send("r-1", 0.0)
+        limiter.forget_except({"r-2"})
+        self.assertEqual(limiter._sent_at, {})
 
 
 class Overflow(unittest.TestCase):
@@ -71,25 +76,31 @@
 
     def test_a_burst_goes_on_to_other_replicas_then_it_is_refused_at_once(self):
         gateway = GatewayFront([ROUTE], [replica(n, "model") for n in (1, 2)])
-        bound = gateway.decision.pace.bound.requests(10.0)
-        part, limit = own_counts(bound, gateway.view.send_rights.towards("north", "front-1"))
-        calls = [self.send(gateway) for _ in range(2 * part)]
-        self.assertEqual(Counter(call.address for call in calls).most_common()[-1][1], part)
-        calls += [self.send(gateway) for _ in range(2 * (limit - part))]
-        self.assertEqual(Counter(call.address for call in calls).most_common()[-1][1], limit)
+        bound = gateway.decision.traffic.rate_limiter.bound.requests(10.0)
+        allowed = allowed_counts(bound, gateway.view.send_shares.towards("north", "front-1"))
+        calls = [self.send(gateway) for _ in range(2 * allowed.share)]
+        self.assertEqual(
+            Counter(call.address for call in calls).most_common()[-1][1], allowed.share
+        )
+        calls += [self.send(gateway) for _ in range(2 * (allowed.limit - allowed.share))]
+        self.assertEqual(
+            Counter(call.address for call in calls).most_common()[-1][1], allowed.limit
+        )
         refusal = self.send(gateway)
         self.assertEqual(refusal.status, 503)
         self.assertIn("retry-after", refusal.headers)
         gateway.now += 1.2
         self.assertIsInstance(self.send(gateway), fx.HttpCall)
 
-    def test_another_region_comes_before_more_than_the_own_part(self):
+    def test_another_region_comes_before_more_than_the_own_share(self):
         far = replica(2, "model", region="south", zone="south-a")
         gateway = GatewayFront([ROUTE], [replica(1, "model"), far])
-        bound = gateway.decision.pace.bound.requests(10.0)
-        part, _ = own_counts(bound, gateway.view.send_rights.towards("north", "front-1"))
-        addresses = [self.send(gateway).address for _ in range(part + 1)]
-        self.assertEqual(addresses, ["10.0.0.1:80"] * part + [far.address])
+        bound = gateway.decision.traffic.rate_limiter.bound.requests(10.0)
+        own_share = allowed_counts(
+            bound, gateway.view.send_shares.towards("north", "front-1")
+        ).share
+        addresses = [self.send(gateway).address for _ in range(own_share + 1)]
+        self.assertEqual(addresses, ["10.0.0.1:80"] * own_share + [far.address])
 
 
 class ServingFronts(unittest.TestCase):
--- a/tests/test_gateway_replica_pool.py
+++ b/tests/test_gateway_replica_pool.py
@@ -4,9 +4,9 @@
 from collections import Counter
 from random import Random
 
-from rooklug.gateway.prefix_table import PrefixTable
-from rooklug.gateway.replica_pool import DRAWN, SMALL_POOL, RegionPool
-from rooklug.gateway.requests import PromptPart
+from rooklug.gateway.prefix_cache_table import PrefixCacheTable
+from rooklug.gateway.replica_pool import MAX_SMALL_POOL, RANDOM_CHOICES, RegionPool
+from rooklug.gateway.requests import PrefixBlock
 from rooklug.routing.hash_ring import HashRing
 from rooklug_lab.policy.decision_cost import measure_decision
 from tests.gateway_support import replica
@@ -46,13 +46,13 @@
 
 class Pools(unittest.TestCase):
     def test_a_small_pool_is_looked_at_whole(self):
-        self.assertFalse(pool_of(SMALL_POOL).is_large)
-        self.assertTrue(pool_of(SMALL_POOL + 1).is_large)
+        self.assertFalse(pool_of(MAX_SMALL_POOL).is_large)
+        self.assertTrue(pool_of(MAX_SMALL_POOL + 1).is_large)
 
     def test_the_owner_and_the_holders_are_always_among_the_candidates(self):
         pool = pool_of(200)
         for seed in SEEDS:
-            found = pool.some("replica-7", ["replica-11", "replica-12"], Random(seed))
+            found = pool.candidates("replica-7", ["replica-11", "replica-12"], Random(seed))
             names = [candidate.replica_id for candidate in found]
             self.assertEqual(len(names), len(set(names)))
             self.assertLessEqual({"replica-7", "replica-11", "replica-12"}, set(names))
@@ -61,41 +61,41 @@
         holders = [f"replica-{number}" for number in range(8)]
         for size in (20, 200, 830):
             for seed in SEEDS:
-                found = pool_of(size).some("replica-9", holders, Random(seed))
-                self.assertLessEqual(len(found), DRAWN + len(holders) + 1)
+                found = pool_of(size).candidates("replica-9", holders, Random(seed))
+                self.assertLessEqual(len(found), RANDOM_CHOICES + len(holders) + 1)
 
     def test_replicas_that_are_no_longer_listed_are_passed_over(self):
-        found = pool_of(20).some("gone", ["gone-too"], Random(1))
-        self.assertEqual(DRAWN, len(found))
+        found = pool_of(20).candidates("gone", ["gone-too"], Random(1))
+        self.assertEqual(RANDOM_CHOICES, len(found))
 
     def test_every_replica_is_drawn_some_time(self):
         pool, seen = pool_of(60), set()
         random = Random(1)
         for _ in range(200):
-            seen |= {candidate.replica_id for candidate in pool.some(None, [], random)}
+            seen |= {candidate.replica_id for candidate in pool.candidates(None, [], random)}
         self.assertEqual(60, len(seen))
 
 
 class Users(unittest.TestCase):
     def test_the_latest_user_comes_first(self):
-        table = PrefixTable()
-        parts = (PromptPart("head", 100), PromptPart("own", 10))
+        table = PrefixCacheTable()
+        parts = (PrefixBlock("head", 100), PrefixBlock("own", 10))
         for name in ("a", "b", "a"):
-            table.used(name, parts, 1_000, 0.0)
+            table.record_use(name, parts, 1_000, 0.0)
         self.assertEqual(["a", "b"], table.users("head", 8))
         self.assertEqual(["a"], table.users("head", 1))
 
     def test_what_gave_way_has_no_user(self):
-        table = PrefixTable()
-        table.used("a", (PromptPart("first", 700),), 1_000, 0.0)
-        table.used("a", (PromptPart("second", 700),), 1_000, 0.0)
+        table = PrefixCacheTable()
+        table.record_use("a", (PrefixBlock("first", 700),), 1_000, 0.0)
+        table.record_use("a", (PrefixBlock("second", 700),), 1_000, 0.0)
         self.assertEqual([], table.users("first", 8))
         self.assertEqual(["a"], table.users("second", 8))
 
     def test_replicas_that_are_gone_are_forgotten(self):
-        table = PrefixTable()
-        table.used("a", (PromptPart("first", 700),), 1_000, 0.0)
-        table.used("b", (PromptPart("first", 700),), 1_000, 0.0)
+        table = PrefixCacheTable()
+        table.record_use("a", (PrefixBlock("first", 700),), 1_000, 0.0)
+        table.record_use("b", (PrefixBlock("first", 700),), 1_000, 0.0)
         table.forget_except({"b"})
         self.assertEqual(["b"], table.users("first", 8))
         table.forget_except(set())
--- a/tests/test_gateway_site.py
+++ b/tests/test_gateway_site.py
@@ -10,14 +10,15 @@
 
 from rooklug.core.change_history import ChangeHistory, Classification, Verdict
 from rooklug.engine import effects as fx
-from rooklug.gateway import view_keeper
-from rooklug.gateway.cold_gate import ColdGate
+from rooklug.gateway import view_builder
 from rooklug.gateway.decision import Decision
 from rooklug.gateway.executor import GatewayExecutor
-from rooklug.gateway.passage import Passage
-from rooklug.gateway.replica_pace import ReplicaPace, Room
+from rooklug.gateway.proxied_request import ProxiedRequest
+from rooklug.gateway.replica_rate_limiter import Allowance, ReplicaRateLimiter
+from rooklug.gateway.request_forwarder import RequestForwarder
+from rooklug.gateway.slow_start_limiter import SlowStartLimiter
 from rooklug.gateway.view import GatewayView
-from rooklug.gateway.view_keeper import GatewayViewKeeper
+from rooklug.gateway.view_builder import GatewayViewBuilder
 from rooklug_lab.cli import build_parser
 from rooklug_lab.gateway.journal import Arrival, Attempt, Disturbance, Journal, Order, Run
 from rooklug_lab.gateway.oracles import ORACLES, judge
@@ -120,12 +121,12 @@
     return site.process(name).reducer.components[GatewayExecutor.name]._decision
 
 
-def _end_as_if_whole(executor: GatewayExecutor, passage: Passage) -> list[fx.Effect]:
-    executor._forget(passage)
-    return [fx.HttpStreamEnd(passage.request.http_id)]
+def _end_as_if_complete(forwarder: RequestForwarder, proxied: ProxiedRequest) -> list[fx.Effect]:
+    forwarder.forget(proxied)
+    return [fx.HttpStreamEnd(proxied.request.http_id)]
 
 
-def _first_only(keeper: GatewayViewKeeper, body: Any, now: float) -> list[fx.Effect]:
+def _first_only(keeper: GatewayViewBuilder, body: Any, now: float) -> list[fx.Effect]:
     if keeper.view.configuration is not None:
         return []
     return TAKE_CONFIGURATION(keeper, body, now)
@@ -135,11 +136,11 @@
     return Classification(Verdict.FRESH)
 
 
-def _always_room(*_: Any) -> Room:
-    return Room.FREE
+def _always_room(*_: Any) -> Allowance:
+    return Allowance.FREE
 
 
-TAKE_CONFIGURATION = GatewayViewKeeper._take_configuration
+TAKE_CONFIGURATION = GatewayViewBuilder._take_configuration
 
 
 class Guards(unittest.TestCase):
@@ -154,19 +155,19 @@
 
     def caught_unpaced(self, oracle: str, scenario: str, *replaced: Any) -> None:
         """Switch the pace at warm replicas off as well: it also spares those that are cold."""
-        with mock.patch.object(ReplicaPace, "room", _always_room):
+        with mock.patch.object(ReplicaRateLimiter, "allowance", _always_room):
             self.caught(oracle, scenario, *replaced)
 
     def test_a_request_that_may_have_run_is_not_sent_again(self) -> None:
         always = lambda passage: True  # noqa: E731
-        self.caught("runs_once", "replicas_fail", Passage, "may_send_again", always)
+        self.caught("runs_once", "replicas_fail", ProxiedRequest, "may_send_again", always)
 
     def test_a_promise_is_given_only_without_a_run(self) -> None:
         never_ran = property(lambda passage: False, lambda passage, value: None)
-        self.caught("promises_hold", "replicas_fail", Passage, "may_have_run", never_ran)
+        self.caught("promises_hold", "replicas_fail", ProxiedRequest, "may_have_run", never_ran)
 
     def test_a_broken_stream_is_cut_visibly(self) -> None:
-        replaced = (GatewayExecutor, "_break_off", _end_as_if_whole)
+        replaced = (RequestForwarder, "abort_stream", _end_as_if_complete)
         self.caught("answers_are_whole", "replicas_fail", *replaced)
 
     def test_leaving_replicas_are_left_out(self) -> None:
@@ -180,19 +181,19 @@
 
     def test_cold_replicas_are_spared(self) -> None:
         always = lambda *_: True  # noqa: E731
-        replaced = (ColdGate, "may_send", always)
+        replaced = (SlowStartLimiter, "may_send", always)
         self.caught_unpaced("cold_get_a_trickle", "traffic_moves", *replaced)
 
     def test_replicas_that_may_turn_cold_are_paced(self) -> None:
-        with mock.patch.object(ReplicaPace, "room", _always_room):
+        with mock.patch.object(ReplicaRateLimiter, "allowance", _always_room):
             self.assertIn("cold_get_a_trickle", run_gateway_scenario("traffic_moves", 20).broken)
 
     def test_a_zone_that_is_taken_back_counts_as_cold(self) -> None:
-        replaced = (view_keeper, "RESTORED_COLD_S", 0.0)
+        replaced = (view_builder, "RESTORED_SLOW_START_S", 0.0)
         self.caught_unpaced("cold_get_a_trickle", "zone_returns_cold", *replaced)
 
     def test_changes_are_followed(self) -> None:
-        replaced = (GatewayViewKeeper, "_take_configuration", _first_only)
+        replaced = (GatewayViewBuilder, "_take_configuration", _first_only)
         self.caught("changes_are_in_force", "calm", *replaced)
 
     def test_a_number_is_taken_once(self) -> None:
--- a/tests/test_gateway_list_doubt.py
+++ b/tests/test_gateway_stale_endpoints.py
@@ -4,8 +4,8 @@
 
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
-from rooklug.gateway.list_doubt import ListDoubt
 from rooklug.gateway.retry_budget import RetryBudgets, RetryBudgetSettings
+from rooklug.gateway.stale_endpoint_detector import StaleEndpointDetector
 from tests.gateway_support import GatewayFront, replica, route_item
 
 ONCE = route_item("once", "/pay/")
@@ -51,8 +51,8 @@
         old = [zone_of(n) for n in range(1, 6)]
         sure = zone_of(6, "b")
         front = GatewayFront([ONCE], [*old, sure], budget=MANY_REPEATS)
-        front.decision.denied(old[0])
-        front.decision.denied(old[1])
+        front.decision.traffic.record_address_mismatch(old[0])
+        front.decision.traffic.record_address_mismatch(old[1])
         for _ in range(20):
             (call,) = front.request("/pay/1")
             self.assertEqual(call.address, sure.address)
@@ -61,31 +61,31 @@
         front = GatewayFront([ONCE], [zone_of(n, letter) for n, letter in enumerate("abcd", 1)])
         (call,) = front.request("/pay/1")
         second = self.denied(front, call)
-        front.executor._budgets = RetryBudgets(NO_REPEATS)
+        front.executor.forwarder.budgets = RetryBudgets(NO_REPEATS)
         (effect,) = front.handle(ev.HttpFailed(second.call_id, "refused", ev.SendState.NOT_SENT))
         self.assertEqual(effect.status, 503)
 
 
 class Doubt(unittest.TestCase):
     def test_one_replaced_replica_casts_no_doubt_on_its_zone(self):
-        doubt = ListDoubt()
-        doubt.disprove("r-1", "a")
-        self.assertTrue(doubt.is_gone("r-1"))
-        self.assertFalse(doubt.is_doubtful("r-2", "a"))
+        doubt = StaleEndpointDetector()
+        doubt.record_mismatch("r-1", "a")
+        self.assertTrue(doubt.is_replaced("r-1"))
+        self.assertFalse(doubt.is_suspect("r-2", "a"))
 
     def test_a_second_one_does_and_an_answer_lifts_it_for_one_replica(self):
-        doubt = ListDoubt()
-        doubt.disprove("r-1", "a")
-        doubt.disprove("r-2", "a")
-        self.assertTrue(doubt.is_doubtful("r-3", "a"))
-        self.assertFalse(doubt.is_doubtful("r-4", "b"))
-        doubt.prove("r-3")
-        self.assertFalse(doubt.is_doubtful("r-3", "a"))
+        doubt = StaleEndpointDetector()
+        doubt.record_mismatch("r-1", "a")
+        doubt.record_mismatch("r-2", "a")
+        self.assertTrue(doubt.is_suspect("r-3", "a"))
+        self.assertFalse(doubt.is_suspect("r-4", "b"))
+        doubt.record_match("r-3")
+        self.assertFalse(doubt.is_suspect("r-3", "a"))
 
     def test_a_list_that_no_longer_names_them_ends_the_doubt(self):
-        doubt = ListDoubt()
-        doubt.disprove("r-1", "a")
-        doubt.disprove("r-2", "a")
+        doubt = StaleEndpointDetector()
+        doubt.record_mismatch("r-1", "a")
+        doubt.record_mismatch("r-2", "a")
         doubt.take_list({"r-2", "r-3"})
-        self.assertTrue(doubt.is_gone("r-2"))
-        self.assertFalse(doubt.is_doubtful("r-3", "a"))
+        self.assertTrue(doubt.is_replaced("r-2"))
+        self.assertFalse(doubt.is_suspect("r-3", "a"))
--- a/tests/test_gateway_view.py
+++ b/tests/test_gateway_view.py
@@ -1,6 +1,6 @@
 import unittest
 
-from rooklug.gateway.view_keeper import RESTORED_COLD_S, GatewayViewKeeper
+from rooklug.gateway.view_builder import RESTORED_SLOW_START_S, GatewayViewBuilder
 from rooklug.model.internal_events import TopicChanged
 from rooklug.model.topics import REPLICAS, ZONES
 from rooklug.wire.generated.control.ttypes import ReplicasBody, VersionMark, ZonesBody
@@ -11,7 +11,7 @@
 
 class ColdReplicas(unittest.TestCase):
     def setUp(self):
-        self.keeper = GatewayViewKeeper()
+        self.keeper = GatewayViewBuilder()
         self.list(0.0, listed(1), listed(2, zone="north-b"))
 
     def list(self, now, *replicas):
@@ -21,7 +21,7 @@
         self.keeper.handle(TopicChanged(ZONES, MARK, ZonesBody(list(emptied))), now)
 
     def cold(self, now) -> dict[str, bool]:
-        return {r.replica_id: r.is_cold(now) for r in self.keeper.view.replicas["model"]}
+        return {r.replica_id: r.is_in_slow_start(now) for r in self.keeper.view.replicas["model"]}
 
     def test_a_zone_that_is_taken_back_counts_as_cold_until_the_list_can_tell(self):
         self.zones(1.0, "north-a")
@@ -29,7 +29,7 @@
         self.assertEqual(self.cold(9.1), {"r-1": True, "r-2": False})
         self.list(9.5, listed(1), listed(2, zone="north-b"), listed(3))
         self.assertTrue(self.cold(9.6)["r-1"])
-        self.assertFalse(self.cold(9.1 + RESTORED_COLD_S)["r-1"])
+        self.assertFalse(self.cold(9.1 + RESTORED_SLOW_START_S)["r-1"])
 
     def test_the_listed_slow_start_is_not_cut_short_by_that(self):
         self.zones(1.0, "north-a")
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -8,8 +8,8 @@
 from hypothesis import strategies as st
 
 from rooklug.engine import events as ev
-from rooklug.gateway.dialect import BadOrder, ReadOrder, ZoneOrder
-from rooklug.gateway.document import read_gateway_configuration
+from rooklug.gateway.document_reader import read_gateway_configuration
+from rooklug.gateway.protocols import BadCall, DrainZone, ReadConfiguration
 
 ROOT = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT / "platform"))
@@ -100,7 +100,7 @@
 
 def order(path: str, body: bytes = b"", **headers: str):
     named = {name.replace("_", "-"): value for name, value in headers.items()}
-    return control.read_order(ev.HttpRequestArrived(1, "POST", path, {}, named, body))
+    return control.read_call(ev.HttpRequestArrived(1, "POST", path, {}, named, body))
 
 
 class Names(unittest.TestCase):
@@ -138,8 +138,8 @@
         read = read_gateway_configuration(product).ok
         route = read.find("h.example", "/a/x")
         self.assertEqual((route.max_replicas, route.affinity, route.timeout_s), (2, True, 6.0))
-        self.assertTrue(route.is_repeatable)
-        self.assertEqual(read.services["s"].cold_rate_per_s, 8.5)
+        self.assertTrue(route.is_idempotent)
+        self.assertEqual(read.services["s"].slow_start_rate_per_s, 8.5)
 
     @given(
         st.recursive(
@@ -172,15 +172,15 @@
         self.assertEqual((whole.version, whole.is_patch, whole.base_version), (7, False, 5))
         patch = order("/api/configuration/patch", b'{"version":9,"upsert":{}}', x_base_version="7")
         self.assertTrue(patch.is_patch)
-        self.assertEqual(order("/api/evacuations/z/start"), ZoneOrder("z", True))
-        self.assertEqual(order("/api/evacuations/z/end"), ZoneOrder("z", False))
-        self.assertEqual(order("/api/configuration/get"), ReadOrder())
+        self.assertEqual(order("/api/evacuations/z/start"), DrainZone("z", True))
+        self.assertEqual(order("/api/evacuations/z/end"), DrainZone("z", False))
+        self.assertEqual(order("/api/configuration/get"), ReadConfiguration())
 
     def test_what_cannot_be_read_is_refused(self):
         path = "/api/configuration/replace"
         for body in (b"", b"{", b"[]", b'{"version":true}', b'{"version":1,"version":2}', b"\xff"):
             self.assertEqual(order(path, body).status, 400)
-        self.assertIsInstance(order(path, b'{"version":1}', x_base_version="x"), BadOrder)
+        self.assertIsInstance(order(path, b'{"version":1}', x_base_version="x"), BadCall)
         for path in ("/", "/api/evacuations//start", "/api/evacuations/z/other"):
             self.assertEqual(order(path).status, 404)
 
@@ -215,9 +215,9 @@
     def test_the_directory_is_asked_by_name_region_and_zone(self):
         query = {"name": "h", "region": "north", "zone": "a"}
         event = ev.HttpRequestArrived(1, "GET", "/api/resolution", query, {}, b"")
-        self.assertEqual(edge.read_where(event).zone, "a")
+        self.assertEqual(edge.read_resolve_request(event).zone, "a")
         self.assertEqual(
-            json.loads(edge.write_where(["10.1.0.1:1"], 2.0)),
+            json.loads(edge.write_addresses(["10.1.0.1:1"], 2.0)),
             {"addresses": ["10.1.0.1:1"], "ttl_s": 2.0},
         )
 
--- a/tests/test_policy_engine.py
+++ b/tests/test_policy_engine.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from rooklug.gateway.requests import PromptPart
+from rooklug.gateway.requests import PrefixBlock
 from rooklug_lab.policy.engine import Sequence, ServingEngine
 from rooklug_lab.policy.shapes import EngineShape
 
@@ -21,7 +21,7 @@
 
 
 def sequence(key: str, prompt: int, answer: int, at: float = 0.0, **fields) -> Sequence:
-    parts = fields.pop("parts", (PromptPart(f"own-{key}", prompt),))
+    parts = fields.pop("parts", (PrefixBlock(f"own-{key}", prompt),))
     return Sequence(key, fields.pop("priority", 1), parts, prompt, answer, at)
 
 
@@ -94,9 +94,9 @@
 class Memory(unittest.TestCase):
     def test_a_shared_part_is_read_once_while_all_before_it_are_kept(self):
         engine = ServingEngine(SHAPE)
-        shared = PromptPart("system", 3000)
+        shared = PrefixBlock("system", 3000)
         for name in ("a", "b"):
-            request = sequence(name, 3100, 1, parts=(shared, PromptPart(name, 100)))
+            request = sequence(name, 3100, 1, parts=(shared, PrefixBlock(name, 100)))
             engine.submit(request, engine.next_at if engine.next_at < 1e9 else 0.0)
             run_until_idle(engine)
         self.assertEqual(engine.tokens_read, 3100 + 100)
@@ -104,10 +104,10 @@
 
     def test_a_part_without_those_before_it_is_read_again(self):
         engine = ServingEngine(SHAPE)
-        first, second = PromptPart("system", 1000), PromptPart("document", 2000)
+        first, second = PrefixBlock("system", 1000), PrefixBlock("document", 2000)
         engine.submit(sequence("a", 3000, 1, parts=(second, first)), 0.0)
         run_until_idle(engine)
-        request = sequence("b", 3100, 1, parts=(first, second, PromptPart("b", 100)))
+        request = sequence("b", 3100, 1, parts=(first, second, PrefixBlock("b", 100)))
         engine.cache._parts.pop("system")
         engine.submit(request, 1.0)
         run_until_idle(engine)
@@ -116,7 +116,7 @@
     def test_the_longest_unused_parts_give_way(self):
         engine = ServingEngine(SHAPE)
         for name in ("a", "b", "c"):
-            parts = (PromptPart(f"shared-{name}", 4000), PromptPart(name, 10))
+            parts = (PrefixBlock(f"shared-{name}", 4000), PrefixBlock(name, 10))
             engine.submit(sequence(name, 4010, 1, parts=parts), 0.0)
             run_until_idle(engine)
         self.assertNotIn("shared-a", engine.cache._parts)
--- a/tests/test_policy_lab.py
+++ b/tests/test_policy_lab.py
@@ -93,13 +93,13 @@
 
 class Experiments(unittest.TestCase):
     def test_a_setting_replaces_a_constant(self):
-        kept = serving_fronts.FRONTS_SHARE
-        setting = read_setting("serving_fronts.FRONTS_SHARE=0.5")
+        kept = serving_fronts.SERVING_SHARE
+        setting = read_setting("serving_fronts.SERVING_SHARE=0.5")
         try:
             setting.apply()
-            self.assertEqual(serving_fronts.FRONTS_SHARE, 0.5)
+            self.assertEqual(serving_fronts.SERVING_SHARE, 0.5)
         finally:
-            serving_fronts.FRONTS_SHARE = kept
+            serving_fronts.SERVING_SHARE = kept
 
     def test_bad_settings_are_refused(self):
         for text in ("nothing", "serving_fronts.NOBODY=1", "nowhere.X=1", "serving_fronts.X"):
