--- a/rooklug/api/build.py
+++ b/rooklug/api/build.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP API of a front: a decision what is asked, an executor that forwards."""
+"""The operators' HTTP API of a front: parses requests and forwards them to the primary core."""
 
 from collections.abc import Iterable
 
@@ -6,6 +6,7 @@
 from rooklug.api.forwarding import Forwarder
 from rooklug.api.requests import LocalConfiguration, StatusQuery, parse_request
 from rooklug.api.status import StatusCollector
+from rooklug.distribution.core_link import CoreLink
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
 from rooklug.engine.component import BaseComponent, Component
@@ -20,7 +21,9 @@
     name = "operator-api"
     http_prefixes = ("/v1/config", "/v1/zones/", "/v1/status", "/v1/decisions")
 
-    def __init__(self, settings: NodeSettings, context: ProcessContext, core_link) -> None:
+    def __init__(
+        self, settings: NodeSettings, context: ProcessContext, core_link: CoreLink
+    ) -> None:
         self._core_link = core_link
         self._forwarder = Forwarder(context.identifiers, core_link, settings.seeds)
         self._status = StatusCollector(
@@ -78,7 +81,7 @@
 
 
 def build_operator_components(
-    settings: NodeSettings, context: ProcessContext, core_link
+    settings: NodeSettings, context: ProcessContext, core_link: CoreLink
 ) -> list[Component]:
-    """Return the parts of the operators' API."""
+    """Return the components of the operators' API."""
     return [OperatorApi(settings, context, core_link)]
--- a/rooklug/api/requests.py
+++ b/rooklug/api/requests.py
@@ -22,6 +22,7 @@
 
 _NUMBER = re.compile(r"(0|[1-9][0-9]{0,15})\Z")
 _ZONE_PATH = re.compile(r"/v1/zones/([A-Za-z0-9._-]{1,128})/(empty|restore)\Z")
+_CONFIG_PREFIX = "/v1/config/"
 _CONFIG_PATH = re.compile(r"/v1/config/([^/]+)\Z")
 
 
@@ -58,7 +59,9 @@
 def parse_request(event: HttpRequestArrived) -> Parsed:
     """Return what an operator asks for."""
     if event.path == "/v1/config":
-        return _for_method(event, {"GET": lambda _: Ok(ReadConfigurationRequest(True))})
+        return _for_method(
+            event, {"GET": lambda _: Ok(ReadConfigurationRequest(linearizable=True))}
+        )
     if event.path == "/v1/config/local":
         return _for_method(event, {"GET": lambda _: Ok(LocalConfiguration())})
     if event.path == "/v1/status":
@@ -66,7 +69,7 @@
     if event.path == "/v1/decisions":
         return _for_method(event, {"GET": _parse_decisions})
     if _CONFIG_PATH.match(event.path):
-        return _for_method(event, {"PUT": _parse_whole, "PATCH": _parse_patch})
+        return _for_method(event, {"PUT": _parse_replacement, "PATCH": _parse_patch})
     if _ZONE_PATH.match(event.path):
         return _for_method(event, {"POST": _parse_zone})
     return _problem(404, "unknown_path", "no such path")
@@ -93,7 +96,7 @@
     return int(text)
 
 
-def _parse_whole(event: HttpRequestArrived) -> Parsed:
+def _parse_replacement(event: HttpRequestArrived) -> Parsed:
     return _parse_change(event, is_patch=False, base=0)
 
 
@@ -104,8 +107,8 @@
     return _parse_change(event, is_patch=True, base=base)
 
 
-def _parse_change(event: HttpRequestArrived, is_patch: bool, base: int) -> Parsed:
-    version = _number(_CONFIG_PATH.match(event.path).group(1))
+def _parse_change(event: HttpRequestArrived, *, is_patch: bool, base: int) -> Parsed:
+    version = _number(event.path.removeprefix(_CONFIG_PREFIX))
     if not version:
         return _invalid(f"the version must be a whole number from 1 to {MAX_SAFE_INTEGER}")
     if not event.body:
@@ -124,7 +127,7 @@
 
 
 def _parse_zone(event: HttpRequestArrived) -> Parsed:
-    zone, action = _ZONE_PATH.match(event.path).groups()
+    zone, action = event.path.split("/")[-2:]
     operation_id = event.headers.get(OPERATION_ID_HEADER, "")
     if not operation_id:
         return _invalid(f"{OPERATION_ID_HEADER} is missing; a repeat must carry the same one")
@@ -134,7 +137,7 @@
 
 
 def _parse_decisions(event: HttpRequestArrived) -> Parsed:
-    cursor = [_number(part) for part in event.query.get("after", "0.0.0").split(".")]
+    cursor = [_number(number) for number in event.query.get("after", "0.0.0").split(".")]
     if len(cursor) != 3 or None in cursor:
         return _invalid("?after= must be a cursor EPOCH.COUNTER.SEQUENCE")
     wait_ms = _number(event.query.get("wait_ms", "0"))
--- a/rooklug/api/status.py
+++ b/rooklug/api/status.py
@@ -1,10 +1,11 @@
-"""``GET /v1/status``: every core is asked, whoever is primary."""
+"""``GET /v1/status``: queries every core, whoever is primary."""
 
 from typing import Any
 
 import attrs
 
 from rooklug.api.answers import json_answer
+from rooklug.distribution.core_link import CoreLink
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
 from rooklug.engine.reducer import Identifiers
@@ -33,10 +34,10 @@
 
 
 class StatusCollector:
-    """Asks all cores and puts their answers together."""
+    """Queries all cores and merges their answers."""
 
     def __init__(
-        self, identifiers: Identifiers, core_link, seeds: tuple[str, ...], node_id: str
+        self, identifiers: Identifiers, core_link: CoreLink, seeds: tuple[str, ...], node_id: str
     ) -> None:
         self._identifiers = identifiers
         self._core_link = core_link
@@ -45,9 +46,9 @@
         self._by_call: dict[int, _StatusQuery] = {}
 
     def start(self, request_id: int) -> list[fx.Effect]:
-        """Ask every core."""
+        """Query every core."""
         query = _StatusQuery(request_id)
-        calls = []
+        calls: list[fx.Effect] = []
         for address in self._seeds:
             call_id = self._identifiers.next()
             query.open_calls[call_id] = address
@@ -55,7 +56,7 @@
             calls.append(fx.Call(call_id, address, ReadStatusRequest(), CALL_DEADLINE_S))
         return calls or [self._respond(query)]
 
-    def handle(self, event: ev.Event) -> list[fx.Effect]:
+    def handle(self, event: ev.CallAnswered | ev.CallFailed) -> list[fx.Effect]:
         """Take one core's answer or failure."""
         query = self._by_call.pop(event.call_id, None)
         if query is None:
--- a/rooklug/api/verdicts.py
+++ b/rooklug/api/verdicts.py
@@ -1,4 +1,6 @@
-"""What a core's answer means for the operator: a final answer, or that it must be asked again."""
+"""What a core's answer means for the operator: a final answer, or a retry."""
+
+from typing import Any
 
 import attrs
 from multimethod import multimethod
@@ -30,18 +32,18 @@
 
 
 @attrs.frozen
-class AskAgain:
+class Retry:
     """No answer yet. ``primary_address`` may be ""; ``maybe_taken``: the order may be stored."""
 
     primary_address: str
     maybe_taken: bool
 
 
-Verdict = Final | AskAgain
+Verdict = Final | Retry
 
 
 @multimethod
-def judge(answer: SubmitChangeAnswer, request: object, request_id: int) -> Verdict:
+def judge(answer: SubmitChangeAnswer, request: Any, request_id: int) -> Verdict:
     """Judge a core's answer to a change."""
     if answer.outcome == ACCEPTED:
         document = {
@@ -54,11 +56,11 @@
         return Final(_conflict(answer, request, request_id))
     if answer.outcome == INVALID:
         return Final(_invalid(answer.problems, request_id))
-    return AskAgain(answer.primary_address, answer.outcome == UNKNOWN)
+    return Retry(answer.primary_address, maybe_taken=answer.outcome == UNKNOWN)
 
 
-@multimethod
-def judge(answer: SetZoneAnswer, request: object, request_id: int) -> Verdict:  # noqa: F811
+@judge.register
+def _judge_zone_order(answer: SetZoneAnswer, request: Any, request_id: int) -> Verdict:
     """Judge a core's answer to a zone order."""
     if answer.outcome == ACCEPTED:
         document = {"zone": request.zone, "emptied": request.emptied}
@@ -68,23 +70,23 @@
     if answer.outcome == CONFLICT:
         message = "; ".join(answer.problems) or "another order stands against it"
         return Final(error_answer(request_id, 409, CONFLICT, message))
-    return AskAgain(answer.primary_address, answer.outcome == UNKNOWN)
+    return Retry(answer.primary_address, maybe_taken=answer.outcome == UNKNOWN)
 
 
-@multimethod
-def judge(answer: ReadConfigurationAnswer, request: object, request_id: int) -> Verdict:  # noqa: F811
+@judge.register
+def _judge_read(answer: ReadConfigurationAnswer, request: Any, request_id: int) -> Verdict:
     """Judge a core's answer to a read."""
     if not answer.ok:
-        return AskAgain(answer.primary_address, False)
+        return Retry(answer.primary_address, maybe_taken=False)
     body = answer.configuration
     return Final(configuration_answer(request_id, body.version, body.digest, body.document))
 
 
-@multimethod
-def judge(answer: ReadDecisionsAnswer, request: object, request_id: int) -> Verdict:  # noqa: F811
+@judge.register
+def _judge_poll(answer: ReadDecisionsAnswer, request: Any, request_id: int) -> Verdict:
     """Judge a core's answer to a poll of decisions."""
     if not answer.ok:
-        return AskAgain(answer.primary_address, False)
+        return Retry(answer.primary_address, maybe_taken=False)
     document = {
         "decisions": [_decision_document(record) for record in answer.decisions],
         "gap": answer.gap,
--- a/rooklug/cli/compose.py
+++ b/rooklug/cli/compose.py
@@ -1,6 +1,6 @@
-"""Composes each role from its parts, for the daemon and for the simulator alike.
+"""Composes each role from its components, for the daemon and for the simulator alike.
 
-Imports are inside the functions: a process loads only the parts of its role.
+Imports are inside the functions: a process loads only the components of its role.
 """
 
 from rooklug.cli.graceful_stop import GracefulStop
@@ -30,18 +30,22 @@
     from rooklug.distribution.core_link import CoreLink
     from rooklug.front.build import build_front_components
     from rooklug.front.once_only.build import build_once_only_components
+    from rooklug.front.once_only.once_only_component import OnceOnlyComponent
     from rooklug.front.readiness import Readiness
 
     core_link = CoreLink(settings, context)
     front_components = build_front_components(settings, context, core_link)
-    once_only_parts = build_once_only_components(settings, context, core_link)
-    readiness = next(part for part in front_components if isinstance(part, Readiness))
-    readiness.watch(once_only_parts[0].active_requests)
+    once_only_components = build_once_only_components(settings, context, core_link)
+    readiness = next(
+        component for component in front_components if isinstance(component, Readiness)
+    )
+    once_only = next(c for c in once_only_components if isinstance(c, OnceOnlyComponent))
+    readiness.watch(once_only.active_requests)
     return CompositeReducer(
         [
             core_link,
             *front_components,
-            *once_only_parts,
+            *once_only_components,
             *build_operator_components(settings, context, core_link),
         ]
     )
--- a/rooklug/cli/ctl.py
+++ b/rooklug/cli/ctl.py
@@ -3,7 +3,9 @@
 import argparse
 import asyncio
 import sys
+from collections.abc import Callable, Coroutine
 from pathlib import Path
+from typing import Any
 
 from rooklug.cli import exit_codes
 from rooklug.cli.ctl_answers import report_change, report_configuration, report_failure
@@ -112,8 +114,10 @@
     decisions.set_defaults(run=_run(_decisions))
 
 
-def _run(command):
-    """Return ``command`` as what the command line runs."""
+def _run(
+    command: Callable[[argparse.Namespace], Coroutine[Any, Any, int]],
+) -> Callable[[argparse.Namespace], int]:
+    """Return a coroutine function as what the command line runs."""
 
     def run(arguments: argparse.Namespace) -> int:
         if not arguments.nodes:
@@ -165,15 +169,15 @@
     result = await client_of(arguments).send(STATUS)
     if result.is_error() or result.ok.status != 200:
         return report_failure(result)
-    print_status(result.ok, arguments.json)
+    print_status(result.ok, as_json=arguments.json)
     return exit_codes.OK
 
 
 async def _decisions(arguments: argparse.Namespace) -> int:
     client = client_of(arguments)
     if arguments.follow:
-        return await follow_decisions(client, arguments.after, arguments.json)
-    return await print_decisions(client, arguments.after, arguments.json)
+        return await follow_decisions(client, arguments.after, as_json=arguments.json)
+    return await print_decisions(client, arguments.after, as_json=arguments.json)
 
 
 def _read_input(file: str) -> bytes | None:
--- a/rooklug/cli/ctl_decisions.py
+++ b/rooklug/cli/ctl_decisions.py
@@ -15,22 +15,22 @@
 _RETRY_DELAY_S = 1.0
 
 
-async def print_decisions(client: OperatorClient, after: str, as_json: bool) -> int:
+async def print_decisions(client: OperatorClient, after: str, *, as_json: bool) -> int:
     """Print the decisions after a cursor."""
     outcome = await client.send(decisions_after(after, 0.0))
     if outcome.is_error() or outcome.ok.status != 200:
         return report_failure(outcome)
-    _print_batch(outcome.ok.document(), after, as_json)
+    _print_batch(outcome.ok.document(), after, as_json=as_json)
     return exit_codes.OK
 
 
-async def follow_decisions(client: OperatorClient, after: str, as_json: bool) -> int:
+async def follow_decisions(client: OperatorClient, after: str, *, as_json: bool) -> int:
     """Print decisions as they come, until interrupted; a lost front is no end."""
     cursor = after
     while True:
         outcome = await client.send(decisions_after(cursor, FOLLOW_WAIT_S))
         if outcome.is_ok() and outcome.ok.status == 200:
-            cursor = _print_batch(outcome.ok.document(), cursor, as_json)
+            cursor = _print_batch(outcome.ok.document(), cursor, as_json=as_json)
             continue
         code = report_failure(outcome)
         if outcome.is_ok() and 400 <= outcome.ok.status < 500:
@@ -38,7 +38,7 @@
         await asyncio.sleep(_RETRY_DELAY_S)
 
 
-def _print_batch(document: dict[str, Any], cursor: str, as_json: bool) -> str:
+def _print_batch(document: dict[str, Any], cursor: str, *, as_json: bool) -> str:
     """Print the decisions; return the cursor after them."""
     if document.get("gap"):
         print(f"rooklug ctl: decisions right after {cursor} are gone", file=sys.stderr)
@@ -52,5 +52,5 @@
     """Return a decision as a line."""
     seconds = decision.get("wall_time_ms", 0) / 1000
     time = datetime.fromtimestamp(seconds, UTC).isoformat(timespec="milliseconds")
-    parts = (time, decision.get("cursor"), decision.get("kind"), decision.get("summary"))
-    return f"{'  '.join(str(part) for part in parts)}  [{decision.get('cause')}]"
+    columns = (time, decision.get("cursor"), decision.get("kind"), decision.get("summary"))
+    return f"{'  '.join(str(column) for column in columns)}  [{decision.get('cause')}]"
--- a/rooklug/cli/ctl_placement.py
+++ b/rooklug/cli/ctl_placement.py
@@ -84,7 +84,7 @@
         return exit_codes.USAGE
     document = _configuration_bytes(arguments)
     problem = document.bind(lambda data: _read_problem(data, arguments))
-    code = problem.bind(lambda found: _tell_outcome(found, arguments))
+    code = problem.bind(lambda found: _print_outcome(found, arguments))
     if code.is_error():
         print(f"rooklug ctl: {code.error}", file=sys.stderr)
         return exit_codes.INVALID
@@ -111,7 +111,7 @@
 
 
 def _read_problem(document: bytes, arguments: argparse.Namespace) -> Result[PlacementProblem, str]:
-    from rooklug.config.reading import read_configuration
+    from rooklug.config.document_reader import read_configuration
 
     configuration = read_configuration(document)
     if configuration.is_error():
@@ -121,7 +121,7 @@
     return world.map(lambda found: build_problem(configuration.ok, found))
 
 
-def _tell_outcome(problem: PlacementProblem, arguments: argparse.Namespace) -> Result[int, str]:
+def _print_outcome(problem: PlacementProblem, arguments: argparse.Namespace) -> Result[int, str]:
     """Print the plan, or what the change asked for would do; return the exit code."""
     from rooklug.placement.planner import solve  # loads the solver: only here
     from rooklug.placement.whatif import simulate
@@ -131,7 +131,7 @@
         return Ok(exit_codes.OK)
     changed = _changed(problem, arguments)
     if changed.is_error():
-        return changed
+        return Error(changed.error)
     outcome = simulate(problem, changed.ok, _change_in_words(arguments))
     print(outcome.to_text())
     return Ok(exit_codes.FAILURE if outcome.new_violations else exit_codes.OK)
--- a/rooklug/cli/ctl_status.py
+++ b/rooklug/cli/ctl_status.py
@@ -30,7 +30,7 @@
 _OWNER_COLUMNS = ("role_key", "node_id", "token")
 
 
-def print_status(answer: OperatorAnswer, as_json: bool) -> None:
+def print_status(answer: OperatorAnswer, *, as_json: bool) -> None:
     """Print the status as tables, or the front's JSON as it came."""
     if as_json:
         sys.stdout.write(answer.body.decode())
@@ -42,10 +42,10 @@
 def format_status(document: dict[str, Any]) -> str:
     """Return the tables of a status document."""
     front = document.get("front", {})
-    emptied = document.get("emptied_zones")
+    drained = document.get("emptied_zones")
     sections = [
         f"primary: {document.get('primary') or 'none'}",
-        f"emptied zones: {_emptied(emptied)}",
+        f"emptied zones: {_zone_names(drained)}",
         f"asked front: {json.dumps(front)}",
         _section("cores", _CORE_COLUMNS, document.get("cores", [])),
         _section("nodes", _NODE_COLUMNS, document.get("nodes", [])),
@@ -54,7 +54,7 @@
     return "\n".join(sections)
 
 
-def _emptied(zones: list[str] | None) -> str:
+def _zone_names(zones: list[str] | None) -> str:
     if zones is None:
         return "unknown"
     return ", ".join(zones) or "none"
--- a/rooklug/cli/operator_client.py
+++ b/rooklug/cli/operator_client.py
@@ -1,7 +1,7 @@
 """Sends operators' orders to any of several fronts, until an answer or the time limit.
 
 Every order is safe to send again: a change is known by its version and bytes, a zone order
-by its operation id. Without an answer, what is told rests on one fact: whether any try may
+by its operation id. Without an answer, the report depends on one fact: whether any attempt may
 have reached a front.
 """
 
@@ -16,12 +16,12 @@
 from tornado.httpclient import HTTPClientError, HTTPRequest, HTTPResponse
 from tornado.simple_httpclient import HTTPTimeoutError, SimpleAsyncHTTPClient
 
-CONNECT_LIMIT_S = 1.0
-TRY_LIMIT_S = 10.0
+CONNECT_TIMEOUT_S = 1.0
+ATTEMPT_TIMEOUT_S = 10.0
 RETRY_DELAY_S = 0.25
 _RETRIED_STATUSES = (503, 504)
 _STATUS_MAYBE_TAKEN = 504
-# How tornado tells a connect timeout from a later one.
+# How tornado distinguishes a connect timeout from a later one.
 _CONNECT_TIMEOUT_MESSAGE = "Timeout while connecting"
 _MAX_BODY_BYTES = 64 * 1024 * 1024
 
@@ -62,77 +62,79 @@
 
 @attrs.frozen
 class NoAnswer:
-    """No front gave a final answer in time. ``maybe_taken``: some try may have arrived."""
+    """No front gave a final answer in time. ``maybe_taken``: some attempt may have arrived."""
 
     maybe_taken: bool
     reasons: tuple[str, ...]
 
 
 @attrs.define
-class _Tries:
+class _Attempts:
     maybe_taken: bool = False
     reasons: dict[str, str] = attrs.field(factory=dict)
 
 
 class OperatorClient:
-    """Knows the fronts; ``limit_s`` bounds each order with all its tries."""
+    """Knows the fronts; ``timeout_s`` bounds each order with all its attempts."""
 
-    def __init__(self, nodes: tuple[str, ...], limit_s: float = 15.0) -> None:
+    def __init__(self, nodes: tuple[str, ...], timeout_s: float = 15.0) -> None:
         self.nodes = nodes
-        self._limit_s = limit_s
+        self._timeout_s = timeout_s
         self._http = SimpleAsyncHTTPClient(force_instance=True, max_body_size=_MAX_BODY_BYTES)
 
     async def send(self, request: OperatorRequest) -> Result[OperatorAnswer, NoAnswer]:
         """Send until a final answer comes, going round the nodes."""
         loop = asyncio.get_running_loop()
-        deadline = loop.time() + self._limit_s + request.wait_s
-        tries = _Tries()
+        deadline = loop.time() + self._timeout_s + request.wait_s
+        attempts = _Attempts()
         for node in self._rounds():
-            left_s = deadline - loop.time()
-            if left_s <= 0:
+            remaining_s = deadline - loop.time()
+            if remaining_s <= 0:
                 break
-            answer = await self._try(node, request, left_s, tries)
+            answer = await self._attempt(node, request, remaining_s, attempts)
             if answer is not None:
                 return Ok(answer)
             if node == self.nodes[-1]:
                 await asyncio.sleep(min(RETRY_DELAY_S, max(deadline - loop.time(), 0.0)))
-        reasons = tuple(f"{node}: {reason}" for node, reason in tries.reasons.items())
-        return Error(NoAnswer(tries.maybe_taken, reasons))
+        reasons = tuple(f"{node}: {reason}" for node, reason in attempts.reasons.items())
+        return Error(NoAnswer(attempts.maybe_taken, reasons))
 
-    async def ask_one(self, node: str, request: OperatorRequest) -> Result[OperatorAnswer, str]:
-        """Ask one node once."""
-        tries = _Tries()
-        answer = await self._try(node, request, self._limit_s, tries)
-        return Ok(answer) if answer is not None else Error(tries.reasons[node])
+    async def send_once(self, node: str, request: OperatorRequest) -> Result[OperatorAnswer, str]:
+        """Send to one node, once."""
+        attempts = _Attempts()
+        answer = await self._attempt(node, request, self._timeout_s, attempts)
+        return Ok(answer) if answer is not None else Error(attempts.reasons[node])
 
     def _rounds(self) -> Iterator[str]:
         return itertools.cycle(self.nodes)
 
-    async def _try(
-        self, node: str, request: OperatorRequest, left_s: float, tries: _Tries
+    async def _attempt(
+        self, node: str, request: OperatorRequest, remaining_s: float, attempts: _Attempts
     ) -> OperatorAnswer | None:
         try:
-            response = await self._fetch(node, request, min(left_s, TRY_LIMIT_S + request.wait_s))
+            response = await self._fetch(
+                node, request, min(remaining_s, ATTEMPT_TIMEOUT_S + request.wait_s)
+            )
         except (OSError, HTTPClientError) as problem:
-            tries.reasons[node] = str(problem)
-            tries.maybe_taken = tries.maybe_taken or not _never_connected(problem)
+            attempts.reasons[node] = str(problem)
+            attempts.maybe_taken = attempts.maybe_taken or not _never_connected(problem)
             return None
         answer = OperatorAnswer(node, response.code, _lower_names(response), response.body or b"")
         if response.code not in _RETRIED_STATUSES:
             return answer
-        tries.maybe_taken = tries.maybe_taken or response.code == _STATUS_MAYBE_TAKEN
-        tries.reasons[node] = f"{response.code} {answer.error_code()}"
+        attempts.maybe_taken = attempts.maybe_taken or response.code == _STATUS_MAYBE_TAKEN
+        attempts.reasons[node] = f"{response.code} {answer.error_code()}"
         return None
 
-    async def _fetch(self, node: str, request: OperatorRequest, limit_s: float) -> HTTPResponse:
+    async def _fetch(self, node: str, request: OperatorRequest, timeout_s: float) -> HTTPResponse:
         return await self._http.fetch(
             HTTPRequest(
                 f"http://{node}{request.path}",
                 method=request.method,
                 body=request.body,
                 headers=request.headers,
-                connect_timeout=CONNECT_LIMIT_S,
-                request_timeout=limit_s,
+                connect_timeout=CONNECT_TIMEOUT_S,
+                request_timeout=timeout_s,
                 follow_redirects=False,
                 allow_nonstandard_methods=True,
                 decompress_response=False,
--- a/rooklug/cli/runbook_commands.py
+++ b/rooklug/cli/runbook_commands.py
@@ -4,6 +4,8 @@
 import asyncio
 import sys
 import time
+from collections.abc import Callable, Coroutine
+from typing import Any
 
 from rooklug.cli import exit_codes
 from rooklug.cli.ctl import add_node_options, client_of
@@ -51,7 +53,9 @@
     return exit_codes.OK
 
 
-def _checked(command):
+def _checked(
+    command: Callable[[argparse.Namespace, Runbook, dict[str, str]], Coroutine[Any, Any, int]],
+) -> Callable[[argparse.Namespace], int]:
     """Return ``command`` behind a check of the parameters."""
 
     def run(arguments: argparse.Namespace) -> int:
@@ -79,11 +83,11 @@
 
 
 def _describe(number: int, step: Step) -> str:
-    return f"{number}. {step.title}\n   {step.deed()}\n   undo: {step.undo}"
+    return f"{number}. {step.title}\n   {step.instruction()}\n   undo: {step.undo}"
 
 
 async def _run(arguments: argparse.Namespace, runbook: Runbook, values: dict[str, str]) -> int:
-    operator = Operator(print, (lambda question: True) if arguments.yes else _ask)
+    operator = Operator(print, (lambda question: True) if arguments.yes else _confirm)
     done = await RunbookRunner(_site(arguments), operator).run(runbook, values)
     return exit_codes.OK if done else exit_codes.FAILURE
 
@@ -92,7 +96,7 @@
     return Site(client_of(arguments), time.monotonic)
 
 
-def _ask(question: str) -> bool:
+def _confirm(question: str) -> bool:
     try:
         return input(f"  {question} [y/N] ").strip().lower() in ("y", "yes")
     except EOFError:
--- a/rooklug/cli/settings_file.py
+++ b/rooklug/cli/settings_file.py
@@ -24,7 +24,7 @@
 _NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9_.-]*")
 _NAME_FIELDS = ("node_id", "zone", "region")
 _LISTEN_FIELDS = ("listen_internal", "listen_http")
-_REACH_FIELDS = ("internal_address", "http_address")
+_ADVERTISED_FIELDS = ("internal_address", "http_address")
 
 
 @attrs.frozen
@@ -60,9 +60,9 @@
     if table.is_error():
         return Error(table.error)
     values = {**table.ok, **given.flags, "role": given.role}
-    for listen, reach in zip(_LISTEN_FIELDS, _REACH_FIELDS, strict=True):
+    for listen, advertised in zip(_LISTEN_FIELDS, _ADVERTISED_FIELDS, strict=True):
         if listen in values:
-            values.setdefault(reach, values[listen])
+            values.setdefault(advertised, values[listen])
     if given.role == ROLE_CORE:
         values.setdefault("seeds", [])
     members = values.pop("members", {})
@@ -129,7 +129,7 @@
         for name in _NAME_FIELDS
         if not _NAME.fullmatch(getattr(node, name))
     ]
-    for name in (*_LISTEN_FIELDS, *_REACH_FIELDS):
+    for name in (*_LISTEN_FIELDS, *_ADVERTISED_FIELDS):
         problems += _address_problems(name, getattr(node, name))
     for index, seed in enumerate(node.seeds):
         problems += _address_problems(f"seeds[{index}]", seed)
--- a/rooklug/config/document.py
+++ b/rooklug/config/document.py
@@ -1,6 +1,6 @@
 """The operators' configuration document as types.
 
-The JSON document has these names as its keys, level by level. ``rooklug.config.reading``
+The JSON document has these names as its keys, level by level. ``rooklug.config.document_reader``
 turns bytes into a ``Configuration`` or a list of problems with their paths.
 """
 
--- a/rooklug/config/reading.py
+++ b/rooklug/config/document_reader.py
@@ -104,7 +104,7 @@
 
 
 def _structure_class(target: type, converter: cattrs.Converter) -> Any:
-    structure = make_dict_structure_fn(target, converter, _cattrs_forbid_extra_keys=True)
+    structure: Any = make_dict_structure_fn(target, converter, _cattrs_forbid_extra_keys=True)
     return _require(dict, "an object", structure)
 
 
--- a/rooklug/config/problems.py
+++ b/rooklug/config/problems.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-_WHOLE_DOCUMENT = "(document)"
+_DOCUMENT_PATH = "(document)"
 _PATH = r"""\(document\)|(?:[A-Za-z0-9_.-]+|\[\d+\]|\["(?:[^"\\]|\\.)*"\])+"""
 _LINE = re.compile(rf"(?P<path>{_PATH}): (?P<message>.*)\Z", re.DOTALL)
 _PLAIN_KEY = re.compile(r"[A-Za-z0-9_-]+\Z")
@@ -24,7 +24,7 @@
 
     def __str__(self) -> str:
         """Return path and message as one line; ``parse_problem`` reads it back."""
-        return f"{self.path or _WHOLE_DOCUMENT}: {self.message}"
+        return f"{self.path or _DOCUMENT_PATH}: {self.message}"
 
 
 def parse_problem(line: str) -> Problem:
@@ -33,7 +33,7 @@
     if match is None:
         return Problem("", line)
     path = match.group("path")
-    return Problem("" if path == _WHOLE_DOCUMENT else path, match.group("message"))
+    return Problem("" if path == _DOCUMENT_PATH else path, match.group("message"))
 
 
 Problems = tuple[Problem, ...]
--- a/rooklug/controller/build.py
+++ b/rooklug/controller/build.py
@@ -28,7 +28,7 @@
 
 def read_document(document: bytes) -> Result[Configuration, Any]:
     """Read a configuration; the reader is imported only where a placer really reads."""
-    from rooklug.config.reading import read_configuration
+    from rooklug.config.document_reader import read_configuration
 
     return read_configuration(document)
 
--- a/rooklug/core/build.py
+++ b/rooklug/core/build.py
@@ -16,7 +16,7 @@
 
 def _default_checker() -> DocumentChecker:
     # Imported here: only cores need the checks of whole documents and what they import.
+    from rooklug.config.document_reader import read_configuration
     from rooklug.config.patching import apply_merge_patch
-    from rooklug.config.reading import read_configuration
 
     return DocumentChecker(read_configuration, apply_merge_patch)
--- a/rooklug/front/build.py
+++ b/rooklug/front/build.py
@@ -38,6 +38,6 @@
 
 
 def _default_reader() -> ConfigurationReader:
-    from rooklug.config.reading import read_configuration
+    from rooklug.config.document_reader import read_configuration
 
     return read_configuration
--- a/rooklug/gateway/build.py
+++ b/rooklug/gateway/build.py
@@ -99,7 +99,7 @@
     from rooklug.core.documents import DocumentChecker
     from rooklug.gateway.document_reader import read_gateway_configuration
     from rooklug.gateway.listing import ListingWatcher
-    from rooklug.gateway.operator_api import OperatorApi
+    from rooklug.gateway.operator_api import GatewayOperatorApi
     from rooklug.gateway.patching import apply_named_patch
     from rooklug.gateway.region_planner import RegionPlanner
     from rooklug.membership.build import build_membership_components
@@ -110,7 +110,7 @@
             *build_core_components(settings, context, checker),
             *build_membership_components(settings, context),
             ListingWatcher(protocol, settings.node.platform_address, context.identifiers),
-            OperatorApi(protocol, context),
+            GatewayOperatorApi(protocol, context),
             RegionPlanner(context.identifiers),
         ]
     )
--- a/rooklug/gateway/operator_api.py
+++ b/rooklug/gateway/operator_api.py
@@ -54,7 +54,7 @@
     call_id: int = 0
 
 
-class OperatorApi(BaseComponent):
+class GatewayOperatorApi(BaseComponent):
     """Serves the operators' listener of a core."""
 
     name = "operators"
--- a/rooklug/runbooks/failover_check.py
+++ b/rooklug/runbooks/failover_check.py
@@ -3,7 +3,7 @@
 from rooklug.cli.operator_requests import NEWEST_CONFIGURATION
 from rooklug.runbooks.findings import core_in_sync, on_status
 from rooklug.runbooks.model import Finding, Runbook, Step
-from rooklug.runbooks.site import MembershipState, Site, SiteStatus
+from rooklug.runbooks.site import CoreView, Site, SiteStatus
 
 _CORES = 3
 
@@ -24,7 +24,7 @@
         ),
         Step(
             title="the newest configuration is still there",
-            verify=lambda site: _newest_is_kept(site, primary.configuration_version),
+            verify=lambda site: _newest_is_stored(site, primary.configuration_version),
             undo=f"start core {primary.node_id} again, then compare `rooklug ctl get`",
         ),
         Step(
@@ -53,15 +53,15 @@
     return Finding(len(in_sync) == _CORES, f"in sync: {', '.join(in_sync) or 'none'}")
 
 
-def _has_new_primary(status: SiteStatus, before: MembershipState) -> Finding:
+def _has_new_primary(status: SiteStatus, before: CoreView) -> Finding:
     now = status.primary_core()
     if now is None:
-        return Finding(False, "there is no primary core yet")
+        return Finding.failed("there is no primary core yet")
     is_new = now.node_id != before.node_id and now.epoch > before.epoch
     return Finding(is_new, f"primary {now.node_id} in epoch {now.epoch}, before {before.epoch}")
 
 
-async def _newest_is_kept(site: Site, version: int) -> Finding:
+async def _newest_is_stored(site: Site, version: int) -> Finding:
     answer = await site.order(NEWEST_CONFIGURATION)
     if answer.is_error():
         return Finding(version == 0, answer.error)
--- a/rooklug/runbooks/findings.py
+++ b/rooklug/runbooks/findings.py
@@ -13,7 +13,7 @@
     async def look(site: Site) -> Finding:
         status = await site.status()
         if status.is_error():
-            return Finding(False, f"no status: {status.error}")
+            return Finding.failed(f"no status: {status.error}")
         return judge(status.ok)
 
     return look
@@ -25,8 +25,8 @@
     async def act(site: Site) -> Finding:
         answer = await site.order(request)
         if answer.is_error():
-            return Finding(False, answer.error)
-        return Finding(True, f"{request.method} {request.path} was taken")
+            return Finding.failed(answer.error)
+        return Finding.passed(f"{request.method} {request.path} was taken")
 
     return act
 
@@ -37,7 +37,7 @@
     def judge(status: SiteStatus) -> Finding:
         primary = status.primary_core()
         if primary is None:
-            return Finding(False, "there is no primary core")
+            return Finding.failed("there is no primary core")
         others = [member for member in primary.in_sync if member != core_id]
         reachable = [member for member in others if status.core(member) is not None]
         text = f"primary {primary.node_id}, in sync and answering: {', '.join(reachable)}"
@@ -52,7 +52,7 @@
     def judge(status: SiteStatus) -> Finding:
         primary = status.primary_core()
         if primary is None:
-            return Finding(False, "there is no primary core")
+            return Finding.failed("there is no primary core")
         text = f"primary {primary.node_id}, in sync: {', '.join(primary.in_sync)}"
         return Finding(core_id in primary.in_sync and status.core(core_id) is not None, text)
 
--- a/rooklug/runbooks/lost_disk_machine.py
+++ b/rooklug/runbooks/lost_disk_machine.py
@@ -36,7 +36,7 @@
 def _is_out(status: SiteStatus, core_id: str) -> Finding:
     primary = status.primary_core()
     if primary is None:
-        return Finding(False, "there is no primary core")
+        return Finding.failed("there is no primary core")
     is_out = core_id not in primary.in_sync and status.core(core_id) is None
     return Finding(is_out, f"primary {primary.node_id}, in sync: {', '.join(primary.in_sync)}")
 
@@ -44,8 +44,8 @@
 def _answers(status: SiteStatus, core_id: str) -> Finding:
     core = status.core(core_id)
     if core is None:
-        return Finding(False, f"core {core_id} doesn't answer yet")
-    return Finding(True, f"core {core_id} answers, phase {core.phase}")
+        return Finding.failed(f"core {core_id} doesn't answer yet")
+    return Finding.passed(f"core {core_id} answers, phase {core.phase}")
 
 
 LOST_DISK_MACHINE = Runbook(
--- a/rooklug/runbooks/model.py
+++ b/rooklug/runbooks/model.py
@@ -11,18 +11,28 @@
 
 @attrs.frozen
 class Finding:
-    """The outcome of a check, an act or a look at the site."""
+    """The outcome of a check, an act or a verification; ``message`` is for the operator."""
 
     good: bool
     message: str
 
+    @staticmethod
+    def passed(message: str) -> "Finding":
+        """Return a finding that lets the run go on."""
+        return Finding(good=True, message=message)
+
+    @staticmethod
+    def failed(message: str) -> "Finding":
+        """Return a finding that stops the run."""
+        return Finding(good=False, message=message)
+
 
 Action = Callable[[Site], Awaitable[Finding]]
 
 
 async def nothing_to_check(_site: Site) -> Finding:
-    """Hold always."""
-    return Finding(True, "nothing to check")
+    """Pass always."""
+    return Finding.passed("nothing to check")
 
 
 @attrs.frozen
@@ -43,8 +53,8 @@
     by_hand: str = ""
     verify_limit_s: float = DEFAULT_VERIFY_LIMIT_S
 
-    def deed(self) -> str:
-        """Return what is done in this step."""
+    def instruction(self) -> str:
+        """Return what the step does, or what a person must do."""
         if self.act is not None:
             return "an order to the site"
         return f"by hand: {self.by_hand}" if self.by_hand else "wait for the site"
--- a/rooklug/runbooks/recover_cores.py
+++ b/rooklug/runbooks/recover_cores.py
@@ -18,7 +18,7 @@
 
 @attrs.frozen
 class CoreState:
-    """What one core tells of itself. ``committed`` is its newest entry known as committed."""
+    """One core's status. ``committed`` is its newest entry known as committed."""
 
     address: str
     node_id: str
@@ -42,7 +42,7 @@
 
 
 class _Recovery:
-    """The steps' shared state: the plan that the operator was told is the one sent back."""
+    """The steps' shared state: the plan that the operator has seen is the one sent back."""
 
     def __init__(self, addresses: tuple[str, ...]) -> None:
         self._addresses = addresses
@@ -50,67 +50,72 @@
 
     async def enough_answer(self, site: Site) -> Finding:
         """Judge that a majority of the cores answers, or that a primary is at work."""
-        states, silent = await self._survey(site)
-        if _primary(states) is not None:
-            return Finding(True, f"primary {_primary(states).node_id} is at work")
+        states, unreachable = await self._survey(site)
+        primary = _primary(states)
+        if primary is not None:
+            return Finding.passed(f"primary {primary.node_id} is at work")
         found = [f"{state.node_id} {state.phase}" for state in states]
-        text = f"answering: {', '.join(found) or 'none'}; silent: {', '.join(silent) or 'none'}"
+        text = (
+            f"answering: {', '.join(found) or 'none'}; silent: {', '.join(unreachable) or 'none'}"
+        )
         return Finding(len(states) >= _MAJORITY, text)
 
     async def has_primary(self, site: Site) -> Finding:
         """Judge that a core is primary."""
         primary = _primary((await self._survey(site))[0])
         if primary is None:
-            return Finding(False, "no core is primary")
-        return Finding(True, f"core {primary.node_id} is primary")
+            return Finding.failed("no core is primary")
+        return Finding.passed(f"core {primary.node_id} is primary")
 
-    async def ask_plan(self, site: Site) -> Finding:
+    async def request_plan(self, site: Site) -> Finding:
         """Ask the cores, the best copy first, until one has a plan. This changes nothing."""
         self._plan = None
         refusals = []
-        states, _silent = await self._survey(site)
+        states, _unreachable = await self._survey(site)
         for state in sorted(states, key=_best_first):
-            answer = await site.ask(state.address, _recover(""))
+            answer = await site.call_node(state.address, _recover(""))
             document = answer.ok.document() if answer.is_ok() else {}
             if document.get("outcome") == _PLANNED:
                 self._plan = _read_plan(state.address, document)
-                return Finding(True, self._plan.in_words())
+                return Finding.passed(self._plan.in_words())
             reason = document.get("message") if answer.is_ok() else answer.error
             refusals.append(f"{state.node_id}: {reason}")
-        return Finding(False, f"no core has a plan. {'; '.join(refusals) or 'none answers'}")
+        return Finding.failed(f"no core has a plan. {'; '.join(refusals) or 'none answers'}")
 
     async def confirm(self, site: Site) -> Finding:
-        """Send back the plan that the check told."""
+        """Send back the plan that the check has printed."""
         assert self._plan is not None
-        answer = await site.ask(self._plan.address, _recover(self._plan.text))
+        answer = await site.call_node(self._plan.address, _recover(self._plan.text))
         if answer.is_error():
-            return Finding(False, f"no confirmation, see the cores' status: {answer.error}")
+            return Finding.failed(f"no confirmation, see the cores' status: {answer.error}")
         document = answer.ok.document()
         if document.get("outcome") == _PLANNED:
-            return Finding(False, "the cores have changed meanwhile, nothing is done: run it again")
+            return Finding.failed("the cores have changed meanwhile, nothing is done: run it again")
         text = f"{document.get('outcome')}: {document.get('message')}"
         return Finding(document.get("outcome") == _RECOVERED, text)
 
     async def all_in_sync(self, site: Site) -> Finding:
         """Judge that the primary has every core in sync."""
-        states, silent = await self._survey(site)
+        states, unreachable = await self._survey(site)
         primary = _primary(states)
         if primary is None:
-            return Finding(False, "no core is primary")
-        text = f"in sync: {', '.join(primary.in_sync)}; silent: {', '.join(silent) or 'none'}"
-        whole = not silent and {state.node_id for state in states} <= set(primary.in_sync)
-        return Finding(whole, text)
+            return Finding.failed("no core is primary")
+        text = f"in sync: {', '.join(primary.in_sync)}; silent: {', '.join(unreachable) or 'none'}"
+        is_complete = not unreachable and {state.node_id for state in states} <= set(
+            primary.in_sync
+        )
+        return Finding(is_complete, text)
 
     async def _survey(self, site: Site) -> tuple[list[CoreState], list[str]]:
-        """Return what the cores tell, and the addresses of those that don't answer."""
-        states, silent = [], []
+        """Return the cores' states, and the addresses of those that don't answer."""
+        states, unreachable = [], []
         for address in self._addresses:
-            answer = await site.ask(address, _STATUS)
+            answer = await site.call_node(address, _STATUS)
             if answer.is_ok():
                 states.append(_read_state(address, answer.ok.document()))
             else:
-                silent.append(address)
-        return states, silent
+                unreachable.append(address)
+        return states, unreachable
 
 
 def _recover(plan: str) -> OperatorRequest:
@@ -142,7 +147,7 @@
 
 
 async def _plan(_site: Site, values: dict[str, str]) -> list[Step]:
-    addresses = tuple(dict.fromkeys(part.strip() for part in values["cores"].split(",")))
+    addresses = tuple(dict.fromkeys(address.strip() for address in values["cores"].split(",")))
     recovery = _Recovery(addresses)
     return [
         Step(
@@ -155,7 +160,7 @@
         ),
         Step(
             title="the core with the best copy goes on from it",
-            check=recovery.ask_plan,
+            check=recovery.request_plan,
             act=recovery.confirm,
             verify=recovery.has_primary,
             undo="there is no way back once it was taken: what the plan names as lost is only "
--- a/rooklug/runbooks/roll_fronts.py
+++ b/rooklug/runbooks/roll_fronts.py
@@ -16,7 +16,7 @@
     return Step(
         title="see the site",
         by_hand="name a front that answers with --node",
-        verify=on_status(lambda status: Finding(True, "seen")),
+        verify=on_status(lambda status: Finding.passed("seen")),
         undo=f"nothing was done ({reason})",
         verify_limit_s=0.0,
     )
@@ -38,20 +38,20 @@
     waiting = [
         node.node_id
         for node in others
-        if not node.ready and node.zone not in (status.emptied_zones or ())
+        if not node.ready and node.zone not in (status.drained_zones or ())
     ]
     if waiting:
-        return Finding(False, f"not ready: {', '.join(waiting)}")
+        return Finding.failed(f"not ready: {', '.join(waiting)}")
     return Finding(bool(others), f"{len(others)} other fronts, none that should be ready is not")
 
 
 def _is_new_and_ready(status: SiteStatus, before: NodeView) -> Finding:
     now = status.node(before.node_id)
     if now is None:
-        return Finding(False, f"front {before.node_id} is not there")
+        return Finding.failed(f"front {before.node_id} is not there")
     if now.incarnation == before.incarnation:
-        return Finding(False, f"front {before.node_id} was not restarted yet")
-    ready = now.ready or now.zone in (status.emptied_zones or ())
+        return Finding.failed(f"front {before.node_id} was not restarted yet")
+    ready = now.ready or now.zone in (status.drained_zones or ())
     return Finding(ready, f"front {before.node_id} is {'ready' if ready else 'not ready yet'}")
 
 
--- a/rooklug/runbooks/site.py
+++ b/rooklug/runbooks/site.py
@@ -14,8 +14,8 @@
 
 
 @attrs.frozen
-class MembershipState:
-    """One core as the status tells; ``unreachable`` is why it did not answer, else ""."""
+class CoreView:
+    """One core of a status; ``unreachable`` is why it did not answer, else ""."""
 
     address: str
     node_id: str = ""
@@ -43,19 +43,19 @@
 
 @attrs.frozen
 class SiteStatus:
-    """The site's status. ``emptied_zones`` is None while no primary tells."""
+    """The site's status. ``drained_zones`` is None while there is no primary."""
 
     primary: str
-    cores: tuple[MembershipState, ...]
+    cores: tuple[CoreView, ...]
     nodes: tuple[NodeView, ...]
-    emptied_zones: tuple[str, ...] | None
+    drained_zones: tuple[str, ...] | None
 
-    def primary_core(self) -> MembershipState | None:
+    def primary_core(self) -> CoreView | None:
         """Return the primary core."""
         primaries = [core for core in self.cores if core.phase == PHASE_PRIMARY]
         return max(primaries, key=lambda core: core.epoch, default=None)
 
-    def core(self, node_id: str) -> MembershipState | None:
+    def core(self, node_id: str) -> CoreView | None:
         """Return a core that answered, by its id."""
         return next((core for core in self.cores if core.node_id == node_id), None)
 
@@ -70,12 +70,12 @@
 
 def read_status(document: dict[str, Any]) -> SiteStatus:
     """Return a status document as a value; members this version doesn't know are left out."""
-    emptied = document.get("emptied_zones")
+    drained = document.get("emptied_zones")
     return SiteStatus(
         primary=document.get("primary") or "",
-        cores=tuple(_view(MembershipState, core) for core in document.get("cores", ())),
+        cores=tuple(_view(CoreView, core) for core in document.get("cores", ())),
         nodes=tuple(_view(NodeView, node) for node in document.get("nodes", ())),
-        emptied_zones=None if emptied is None else tuple(emptied),
+        drained_zones=None if drained is None else tuple(drained),
     )
 
 
@@ -88,16 +88,16 @@
 
 
 class Site:
-    """Asks and orders. ``clock`` and ``pause`` are passed in so that tests need no time."""
+    """Sends queries and orders. Tests pass in their own ``clock`` and ``sleep``."""
 
     def __init__(
         self,
         client: OperatorClient,
         clock: Callable[[], float],
-        pause: Callable[[float], Awaitable[None]] = asyncio.sleep,
+        sleep: Callable[[float], Awaitable[None]] = asyncio.sleep,
     ) -> None:
         self.clock = clock
-        self.pause = pause
+        self.sleep = sleep
         self._client = client
 
     async def status(self) -> Result[SiteStatus, str]:
@@ -106,7 +106,7 @@
         return answer.map(lambda found: read_status(found.document()))
 
     async def decisions(self) -> Result[list[dict[str, Any]], str]:
-        """Return the decisions that are kept."""
+        """Return the decisions that are stored."""
         answer = await self.order(decisions_after("0.0.0", 0.0))
         return answer.map(lambda found: found.document().get("decisions", []))
 
@@ -115,15 +115,17 @@
         outcome = await self._client.send(request)
         if outcome.is_error():
             return Error("; ".join(outcome.error.reasons) or "no answer")
-        return self._only_good(outcome.ok)
+        return self._require_success(outcome.ok)
 
-    async def ask(self, address: str, request: OperatorRequest) -> Result[OperatorAnswer, str]:
-        """Ask one address, a front's or a replica's, once."""
-        answer = await self._client.ask_one(address, request)
-        return answer.bind(self._only_good)
+    async def call_node(
+        self, address: str, request: OperatorRequest
+    ) -> Result[OperatorAnswer, str]:
+        """Send a request to one address, a front's or a replica's, once."""
+        answer = await self._client.send_once(address, request)
+        return answer.bind(self._require_success)
 
     @staticmethod
-    def _only_good(answer: OperatorAnswer) -> Result[OperatorAnswer, str]:
+    def _require_success(answer: OperatorAnswer) -> Result[OperatorAnswer, str]:
         if answer.status == 200:
             return Ok(answer)
         message = answer.document().get("error", {}).get("message", "")
--- a/rooklug/runbooks/stuck_load.py
+++ b/rooklug/runbooks/stuck_load.py
@@ -35,12 +35,12 @@
 async def _newest_decision(site: Site, replica: str, model: str) -> Finding:
     decisions = await site.decisions()
     if decisions.is_error():
-        return Finding(False, f"no decisions: {decisions.error}")
+        return Finding.failed(f"no decisions: {decisions.error}")
     about = [entry for entry in decisions.ok if _mentions(entry, replica, model)]
     if not about:
-        return Finding(False, f"no kept decision is about {model} on {replica}")
+        return Finding.failed(f"no kept decision is about {model} on {replica}")
     newest = about[-1]
-    return Finding(True, f"{newest.get('kind')}: {newest.get('summary')} [{newest.get('cause')}]")
+    return Finding.passed(f"{newest.get('kind')}: {newest.get('summary')} [{newest.get('cause')}]")
 
 
 def _mentions(decision: dict, replica: str, model: str) -> bool:
@@ -49,9 +49,9 @@
 
 
 async def _is_loaded(site: Site, address: str, model: str) -> Finding:
-    answer = await site.ask(address, _REPORT)
+    answer = await site.call_node(address, _REPORT)
     if answer.is_error():
-        return Finding(False, f"no report: {answer.error}")
+        return Finding.failed(f"no report: {answer.error}")
     states = {
         entry.get("model"): entry.get("state") for entry in answer.ok.document().get("models", ())
     }
--- a/rooklug/runbooks/zones.py
+++ b/rooklug/runbooks/zones.py
@@ -17,7 +17,7 @@
             title=f"tell the site that zone {zone} is emptied",
             check=on_status(lambda status: _others_can_serve(status, zone)),
             act=ordering(zone_order(zone, "empty")),
-            verify=on_status(lambda status: _is_emptied(status, zone)),
+            verify=on_status(lambda status: _is_drained(status, zone)),
             undo=f"rooklug runbook run restore-zone zone={zone}",
         ),
         Step(
@@ -56,13 +56,13 @@
 
 def _others_can_serve(status: SiteStatus, zone: str) -> Finding:
     if status.primary_core() is None:
-        return Finding(False, "there is no primary core")
+        return Finding.failed("there is no primary core")
     elsewhere = sorted({n.zone for n in status.fronts() if n.ready and n.zone != zone})
     text = f"zones with ready fronts besides {zone}: {', '.join(elsewhere) or 'none'}"
     return Finding(bool(elsewhere), text)
 
 
-def _is_emptied(status: SiteStatus, zone: str) -> Finding:
+def _is_drained(status: SiteStatus, zone: str) -> Finding:
     return _listed(status, lambda zones: zone in zones)
 
 
@@ -70,11 +70,11 @@
     return _listed(status, lambda zones: zone not in zones)
 
 
-def _listed(status: SiteStatus, holds: Callable[[tuple[str, ...]], bool]) -> Finding:
-    if status.emptied_zones is None:
-        return Finding(False, "no primary core tells the emptied zones")
-    text = f"emptied zones: {', '.join(status.emptied_zones) or 'none'}"
-    return Finding(holds(status.emptied_zones), text)
+def _listed(status: SiteStatus, condition: Callable[[tuple[str, ...]], bool]) -> Finding:
+    if status.drained_zones is None:
+        return Finding.failed("no primary core tells the emptied zones")
+    text = f"emptied zones: {', '.join(status.drained_zones) or 'none'}"
+    return Finding(condition(status.drained_zones), text)
 
 
 def _has_fronts(status: SiteStatus, zone: str) -> Finding:
@@ -82,7 +82,7 @@
     return Finding(bool(fronts), f"live fronts of {zone}: {', '.join(fronts) or 'none'}")
 
 
-def _fronts(status: SiteStatus, zone: str, ready: bool) -> Finding:
+def _fronts(status: SiteStatus, zone: str, *, ready: bool) -> Finding:
     wrong = [n.node_id for n in status.fronts() if n.zone == zone and n.ready is not ready]
     state = "not ready" if ready else "still ready"
     return Finding(not wrong, f"fronts of {zone} {state}: {', '.join(wrong) or 'none'}")
--- a/rooklug_lab/hollow/front.py
+++ b/rooklug_lab/hollow/front.py
@@ -11,7 +11,7 @@
 import attrs
 
 from rooklug.api.build import build_operator_components
-from rooklug.config.reading import read_configuration
+from rooklug.config.document_reader import read_configuration
 from rooklug.distribution.core_link import CoreLink
 from rooklug.engine.composite import CompositeReducer
 from rooklug.engine.reducer import Identifiers, ProcessContext
--- a/rooklug_lab/hollow/front_cost.py
+++ b/rooklug_lab/hollow/front_cost.py
@@ -11,7 +11,7 @@
 from statistics import median
 from typing import Any
 
-from rooklug.config.reading import read_configuration
+from rooklug.config.document_reader import read_configuration
 from rooklug.distribution.document_delta import ApplyTask, DeltaTask, apply_delta, make_deltas
 from rooklug.front.routing_view import ViewSources
 from rooklug.front.view_building import build_routing_view
--- a/rooklug_lab/hollow/solve_cost.py
+++ b/rooklug_lab/hollow/solve_cost.py
@@ -12,7 +12,7 @@
 import time
 from threading import Thread
 
-from rooklug.config.reading import read_configuration
+from rooklug.config.document_reader import read_configuration
 from rooklug.placement.planner import solve
 from rooklug.placement.problem import (
     DemandKey,
--- a/tests/once_support.py
+++ b/tests/once_support.py
@@ -9,9 +9,9 @@
 
 import attrs
 
+from rooklug.config.document_reader import read_configuration
 from rooklug.config.examples import read_example
 from rooklug.config.patching import digest
-from rooklug.config.reading import read_configuration
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
 from rooklug.engine.component import BaseComponent, EmitEvent
--- a/tests/test_config_fuzz.py
+++ b/tests/test_config_fuzz.py
@@ -15,9 +15,9 @@
 from hypothesis import strategies as st
 
 from rooklug.config.document import Configuration
+from rooklug.config.document_reader import read_configuration
 from rooklug.config.examples import EXAMPLE_NAMES, read_example
 from rooklug.config.json_text import _parse_with_faults, canonical_bytes, parse_json
-from rooklug.config.reading import read_configuration
 
 _EXAMPLES = [json.loads(read_example(name)) for name in EXAMPLE_NAMES]
 _STEP = re.compile(r'\["((?:[^"\\]|\\.)*)"\]|\[(\d+)\]|\.?([^.\[\]]+)')
--- a/tests/test_config_reading.py
+++ b/tests/test_config_reading.py
@@ -4,8 +4,8 @@
 import unittest
 
 from rooklug.config.document import Configuration, RouteKind
+from rooklug.config.document_reader import read_configuration
 from rooklug.config.examples import EXAMPLE_NAMES, read_example
-from rooklug.config.reading import read_configuration
 from rooklug.model.constants import MAX_DOCUMENT_BYTES, MAX_JSON_DEPTH
 
 
--- a/tests/test_controller_health.py
+++ b/tests/test_controller_health.py
@@ -3,7 +3,7 @@
 import unittest
 from random import Random
 
-from rooklug.config.reading import read_configuration
+from rooklug.config.document_reader import read_configuration
 from rooklug.controller.demand_forecast import DemandForecast
 from rooklug.controller.demand_table import DemandTable
 from rooklug.controller.fleet_state import FleetState
--- a/tests/test_ctl.py
+++ b/tests/test_ctl.py
@@ -14,7 +14,7 @@
 from rooklug.cli.ctl_placement import DescribedWorld, build_problem
 from rooklug.cli.main import main
 from rooklug.config.document import Readiness
-from rooklug.config.reading import read_configuration
+from rooklug.config.document_reader import read_configuration
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
 from rooklug.runtime.host import Host
--- a/tests/test_gateway_control.py
+++ b/tests/test_gateway_control.py
@@ -10,7 +10,7 @@
 from rooklug.gateway.gateway_events import ReplicasListed, ViewChanged
 from rooklug.gateway.lifecycle import Lifecycle
 from rooklug.gateway.listing import ListingWatcher
-from rooklug.gateway.operator_api import LISTENER, OperatorApi
+from rooklug.gateway.operator_api import LISTENER, GatewayOperatorApi
 from rooklug.gateway.protocols import (
     BadCall,
     ClientProtocol,
@@ -85,7 +85,7 @@
 class OperatorCase(unittest.TestCase):
     def setUp(self):
         self.now = 10.0
-        self.component = OperatorApi(operator_protocol(), context())
+        self.component = GatewayOperatorApi(operator_protocol(), context())
         self.component.handle(PrimaryKnown(1, PRIMARY), self.now)
 
     def ask(self, path: str) -> list[fx.Effect]:
--- a/tests/test_hollow_configured_keys.py
+++ b/tests/test_hollow_configured_keys.py
@@ -3,7 +3,7 @@
 import unittest
 
 from rooklug.config.document import RouteKind
-from rooklug.config.reading import read_configuration
+from rooklug.config.document_reader import read_configuration
 from rooklug.controller import problem_builder
 from rooklug.placement.problem import DemandKey
 from rooklug_lab.hollow.site import build_site
--- a/tests/test_hollow_demand_noise.py
+++ b/tests/test_hollow_demand_noise.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from rooklug.config.reading import read_configuration
+from rooklug.config.document_reader import read_configuration
 from rooklug.controller.demand_forecast import rose
 from rooklug.controller.demand_watch import DemandWatch
 from rooklug.wire.generated.control.ttypes import DemandReport
--- a/tests/test_hollow_site.py
+++ b/tests/test_hollow_site.py
@@ -5,8 +5,8 @@
 
 import attrs
 
+from rooklug.config.document_reader import read_configuration
 from rooklug.config.json_text import canonical_bytes
-from rooklug.config.reading import read_configuration
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
 from rooklug_lab.hollow.document import model_units, zone_regions
--- a/tests/test_hollow_view_cost.py
+++ b/tests/test_hollow_view_cost.py
@@ -7,7 +7,7 @@
 import attrs
 
 from rooklug.config.document import Configuration, Region
-from rooklug.config.reading import read_configuration
+from rooklug.config.document_reader import read_configuration
 from rooklug.front.routing_view import ViewSources
 from rooklug.front.view_building import build_routing_view
 from rooklug.wire.generated.control.ttypes import ListedReplica, LoadedReplica, PlanBody
--- a/tests/test_lab_lag.py
+++ b/tests/test_lab_lag.py
@@ -2,7 +2,7 @@
 import unittest
 from importlib import resources
 
-from rooklug.config.reading import read_configuration
+from rooklug.config.document_reader import read_configuration
 from rooklug_lab.lag import (
     document_with_routes,
     route_name,
--- a/tests/test_once_front.py
+++ b/tests/test_once_front.py
@@ -8,8 +8,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from rooklug.config.document_reader import read_configuration
 from rooklug.config.examples import read_example
-from rooklug.config.reading import read_configuration
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
 from rooklug.engine.reducer import Identifiers, ProcessContext
--- a/tests/test_runbook_recover.py
+++ b/tests/test_runbook_recover.py
@@ -25,14 +25,14 @@
         self.sent: list[dict] = []
         self.told: list[str] = []
         self.agrees = True
-        self.at_pause = lambda: None
+        self.at_sleep = lambda: None
         self.before_confirmation = lambda: None
 
-    async def pause(self, seconds: float) -> None:
-        self.at_pause()
+    async def sleep(self, seconds: float) -> None:
+        self.at_sleep()
         self.cluster.run(self.cluster.now + seconds)
 
-    async def ask_one(self, core_id: str, request: OperatorRequest) -> object:
+    async def send_once(self, core_id: str, request: OperatorRequest) -> object:
         if core_id not in self.running:
             return Error("refused")
         if request.method == "POST":
@@ -47,7 +47,7 @@
         return self.agrees
 
     def run_it(self, cores: str = ",".join(CORE_IDS)) -> bool:
-        site = Site(self, lambda: self.cluster.now, self.pause)
+        site = Site(self, lambda: self.cluster.now, self.sleep)
         runner = RunbookRunner(site, Operator(self.told.append, self.agree))
         return asyncio.run(runner.run(RUNBOOKS[RUNBOOK], {"cores": cores}))
 
@@ -88,7 +88,7 @@
                 self.running.add("core-a")
                 self.cluster.start("core-a")
 
-        self.at_pause = start_last
+        self.at_sleep = start_last
         self.assertTrue(self.run_it(), self.text())
         self.assertIn("whatever only core-a holds", self.text())
 
--- a/tests/test_runbooks.py
+++ b/tests/test_runbooks.py
@@ -14,7 +14,7 @@
 
 
 class ImaginedSite:
-    """Three cores and fronts in two zones; ``at_pause`` is what people and time do."""
+    """Three cores and fronts in two zones; ``at_sleep`` is what people and time do."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -27,13 +27,13 @@
         self.orders: list[OperatorRequest] = []
         self.reports = {"m1": "loading"}
         self.decisions: list[dict] = []
-        self.at_pause: Callable[[], None] = lambda: None
+        self.at_sleep: Callable[[], None] = lambda: None
         self.told: list[str] = []
         self.answers_no_to = "nothing"
 
-    async def pause(self, seconds: float) -> None:
+    async def sleep(self, seconds: float) -> None:
         self.now += seconds
-        self.at_pause()
+        self.at_sleep()
 
     async def send(self, request: OperatorRequest) -> object:
         if request.method == "POST":
@@ -44,12 +44,12 @@
             return self._answer({"decisions": self.decisions, "gap": False})
         return Ok(OperatorAnswer("node", 200, {"x-rooklug-version": "12"}, b"{}"))
 
-    async def ask_one(self, node: str, request: OperatorRequest) -> object:
+    async def send_once(self, node: str, request: OperatorRequest) -> object:
         models = [{"model": name, "state": state} for name, state in self.reports.items()]
         return self._answer({"models": models})
 
     def run(self, name: str, **values: str) -> bool:
-        site = Site(self, lambda: self.now, self.pause)
+        site = Site(self, lambda: self.now, self.sleep)
         operator = Operator(self.told.append, lambda question: self.answers_no_to not in question)
         return asyncio.run(RunbookRunner(site, operator).run(RUNBOOKS[name], values))
 
@@ -124,7 +124,7 @@
             steps = asyncio.run(runbook.plan(Site(self.site, lambda: 0.0), values))
             for step in steps:
                 self.assertTrue(step.undo and step.title)
-                self.assertTrue(step.deed())
+                self.assertTrue(step.instruction())
 
     def test_empty_and_restore_a_zone(self) -> None:
         self.assertTrue(self.site.run("empty-zone", zone="a"))
@@ -152,7 +152,7 @@
 
     def test_lost_disk_machine(self) -> None:
         deeds = [lambda: self.site.lose_core("core-3"), lambda: self.site.return_core("core-3")]
-        self.site.at_pause = lambda: deeds.pop(0)() if deeds else None
+        self.site.at_sleep = lambda: deeds.pop(0)() if deeds else None
         self.assertTrue(self.site.run("lost-disk-machine", core="core-3"))
 
     def test_a_second_core_is_not_given_up(self) -> None:
@@ -166,7 +166,7 @@
 
     def test_failover_check(self) -> None:
         deeds = [lambda: self.site.lose_core("core-1"), lambda: self.site.return_core("core-1")]
-        self.site.at_pause = lambda: deeds.pop(0)() if deeds else None
+        self.site.at_sleep = lambda: deeds.pop(0)() if deeds else None
         self.assertTrue(self.site.run("failover-check"))
         self.assertIn("primary core-2 in epoch 4, before 3", self.site.text())
 
@@ -181,7 +181,7 @@
         def restart_next() -> None:
             self.site.fronts[waiting.pop(0)][1] = "new life"
 
-        self.site.at_pause = restart_next
+        self.site.at_sleep = restart_next
         self.assertTrue(self.site.run("roll-fronts"))
         self.assertEqual(waiting, [])
 
@@ -194,7 +194,7 @@
         self.assertFalse(self.site.run("stuck-load", replica="r1", address="x", model="m1"))
         self.assertIn("no kept decision", self.site.text())
         self.site.decisions = [{"kind": "load", "summary": "m1 on r1", "cause": "demand"}]
-        self.site.at_pause = lambda: self.site.reports.update(m1="loaded")
+        self.site.at_sleep = lambda: self.site.reports.update(m1="loaded")
         self.assertTrue(self.site.run("stuck-load", replica="r1", address="x", model="m1"))
 
     def test_without_a_site_nothing_is_done(self) -> None:
