--- a/rooklug/front/affinity.py
+++ b/rooklug/front/affinity.py
@@ -1,4 +1,4 @@
-"""Prompt-part affinity: which replica holds which shared prompt parts in its KV cache.
+"""Prefix affinity: which replica has which shared prefix blocks in its KV cache.
 
 The table is this front's own and bounded. Where it knows nothing, rendezvous hashing gives a
 first choice that all fronts agree on.
@@ -10,15 +10,15 @@
 
 from rooklug.front.routing_view import RoutingView, ServingReplica
 
-MAX_PARTS = 8192
-MAX_HOLDERS = 4
+MAX_PREFIX_BLOCKS = 8192
+MAX_REPLICAS_PER_BLOCK = 4
 
 Homes = tuple[str, ...]
 
 
-def hash_parts(parts: tuple[str, ...]) -> tuple[int, ...]:
-    """Return a hash for each prompt part."""
-    return tuple(xxh3_64_intdigest(part.encode("utf-8", "surrogatepass")) for part in parts)
+def hash_blocks(blocks: tuple[str, ...]) -> tuple[int, ...]:
+    """Return a hash for each prefix block."""
+    return tuple(xxh3_64_intdigest(block.encode("utf-8", "surrogatepass")) for block in blocks)
 
 
 def rendezvous_rank(seed: int, replica_id: str) -> int:
@@ -26,20 +26,20 @@
     return xxh3_64_intdigest(replica_id.encode(), seed=seed)
 
 
-def combined_hash(part_hashes: tuple[int, ...]) -> int:
-    """Return one hash for the parts in their order."""
-    return xxh3_64_intdigest(b"".join(part.to_bytes(8, "little") for part in part_hashes))
+def combined_hash(block_hashes: tuple[int, ...]) -> int:
+    """Return one hash for the blocks in their order."""
+    return xxh3_64_intdigest(b"".join(block.to_bytes(8, "little") for block in block_hashes))
 
 
 class AffinityTable:
-    """Parts and their holders, in a table of its own for each set of home regions.
+    """Blocks and the replicas that cache them, in a table of its own for each set of home regions.
 
-    A bound route's parts are never kept outside its home, and never longer than a route with
+    A bound route's blocks are never kept outside its home, and never longer than a route with
     that home exists.
     """
 
-    def __init__(self, max_parts: int = MAX_PARTS) -> None:
-        self._max_parts = max_parts
+    def __init__(self, max_blocks: int = MAX_PREFIX_BLOCKS) -> None:
+        self._max_parts = max_blocks
         self._tables: dict[Homes, OrderedDict[int, dict[str, str]]] = {}
 
     def __len__(self) -> int:
@@ -56,45 +56,45 @@
         }
         self._tables = {homes: table for homes, table in self._tables.items() if homes in allowed}
 
-    def note(self, homes: Homes, part_hashes: tuple[int, ...], replica: ServingReplica) -> None:
-        """Remember that the replica holds the parts now."""
+    def record(self, homes: Homes, block_hashes: tuple[int, ...], replica: ServingReplica) -> None:
+        """Note that the replica has the blocks cached now."""
         table = self._tables.setdefault(homes, OrderedDict())
-        for part in part_hashes:
-            holders = table.setdefault(part, {})
-            holders.pop(replica.replica_id, None)
-            holders[replica.replica_id] = replica.incarnation
-            if len(holders) > MAX_HOLDERS:
-                del holders[next(iter(holders))]
-            table.move_to_end(part)
+        for block in block_hashes:
+            caching = table.setdefault(block, {})
+            caching.pop(replica.replica_id, None)
+            caching[replica.replica_id] = replica.incarnation
+            if len(caching) > MAX_REPLICAS_PER_BLOCK:
+                del caching[next(iter(caching))]
+            table.move_to_end(block)
         self._shrink(table)
 
-    def held_parts(
-        self, homes: Homes, part_hashes: tuple[int, ...], replica: ServingReplica
+    def cached_blocks(
+        self, homes: Homes, block_hashes: tuple[int, ...], replica: ServingReplica
     ) -> int:
-        """Return how many of the parts this incarnation of the replica holds."""
+        """Return how many of the blocks this incarnation of the replica has cached."""
         table = self._tables.get(homes)
         if not table:
             return 0
         return sum(
-            table.get(part, {}).get(replica.replica_id) == replica.incarnation
-            for part in part_hashes
+            table.get(block, {}).get(replica.replica_id) == replica.incarnation
+            for block in block_hashes
         )
 
     def rank(
-        self, homes: Homes, part_hashes: tuple[int, ...], replicas: list[ServingReplica]
+        self, homes: Homes, block_hashes: tuple[int, ...], replicas: list[ServingReplica]
     ) -> list[ServingReplica]:
-        """Return the replicas, the best holder first."""
-        seed = combined_hash(part_hashes)
+        """Return the replicas, the one with most cached blocks first."""
+        seed = combined_hash(block_hashes)
         return sorted(
             replicas,
             key=lambda replica: (
-                -self.held_parts(homes, part_hashes, replica),
+                -self.cached_blocks(homes, block_hashes, replica),
                 -rendezvous_rank(seed, replica.replica_id),
             ),
         )
 
     def _shrink(self, newest: OrderedDict[int, dict[str, str]]) -> None:
-        """Keep the bound over all tables: drop the oldest parts, of others' tables first."""
+        """Keep the bound over all tables: drop the oldest blocks, of others' tables first."""
         excess = len(self) - self._max_parts
         for table in [*(other for other in self._tables.values() if other is not newest), newest]:
             while excess > 0 and table:
--- a/rooklug/front/answers.py
+++ b/rooklug/front/answers.py
@@ -20,7 +20,7 @@
 def json_answer(
     http_id: int, status: int, document: dict[str, Any], headers: dict[str, str] | None = None
 ) -> fx.HttpRespond:
-    """Return a whole JSON answer."""
+    """Return a complete JSON answer."""
     body = json.dumps(document).encode()
     return fx.HttpRespond(http_id, status, body, {**JSON_TYPE, **(headers or {})})
 
@@ -56,12 +56,12 @@
     return json_answer(http_id, 307, document, headers)
 
 
-def whole_answer(http_id: int, request_id: str, pieces: list[str]) -> fx.HttpRespond:
-    """Answer a request that asked for the whole text at once."""
+def complete_answer(http_id: int, request_id: str, chunks: list[str]) -> fx.HttpRespond:
+    """Answer a request that wants the complete text at once."""
     document = {
         "request_id": request_id,
-        "text": "".join(pieces),
-        "pieces": len(pieces),
+        "text": "".join(chunks),
+        "pieces": len(chunks),
         "end": True,
     }
     return json_answer(http_id, 200, document, {REQUEST_ID_HEADER: request_id})
--- a/rooklug/front/attempts.py
+++ b/rooklug/front/attempt.py
@@ -1,4 +1,4 @@
-"""One try of a request at one replica, and what the executor reports of it."""
+"""One attempt of a request at one replica, and what the executor reports of it."""
 
 import attrs
 
@@ -10,26 +10,29 @@
 
 @attrs.frozen
 class AttemptReport:
-    """The end of a try. ``first_piece_s``: from the send to the first piece, None without one."""
+    """The end of an attempt.
+
+    ``first_chunk_s`` is the time from the send to the first chunk, None without one.
+    """
 
     serve_at: ServeAt
     outcome: AttemptOutcome
     elapsed_s: float
     prompt_tokens: int
-    first_piece_s: float | None
+    first_chunk_s: float | None
 
 
 @attrs.define
 class Attempt:
-    """A try that is under way."""
+    """An attempt in flight."""
 
     call_id: int
     serve_at: ServeAt
     started_at: float
     checker: StreamChecker
     last_progress_at: float
-    first_piece_limit_s: float
-    first_piece_at: float | None = None
+    first_chunk_timeout_s: float
+    first_chunk_at: float | None = None
     status: int = 0
     refusal_body: bytes = b""
 
--- a/rooklug/front/attempt_runner.py
+++ b/rooklug/front/attempt_runner.py
@@ -1,4 +1,4 @@
-"""Carries one try of a request: the call to the replica, its answer, and how it ended."""
+"""Carries one attempt of a request: the call to the replica, its answer, and how it ended."""
 
 import json
 
@@ -8,8 +8,8 @@
 from rooklug.engine import events as ev
 from rooklug.engine.reducer import ProcessContext
 from rooklug.front import answers
-from rooklug.front.active import ActiveRequest
-from rooklug.front.attempts import Attempt, AttemptOutcome, AttemptReport
+from rooklug.front.active_request import ActiveRequest
+from rooklug.front.attempt import Attempt, AttemptOutcome, AttemptReport
 from rooklug.front.requests import (
     DEADLINE_HEADER,
     REQUEST_ID_HEADER,
@@ -23,8 +23,8 @@
 REPLICA_PATH = "/api/generate"
 CONNECT_DEADLINE_S = 1.0
 STREAM_IDLE_S = 10.0
-# A try that had less time than this is no proof against its replica.
-FAIR_WAIT_S = 1.0
+# An attempt that had less time than this says nothing about its replica.
+MIN_FAIR_WAIT_S = 1.0
 MAX_REFUSAL_BYTES = 16 * 1024
 MAX_ANSWER_BYTES = 32 * 1024 * 1024
 NOT_RUN_CODES = {"busy": AttemptOutcome.BUSY, "not_loaded": AttemptOutcome.NOT_LOADED}
@@ -32,14 +32,14 @@
 
 @attrs.frozen
 class Progress:
-    """The try goes on."""
+    """The attempt goes on."""
 
     effects: list[fx.Effect]
 
 
 @attrs.frozen
 class Finished:
-    """The try gave the whole answer; ``effects`` bring its end to the caller."""
+    """The attempt gave the complete answer; ``effects`` bring its end to the caller."""
 
     report: AttemptReport
     effects: list[fx.Effect]
@@ -47,7 +47,7 @@
 
 @attrs.frozen
 class Failed:
-    """The try is over without a whole answer. ``may_have_run`` is False only if certain."""
+    """The attempt is over without a complete answer. ``may_have_run`` is False only if certain."""
 
     report: AttemptReport
     may_have_run: bool
@@ -63,17 +63,17 @@
         self._by_call_id: dict[int, ActiveRequest] = {}
 
     def request_of(self, call_id: int) -> ActiveRequest | None:
-        """Return the request whose running try has that call id."""
+        """Return the request whose running attempt has that call id."""
         return self._by_call_id.get(call_id)
 
     def start(
-        self, request: ActiveRequest, serve_at: ServeAt, first_piece_s: float, now: float
+        self, request: ActiveRequest, serve_at: ServeAt, first_chunk_s: float, now: float
     ) -> fx.Effect:
-        """Begin a try; return the call to the replica, with the time left carried on."""
+        """Start an attempt; return the call to the replica, with the time left carried on."""
         head = request.head
         call_id = self._context.identifiers.next()
         checker = StreamChecker(head.request_id)
-        request.attempt = Attempt(call_id, serve_at, now, checker, now, first_piece_s)
+        request.attempt = Attempt(call_id, serve_at, now, checker, now, first_chunk_s)
         self._by_call_id[call_id] = request
         time_left = max(serve_at.until - now, 0.0)
         headers = {
@@ -88,20 +88,20 @@
             address=serve_at.replica.address,
             method="POST",
             path=REPLICA_PATH,
-            body=encode_attempt_body(request.body, head.request_id, serve_at.model),
+            body=encode_attempt_body(request.generate_body, head.request_id, serve_at.model),
             deadline_s=time_left,
             headers=headers,
             streaming=True,
             connect_deadline_s=min(CONNECT_DEADLINE_S, time_left),
-            first_byte_deadline_s=min(first_piece_s, time_left),
+            first_byte_deadline_s=min(first_chunk_s, time_left),
             not_after=serve_at.until,
         )
 
     def advance(
         self, request: ActiveRequest, event: ev.Event, now: float
     ) -> Progress | Finished | Failed:
-        """Take one event of the running try."""
-        attempt = request.attempt
+        """Take one event of the running attempt."""
+        attempt = request.running_attempt
         if isinstance(event, ev.HttpFailed):
             return self._call_failed(request, event, now)
         if isinstance(event, ev.HttpResponseStarted):
@@ -110,57 +110,65 @@
         if attempt.status != 200:
             return self._take_refusal(request, event, now)
         if isinstance(event, ev.HttpBodyChunk):
-            return self._take_pieces(request, event.data, now)
+            return self._handle_chunk(request, event.data, now)
         return self._take_end(request, now)
 
     def cancel(self, request: ActiveRequest, now: float) -> Failed:
-        """End a try whose caller has gone."""
-        return self._fail(request, AttemptOutcome.CANCELLED, "caller gone", True, now, cancel=True)
+        """End an attempt whose caller has gone."""
+        return self._fail(
+            request, AttemptOutcome.CANCELLED, "caller gone", now, may_have_run=True, cancel=True
+        )
 
     def stalled(self, request: ActiveRequest, now: float) -> Failed | None:
-        """End a try whose first or next piece takes too long (the head alone is no progress)."""
-        attempt = request.attempt
-        began = attempt.first_piece_at is not None
-        limit = STREAM_IDLE_S if began else attempt.first_piece_limit_s
+        """End an attempt whose first or next chunk takes too long; the head alone is none."""
+        attempt = request.running_attempt
+        has_started = attempt.first_chunk_at is not None
+        limit = STREAM_IDLE_S if has_started else attempt.first_chunk_timeout_s
         if now - attempt.last_progress_at < limit:
             return None
         # A stream may also stand still because its caller reads slowly: not the replica's fault.
-        outcome = AttemptOutcome.CANCELLED if began else AttemptOutcome.TIMED_OUT
-        return self._fail(request, outcome, "no piece for too long", True, now, cancel=True)
+        outcome = AttemptOutcome.CANCELLED if has_started else AttemptOutcome.TIMED_OUT
+        return self._fail(
+            request, outcome, "no piece for too long", now, may_have_run=True, cancel=True
+        )
 
-    def _take_pieces(self, request: ActiveRequest, data: bytes, now: float) -> Progress | Failed:
-        attempt = request.attempt
+    def _handle_chunk(self, request: ActiveRequest, data: bytes, now: float) -> Progress | Failed:
+        attempt = request.running_attempt
         checked = attempt.checker.feed(data)
         if isinstance(checked, StreamFault):
             message = checked.message
-            return self._fail(request, AttemptOutcome.BROKEN, message, True, now, cancel=True)
+            return self._fail(
+                request, AttemptOutcome.BROKEN, message, now, may_have_run=True, cancel=True
+            )
         if not checked.texts:
             return Progress([])
         attempt.last_progress_at = now
-        if attempt.first_piece_at is None:
-            attempt.first_piece_at = now
-        request.piece_count += len(checked.texts)
-        if not request.body.stream:
-            request.pieces.extend(checked.texts)
+        if attempt.first_chunk_at is None:
+            attempt.first_chunk_at = now
+        request.chunk_count += len(checked.texts)
+        if not request.generate_body.stream:
+            request.chunks.extend(checked.texts)
             request.answer_bytes += len(data)
             if request.answer_bytes > MAX_ANSWER_BYTES:
                 outcome = AttemptOutcome.BROKEN
-                return self._fail(request, outcome, "answer too long", True, now, cancel=True)
+                return self._fail(
+                    request, outcome, "answer too long", now, may_have_run=True, cancel=True
+                )
             return Progress([])
         effects: list[fx.Effect] = self._begin_answer(request)
         effects.append(fx.HttpStreamChunk(request.http_id, checked.lines))
         return Progress(effects)
 
     def _take_end(self, request: ActiveRequest, now: float) -> Finished | Failed:
-        end_line = request.attempt.checker.finish()
+        end_line = request.running_attempt.checker.finish()
         if end_line.is_error():
             message = end_line.error.message
-            return self._fail(request, AttemptOutcome.BROKEN, message, True, now)
+            return self._fail(request, AttemptOutcome.BROKEN, message, now, may_have_run=True)
         report = self._end(request, AttemptOutcome.SUCCESS, now)
         head = request.head
-        if not request.body.stream:
-            whole = answers.whole_answer(request.http_id, head.request_id, request.pieces)
-            return Finished(report, [whole])
+        if not request.generate_body.stream:
+            answer = answers.complete_answer(request.http_id, head.request_id, request.chunks)
+            return Finished(report, [answer])
         effects = self._begin_answer(request)
         effects.append(fx.HttpStreamChunk(request.http_id, end_line.ok))
         effects.append(fx.HttpStreamEnd(request.http_id))
@@ -176,29 +184,32 @@
         self, request: ActiveRequest, event: ev.Event, now: float
     ) -> Progress | Failed:
         """Collect an answer other than 200; it counts as not run only if it says so."""
-        attempt = request.attempt
+        attempt = request.running_attempt
         if isinstance(event, ev.HttpBodyChunk):
             attempt.refusal_body = (attempt.refusal_body + event.data)[:MAX_REFUSAL_BYTES]
             return Progress([])
         outcome = _refusal_outcome(attempt.status, attempt.refusal_body)
         may_have_run = outcome is AttemptOutcome.BROKEN
-        return self._fail(request, outcome, f"status {attempt.status}", may_have_run, now)
+        return self._fail(
+            request, outcome, f"status {attempt.status}", now, may_have_run=may_have_run
+        )
 
     def _call_failed(self, request: ActiveRequest, event: ev.HttpFailed, now: float) -> Failed:
-        outcome = _failure_outcome(request.attempt, event.send_state, now)
+        outcome = _failure_outcome(request.running_attempt, event.send_state, now)
         may_have_run = event.send_state is not ev.SendState.NOT_SENT
-        return self._fail(request, outcome, event.reason, may_have_run, now)
+        return self._fail(request, outcome, event.reason, now, may_have_run=may_have_run)
 
     def _fail(
         self,
         request: ActiveRequest,
         outcome: AttemptOutcome,
         reason: str,
-        may_have_run: bool,
         now: float,
+        *,
+        may_have_run: bool,
         cancel: bool = False,
     ) -> Failed:
-        attempt = request.attempt
+        attempt = request.running_attempt
         fields = {
             "request_id": request.head.request_id,
             "replica": attempt.replica.replica_id,
@@ -206,30 +217,30 @@
             "reason": reason,
         }
         report = self._end(request, outcome, now)
-        effects = [fx.CancelHttpCall(attempt.call_id)] if cancel else []
+        effects: list[fx.Effect] = [fx.CancelHttpCall(attempt.call_id)] if cancel else []
         return Failed(report, may_have_run, effects, fields)
 
     def _end(self, request: ActiveRequest, outcome: AttemptOutcome, now: float) -> AttemptReport:
-        attempt = request.attempt
+        attempt = request.running_attempt
         request.attempt = None
         del self._by_call_id[attempt.call_id]
-        first = attempt.first_piece_at
+        first = attempt.first_chunk_at
         return AttemptReport(
             serve_at=attempt.serve_at,
             outcome=outcome,
             elapsed_s=now - attempt.started_at,
-            prompt_tokens=request.body.prompt_tokens,
-            first_piece_s=None if first is None else first - attempt.started_at,
+            prompt_tokens=request.generate_body.prompt_tokens,
+            first_chunk_s=None if first is None else first - attempt.started_at,
         )
 
 
 def _failure_outcome(attempt: Attempt, sent: ev.SendState, now: float) -> AttemptOutcome:
     """Judge a call that failed; one that ran out of time too soon says nothing."""
     time_was_over = now >= attempt.serve_at.until
-    had_a_fair_wait = now - attempt.started_at >= FAIR_WAIT_S
+    had_a_fair_wait = now - attempt.started_at >= MIN_FAIR_WAIT_S
     if sent is ev.SendState.NOT_SENT:
         return AttemptOutcome.CANCELLED if time_was_over else AttemptOutcome.CONNECT_FAILED
-    if attempt.first_piece_at is None and (had_a_fair_wait or not time_was_over):
+    if attempt.first_chunk_at is None and (had_a_fair_wait or not time_was_over):
         return AttemptOutcome.TIMED_OUT
     return AttemptOutcome.CANCELLED if time_was_over else AttemptOutcome.BROKEN
 
--- a/rooklug/front/build.py
+++ b/rooklug/front/build.py
@@ -1,5 +1,6 @@
-"""Composes the parts of a front's model request path."""
+"""Composes the components of a front's model request path."""
 
+from rooklug.distribution.core_link import CoreLink
 from rooklug.engine.component import Component
 from rooklug.engine.reducer import ProcessContext
 from rooklug.front.decision import Decision
@@ -7,31 +8,31 @@
 from rooklug.front.directory import Directory
 from rooklug.front.executor import GenerateComponent
 from rooklug.front.readiness import Readiness
-from rooklug.front.view_keeper import ConfigurationReader, ViewKeeper
+from rooklug.front.view_component import ConfigurationReader, RoutingViewComponent
 from rooklug.model.settings import NodeSettings
 
 
 def build_front_components(
     settings: NodeSettings,
     context: ProcessContext,
-    core_link,
+    core_link: CoreLink,
     read_configuration: ConfigurationReader | None = None,
 ) -> list[Component]:
-    """Return the parts, the ``ViewKeeper`` first (it must see a topic before the others).
+    """Return the components; the ``RoutingViewComponent`` comes first, it must see topics first.
 
-    Other parts with requests of their own find ``Readiness`` in the list and call ``watch``.
+    Other components with requests of their own find ``Readiness`` in the list and call ``watch``.
     ``read_configuration`` defaults to the project's reader of configuration documents.
     """
-    keeper = ViewKeeper(settings, read_configuration or _default_reader())
+    view_component = RoutingViewComponent(settings, read_configuration or _default_reader())
     counts = DemandCounts()
-    decision = Decision(keeper, context.random)
-    generate = GenerateComponent(context, keeper, decision, counts)
-    readiness = Readiness(keeper, core_link)
+    decision = Decision(view_component, context.random)
+    generate = GenerateComponent(context, view_component, decision, counts)
+    readiness = Readiness(view_component, core_link)
     readiness.watch(generate.active_requests)
     return [
-        keeper,
+        view_component,
         readiness,
-        Directory(keeper, context.random),
+        Directory(view_component, context.random),
         generate,
         DemandComponent(context, core_link, counts),
     ]
--- a/rooklug/front/decision.py
+++ b/rooklug/front/decision.py
@@ -1,6 +1,7 @@
-"""The decision object: asked where a request goes, it answers; it does nothing itself.
+"""The decision object of model requests: it chooses where a request goes, and sends nothing.
 
-The executor tells it what became of its answers (``began``, ``ended``, ``held_parts``).
+The executor reports what became of its verdicts (``record_start``, ``record_end``,
+``record_cached_blocks``).
 """
 
 from collections.abc import Iterable
@@ -8,7 +9,7 @@
 
 from rooklug.config.document import Limits, Route
 from rooklug.engine.reducer import MetricSample
-from rooklug.front.attempts import AttemptOutcome, AttemptReport
+from rooklug.front.attempt import AttemptOutcome, AttemptReport
 from rooklug.front.balancer import Balancer, NoChoice
 from rooklug.front.limits import RetryBudget
 from rooklug.front.overload import Overload
@@ -17,7 +18,7 @@
 from rooklug.front.verdicts import (
     GoTo,
     HeadVerdict,
-    Question,
+    PlacementRequest,
     QueueOutlook,
     ReadBody,
     Refuse,
@@ -25,21 +26,21 @@
     Verdict,
     Wait,
 )
-from rooklug.front.view_keeper import ViewKeeper
+from rooklug.front.view_component import RoutingViewComponent
 
 NO_PLAN_RETRY_AFTER_S = 1
-SMALLEST_FIRST_PIECE_S = 2.0
-UNKNOWN_FIRST_PIECE_S = 5.0
-UNKNOWN_S_PER_PROMPT_TOKEN = 0.001
-FIRST_PIECE_FACTOR = 4.0
-FIRST_PIECE_ADDED_S = 1.0
+MIN_FIRST_CHUNK_TIMEOUT_S = 2.0
+DEFAULT_FIRST_CHUNK_TIMEOUT_S = 5.0
+DEFAULT_TIMEOUT_S_PER_PROMPT_TOKEN = 0.001
+FIRST_CHUNK_FACTOR = 4.0
+FIRST_CHUNK_MARGIN_S = 1.0
 
 
 class Decision:
-    """Asked for each request: from its head, then with its body, then again while it waits."""
+    """Decides on each request: from its head, then with its body, then again while it waits."""
 
-    def __init__(self, keeper: ViewKeeper, random: Random) -> None:
-        self._keeper = keeper
+    def __init__(self, view_component: RoutingViewComponent, random: Random) -> None:
+        self._view_component = view_component
         self._random = random
         self._balancer = Balancer(random)
         self._budget = RetryBudget()
@@ -50,38 +51,38 @@
         """Take a new view."""
         self._balancer.follow(view, now)
 
-    def ask_head(self, head: RequestHead, outlook: QueueOutlook, now: float) -> HeadVerdict:
-        """Answer from the head alone: elsewhere, refused, or read on."""
-        view = self._keeper.view
+    def check_head(self, head: RequestHead, outlook: QueueOutlook, now: float) -> HeadVerdict:
+        """Decide from the head alone: elsewhere, refused, or read the body."""
+        view = self._view_component.view
         elsewhere = self._leave_home(head.route, now) or self._leave_front(head.route, now)
         if elsewhere is not None:
             return elsewhere
         if not view.has_plan:
             return self._no_plan()
-        if not outlook.has_room and not self._balancer.has_free_replica(
+        if not outlook.has_capacity and not self._balancer.has_free_replica(
             head.route, head.source_region, view, now
         ):
             return self.refusal("overloaded", "the queue is full", now)
         return ReadBody()
 
-    def ask(self, question: Question, outlook: QueueOutlook, now: float) -> Verdict:
-        """Answer where a request goes, under the newest view."""
-        view = self._keeper.view
-        route = view.route(question.head.route_name)
+    def choose(self, request: PlacementRequest, outlook: QueueOutlook, now: float) -> Verdict:
+        """Decide where a request goes, under the newest view."""
+        view = self._view_component.view
+        route = view.route(request.head.route_name)
         if route is None:
             return self.refusal("no_route", "the route was taken away", now)
         elsewhere = self._leave_home(route, now)
         if elsewhere is not None:
             return elsewhere
-        if now >= question.head.deadline:
+        if now >= request.head.deadline:
             return self.refusal("deadline", "its time was over before it ran", now)
         if not view.has_plan:
             return self._no_plan()
-        choice = self._balancer.choose(question, route, view, now)
+        choice = self._balancer.choose(request, route, view, now)
         if isinstance(choice, ServeAt):
             return choice
         if choice is NoChoice.NOT_FREE:
-            return self._wait_or_refuse(question.head, outlook, now)
+            return self._wait_or_refuse(request.head, outlook, now)
         code = "no_replica" if choice is NoChoice.NOT_LOADED else "replica_failed"
         return self.refusal(code, choice.value, now)
 
@@ -93,38 +94,47 @@
         """Return how many requests may wait."""
         return self._limits().queue_length
 
-    def first_try(self, now: float) -> None:
-        """Take note of a request's first try: it earns a share of a retry."""
-        self._budget.first_try(self._limits().retry_share)
+    def record_first_attempt(self, now: float) -> None:
+        """Count a request's first attempt: it earns a share of a retry."""
+        self._budget.record_first_attempt(self._limits().retry_share)
 
     def may_retry(self, now: float) -> bool:
         """Spend one retry of the budget, if there is one."""
         return self._budget.take(now)
 
-    def first_piece_limit(self, serve_at: ServeAt, body: GenerateBody, now: float) -> float:
-        """Return the seconds a try may take to its first piece, by what is usual there."""
+    def first_chunk_timeout(self, serve_at: ServeAt, body: GenerateBody, now: float) -> float:
+        """Return the seconds an attempt may take to its first chunk, by the replica's average."""
         state = self._balancer.states[serve_at.replica]
-        usual = state.limit.usual_wait(body.prompt_tokens)
-        if usual is None:
-            return UNKNOWN_FIRST_PIECE_S + UNKNOWN_S_PER_PROMPT_TOKEN * body.prompt_tokens
-        return max(SMALLEST_FIRST_PIECE_S, FIRST_PIECE_ADDED_S + FIRST_PIECE_FACTOR * usual)
-
-    def began(self, serve_at: ServeAt, body: GenerateBody, now: float) -> None:
-        """Take note of a try's begin."""
-        self._balancer.began(serve_at, body, now)
-
-    def ended(self, report: AttemptReport, now: float) -> None:
-        """Take note of a try's end."""
-        self._balancer.ended(report, now)
+        average = state.limit.average_wait(body.prompt_tokens)
+        if average is None:
+            return (
+                DEFAULT_FIRST_CHUNK_TIMEOUT_S
+                + DEFAULT_TIMEOUT_S_PER_PROMPT_TOKEN * body.prompt_tokens
+            )
+        return max(MIN_FIRST_CHUNK_TIMEOUT_S, FIRST_CHUNK_MARGIN_S + FIRST_CHUNK_FACTOR * average)
+
+    def record_start(self, serve_at: ServeAt, body: GenerateBody, now: float) -> None:
+        """Count an attempt that is sent."""
+        self._balancer.record_start(serve_at, body, now)
+
+    def record_end(self, report: AttemptReport, now: float) -> None:
+        """Count an attempt that is over."""
+        self._balancer.record_end(report, now)
         if report.outcome is AttemptOutcome.SUCCESS:
             self._overload.served(now)
 
-    def held_parts(self, head: RequestHead, body: GenerateBody, replica: ServingReplica) -> None:
-        """Take note of the prompt parts that a replica holds now; bound ones only at home."""
-        route = self._keeper.view.route(head.route_name)
-        if route is None or not body.part_hashes or not self._keeper.view.serves_home(route):
+    def record_cached_blocks(
+        self, head: RequestHead, body: GenerateBody, replica: ServingReplica
+    ) -> None:
+        """Note the prefix blocks that a replica has cached; bound ones only at home."""
+        route = self._view_component.view.route(head.route_name)
+        if (
+            route is None
+            or not body.block_hashes
+            or not self._view_component.view.serves_home(route)
+        ):
             return
-        self._balancer.affinity.note(route.home_regions, body.part_hashes, replica)
+        self._balancer.affinity.record(route.home_regions, body.block_hashes, replica)
 
     def metrics(self, now: float) -> Iterable[MetricSample]:
         """Return the figures a replica, and the sizes of the tables."""
@@ -148,7 +158,7 @@
             )
 
     def _limits(self) -> Limits:
-        configuration = self._keeper.view.configuration
+        configuration = self._view_component.view.configuration
         return configuration.limits if configuration else Limits()
 
     def _no_plan(self) -> Refuse:
@@ -156,7 +166,7 @@
 
     def _wait_or_refuse(self, head: RequestHead, outlook: QueueOutlook, now: float) -> Verdict:
         wait_s = min(self._limits().queue_wait_s, head.deadline - now)
-        if not outlook.has_room:
+        if not outlook.has_capacity:
             return self.refusal("overloaded", "the queue is full", now)
         if self._overload.expected_wait(outlook.ahead, now) > wait_s:
             return self.refusal("overloaded", "the queue is too slow", now)
@@ -164,7 +174,7 @@
 
     def _leave_home(self, route: Route, now: float) -> GoTo | Refuse | None:
         """Send away what this front must not carry; None: it may."""
-        if self._keeper.view.serves_home(route):
+        if self._view_component.view.serves_home(route):
             return None
         front = self._another_front(route.home_regions)
         if front is not None:
@@ -173,7 +183,7 @@
 
     def _leave_front(self, route: Route, now: float) -> GoTo | Refuse | None:
         """Send away new requests while draining or in an emptied zone; None: carry on."""
-        view = self._keeper.view
+        view = self._view_component.view
         if not self.draining and not view.own_zone_drained:
             return None
         homes = route.home_regions
@@ -185,7 +195,7 @@
         return None
 
     def _another_front(self, regions: tuple[str, ...]) -> FrontNode | None:
-        view = self._keeper.view
+        view = self._view_component.view
         fronts = view.fronts_in(regions)
         others = [front for front in fronts if front.node_id != view.own_node_id]
         return self._random.choice(others) if others else None
--- a/rooklug/front/demand.py
+++ b/rooklug/front/demand.py
@@ -5,11 +5,12 @@
 
 import attrs
 
+from rooklug.distribution.core_link import CoreLink
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
 from rooklug.engine.component import BaseComponent
 from rooklug.engine.reducer import MetricSample, ProcessContext
-from rooklug.front.attempts import AttemptOutcome, AttemptReport
+from rooklug.front.attempt import AttemptOutcome, AttemptReport
 from rooklug.front.requests import RequestHead
 from rooklug.model.constants import CALL_DEADLINE_S, DEMAND_REPORT_INTERVAL_S
 from rooklug.model.topics import ROLE_PLACER
@@ -49,7 +50,7 @@
     successes: int = 0
     failures: int = 0
     connect_failures: int = 0
-    first_piece_s: list[float] = attrs.field(factory=list)
+    first_chunk_s: list[float] = attrs.field(factory=list)
 
 
 class DemandCounts:
@@ -68,13 +69,13 @@
         entry.refused += 1
 
     def answered(self, head: RequestHead, prompt_tokens: int, answer_tokens: int) -> None:
-        """Count a request that ran, with the pieces it really produced."""
+        """Count a request that ran, with the chunks it really produced."""
         average = self._average(head.route_name)
         average.prompt_tokens += AVERAGE_WEIGHT * (prompt_tokens - average.prompt_tokens)
         average.answer_tokens += AVERAGE_WEIGHT * (answer_tokens - average.answer_tokens)
         self._count(head, prompt_tokens, answer_tokens)
 
-    def attempt_ended(self, report: AttemptReport) -> None:
+    def record_attempt(self, report: AttemptReport) -> None:
         """Count what a try says about its replica."""
         replica = report.serve_at.replica
         record = self._replicas.setdefault(
@@ -86,8 +87,8 @@
             record.connect_failures += 1
         elif report.outcome is not AttemptOutcome.CANCELLED:
             record.failures += 1
-        if report.first_piece_s is not None and len(record.first_piece_s) < MAX_SAMPLES:
-            record.first_piece_s.append(report.first_piece_s)
+        if report.first_chunk_s is not None and len(record.first_chunk_s) < MAX_SAMPLES:
+            record.first_chunk_s.append(report.first_chunk_s)
 
     def take_entries(self, elapsed_s: float) -> list[DemandEntry]:
         """Return the rates since the last call, sorted, and begin anew."""
@@ -116,7 +117,7 @@
                 successes=record.successes,
                 failures=record.failures,
                 connect_failures=record.connect_failures,
-                median_first_token_s=median(record.first_piece_s) if record.first_piece_s else 0.0,
+                median_first_token_s=median(record.first_chunk_s) if record.first_chunk_s else 0.0,
             )
             for (replica_id, incarnation), record in sorted(taken.items())
         ]
@@ -141,7 +142,7 @@
 
     name = "demand"
 
-    def __init__(self, context: ProcessContext, core_link, counts: DemandCounts) -> None:
+    def __init__(self, context: ProcessContext, core_link: CoreLink, counts: DemandCounts) -> None:
         self._context = context
         self._core_link = core_link
         self._counts = counts
--- a/rooklug/front/directory.py
+++ b/rooklug/front/directory.py
@@ -7,9 +7,9 @@
 from rooklug.engine import events as ev
 from rooklug.engine.component import BaseComponent
 from rooklug.front.answers import front_document, json_answer, not_run_answer, problem_answer
-from rooklug.front.requests import RequestProblem, read_json_object, read_prompt_parts
+from rooklug.front.requests import RequestProblem, read_json_object, read_prefix_blocks
 from rooklug.front.routing_view import FrontNode, RoutingView
-from rooklug.front.view_keeper import ViewKeeper
+from rooklug.front.view_component import RoutingViewComponent
 
 WHERE_PATH = "/v1/where"
 VALID_S = 5
@@ -41,8 +41,8 @@
     name = "directory"
     http_prefixes = (WHERE_PATH,)
 
-    def __init__(self, keeper: ViewKeeper, random: Random) -> None:
-        self._keeper = keeper
+    def __init__(self, view_component: RoutingViewComponent, random: Random) -> None:
+        self._view_component = view_component
         self._random = random
 
     def handle(self, event: ev.Event, now: float) -> list[fx.Effect]:
@@ -55,7 +55,7 @@
         return [self._answer(event)]
 
     def _answer(self, event: ev.HttpRequestArrived) -> fx.Effect:
-        view = self._keeper.view
+        view = self._view_component.view
         if view.configuration is None:
             message = "no configuration has come yet"
             return not_run_answer(event.request_id, "", "no_configuration", message, 1)
@@ -63,7 +63,7 @@
         if document is None or not isinstance(document.get("route"), str):
             problem = RequestProblem(400, "invalid", "the body must name a route")
             return problem_answer(event.request_id, problem)
-        if read_prompt_parts(document) is None:
+        if read_prefix_blocks(document) is None:
             problem = RequestProblem(400, "invalid", "prompt_parts must be a list of strings")
             return problem_answer(event.request_id, problem)
         route = view.route(document["route"])
--- a/rooklug/front/executor.py
+++ b/rooklug/front/executor.py
@@ -1,6 +1,6 @@
-"""The executor of model requests: it asks the decision object, and obeys.
+"""The executor of model requests: it obeys the decision object.
 
-A request is tried again elsewhere until its first byte went to the caller, never after. A
+A request is retried elsewhere until its first byte went to the caller, never after. A
 request given up on gets its final answer at once, with a time to come back.
 """
 
@@ -11,7 +11,7 @@
 from rooklug.engine.component import BaseComponent
 from rooklug.engine.reducer import MetricSample, ProcessContext
 from rooklug.front import answers
-from rooklug.front.active import ActiveRequest, Stage
+from rooklug.front.active_request import ActiveRequest, RequestState
 from rooklug.front.attempt_runner import AttemptRunner, Failed, Finished, Progress
 from rooklug.front.decision import Decision
 from rooklug.front.demand import DemandCounts
@@ -19,14 +19,16 @@
 from rooklug.front.readiness import DrainingStarted
 from rooklug.front.requests import RequestHead, RequestProblem, read_generate_body, read_head
 from rooklug.front.verdicts import GoTo, QueueOutlook, Refuse, ServeAt, Wait
-from rooklug.front.view_keeper import RoutingViewChanged, ViewKeeper
+from rooklug.front.view_component import RoutingViewChanged, RoutingViewComponent
 from rooklug.front.wait_queue import WaitQueue
 
 SWEEP_TIMER = "sweep"
 SWEEP_S = 0.25
 PUMP_TIMER = "pump"
 PUMP_S = 0.05
-ALREADY_QUEUED = QueueOutlook(ahead=0, has_room=True)
+AttemptEvent = ev.HttpBodyChunk | ev.HttpResponseStarted | ev.HttpResponseCompleted | ev.HttpFailed
+"""What comes back from a replica."""
+ALREADY_QUEUED = QueueOutlook(ahead=0, has_capacity=True)
 
 
 class GenerateComponent(BaseComponent):
@@ -40,12 +42,12 @@
     def __init__(
         self,
         context: ProcessContext,
-        keeper: ViewKeeper,
+        view_component: RoutingViewComponent,
         decision: Decision,
         demand: DemandCounts,
     ) -> None:
         self._context = context
-        self._keeper = keeper
+        self._view_component = view_component
         self._decision = decision
         self._demand = demand
         self._runner = AttemptRunner(context)
@@ -81,7 +83,7 @@
             case ev.Started():
                 return [fx.StartTimer(SWEEP_TIMER, SWEEP_S)]
             case RoutingViewChanged():
-                self._decision.view_changed(self._keeper.view, now)
+                self._decision.view_changed(self._view_component.view, now)
                 return self._pump(now)
             case DrainingStarted():
                 self._decision.draining = True
@@ -96,16 +98,16 @@
             problem = RequestProblem(405, "method_not_allowed", f"POST {answers.GENERATE_PATH}")
             return [answers.problem_answer(http_id, problem)]
         self.counters.arrived += 1
-        if self._keeper.view.configuration is None:
+        if self._view_component.view.configuration is None:
             message = "no configuration has come yet"
             return [answers.not_run_answer(http_id, "", "no_configuration", message, 1)]
         fallback = f"{self._context.node_id}-{self._context.incarnation}-{http_id}"
-        head = read_head(self._keeper.view, event.headers, fallback, now)
+        head = read_head(self._view_component.view, event.headers, fallback, now)
         if head.is_error():
             self.counters.invalid += 1
             return [answers.problem_answer(http_id, head.error)]
         request = ActiveRequest(http_id, head.ok)
-        verdict = self._decision.ask_head(head.ok, self._outlook(head.ok), now)
+        verdict = self._decision.check_head(head.ok, self._outlook(head.ok), now)
         if isinstance(verdict, GoTo | Refuse):
             return self._obey(request, verdict, now)
         self._active[http_id] = request
@@ -115,7 +117,7 @@
 
     def _on_body(self, http_id: int, data: bytes, now: float) -> list[fx.Effect]:
         request = self._active.get(http_id)
-        if request is None or request.stage is not Stage.READING:
+        if request is None or request.state is not RequestState.RECEIVING_BODY:
             return []
         body = read_generate_body(data, request.head.route)
         if body.is_error():
@@ -123,9 +125,9 @@
             del self._active[http_id]
             return [answers.problem_answer(http_id, body.error)]
         request.body = body.ok
-        self._decision.first_try(now)
-        earlier = self._pump(now) if len(self._queue) else []
-        return [*earlier, *self._place(request, now)]
+        self._decision.record_first_attempt(now)
+        queued = self._pump(now) if len(self._queue) else []
+        return [*queued, *self._decide(request, now)]
 
     def _on_closed(self, http_id: int, now: float) -> list[fx.Effect]:
         request = self._active.pop(http_id, None)
@@ -136,13 +138,15 @@
         if request.attempt is None:
             return []
         cancel = self._runner.cancel(request, now)
-        self._decision.ended(cancel.report, now)
+        self._decision.record_end(cancel.report, now)
         return [*cancel.effects, *self._pump(now)]
 
-    # The decision is asked and obeyed -------------------------------------------
+    # The decision is placement and obeyed -------------------------------------------
 
-    def _place(self, request: ActiveRequest, now: float) -> list[fx.Effect]:
-        verdict = self._decision.ask(request.question(), self._outlook(request.head), now)
+    def _decide(self, request: ActiveRequest, now: float) -> list[fx.Effect]:
+        verdict = self._decision.choose(
+            request.placement_request(), self._outlook(request.head), now
+        )
         return self._obey(request, verdict, now)
 
     def _outlook(self, head: RequestHead) -> QueueOutlook:
@@ -165,19 +169,19 @@
         return [self._give_up(request, verdict)]
 
     def _start(self, request: ActiveRequest, serve_at: ServeAt, now: float) -> list[fx.Effect]:
-        request.stage = Stage.RUNNING
-        self._decision.began(serve_at, request.body, now)
-        first_piece_s = self._decision.first_piece_limit(serve_at, request.body, now)
-        return [self._runner.start(request, serve_at, first_piece_s, now)]
+        request.state = RequestState.RUNNING
+        self._decision.record_start(serve_at, request.generate_body, now)
+        first_chunk_s = self._decision.first_chunk_timeout(serve_at, request.generate_body, now)
+        return [self._runner.start(request, serve_at, first_chunk_s, now)]
 
     def _enqueue(self, request: ActiveRequest, wait: Wait, now: float) -> list[fx.Effect]:
-        request.stage = Stage.QUEUED
+        request.state = RequestState.QUEUED
         head = request.head
         lane = (head.route_name, head.source_region)
         capacity = self._decision.queue_capacity()
-        lost = self._queue.add(request.http_id, head.route.priority, wait.until, lane, capacity)
+        evicted = self._queue.add(request.http_id, head.route.priority, wait.until, lane, capacity)
         effects: list[fx.Effect] = []
-        for http_id in lost:
+        for http_id in evicted:
             refusal = self._decision.refusal("overloaded", "the queue is full", now)
             effects.append(self._give_up(self._active[http_id], refusal))
         return [*effects, *self._arm_pump()]
@@ -195,9 +199,9 @@
         self.counters.count_refusal(refusal.code)
         return answers.not_run_answer(request.http_id, head.request_id, *arguments)
 
-    # A try goes on --------------------------------------------------------------
+    # The running attempt --------------------------------------------------------------
 
-    def _on_attempt(self, event: ev.Event, now: float) -> list[fx.Effect]:
+    def _on_attempt(self, event: AttemptEvent, now: float) -> list[fx.Effect]:
         request = self._runner.request_of(event.call_id)
         if request is None:
             return []
@@ -211,31 +215,37 @@
     def _finish(self, request: ActiveRequest, step: Finished, now: float) -> list[fx.Effect]:
         del self._active[request.http_id]
         self.counters.completed += 1
-        self._decision.ended(step.report, now)
-        self._decision.held_parts(request.head, request.body, step.report.serve_at.replica)
-        self._demand.attempt_ended(step.report)
-        self._demand.answered(request.head, request.body.prompt_tokens, request.piece_count)
+        self._decision.record_end(step.report, now)
+        self._decision.record_cached_blocks(
+            request.head, request.generate_body, step.report.serve_at.replica
+        )
+        self._demand.record_attempt(step.report)
+        self._demand.answered(
+            request.head, request.generate_body.prompt_tokens, request.chunk_count
+        )
         return [*step.effects, *self._pump(now)]
 
     def _failed(self, request: ActiveRequest, step: Failed, now: float) -> list[fx.Effect]:
-        """A try has failed: break the caller's stream, try elsewhere, or give up at once."""
-        self._decision.ended(step.report, now)
-        self._demand.attempt_ended(step.report)
+        """Handle a failed attempt: break the caller's stream, retry elsewhere, or give up."""
+        self._decision.record_end(step.report, now)
+        self._demand.record_attempt(step.report)
         request.may_have_run = request.may_have_run or step.may_have_run
         request.tried |= {step.report.serve_at.replica.replica_id}
         log = fx.Log("warning", "a try failed", step.log_fields)
         if request.answer_begun:
             del self._active[request.http_id]
             self.counters.broken += 1
-            self._demand.answered(request.head, request.body.prompt_tokens, request.piece_count)
+            self._demand.answered(
+                request.head, request.generate_body.prompt_tokens, request.chunk_count
+            )
             abort = fx.HttpStreamAbort(request.http_id)
             return [*step.effects, log, abort, *self._pump(now)]
-        request.pieces.clear()
-        request.piece_count = 0
+        request.chunks.clear()
+        request.chunk_count = 0
         request.answer_bytes = 0
-        return [*step.effects, log, *self._try_again(request, now), *self._pump(now)]
+        return [*step.effects, log, *self._retry(request, now), *self._pump(now)]
 
-    def _try_again(self, request: ActiveRequest, now: float) -> list[fx.Effect]:
+    def _retry(self, request: ActiveRequest, now: float) -> list[fx.Effect]:
         if now >= request.head.deadline:
             refusal = self._decision.refusal("deadline", "its time was over", now)
             return [self._give_up(request, refusal)]
@@ -243,9 +253,9 @@
             refusal = self._decision.refusal("replica_failed", "no further try is allowed", now)
             return [self._give_up(request, refusal)]
         self.counters.retried += 1
-        return self._place(request, now)
+        return self._decide(request, now)
 
-    # Time passes ----------------------------------------------------------------
+    # Timers ----------------------------------------------------------------------
 
     def _on_timer(self, name: str, now: float) -> list[fx.Effect]:
         if name == PUMP_TIMER:
@@ -254,10 +264,10 @@
         return [*self._sweep(now), fx.StartTimer(SWEEP_TIMER, SWEEP_S)]
 
     def _sweep(self, now: float) -> list[fx.Effect]:
-        """End the tries that make no progress, and bodies that never came."""
+        """End the attempts that make no progress, and bodies that never came."""
         effects: list[fx.Effect] = []
         for request in tuple(self._active.values()):
-            if request.stage is Stage.READING and now >= request.head.deadline:
+            if request.state is RequestState.RECEIVING_BODY and now >= request.head.deadline:
                 refusal = self._decision.refusal("deadline", "its body came too late", now)
                 effects.append(self._give_up(request, refusal))
             elif request.attempt is not None:
@@ -276,7 +286,7 @@
             if entry.lane in blocked:
                 continue
             request = self._active[entry.http_id]
-            verdict = self._decision.ask(request.question(), ALREADY_QUEUED, now)
+            verdict = self._decision.choose(request.placement_request(), ALREADY_QUEUED, now)
             if isinstance(verdict, Wait):
                 blocked.add(entry.lane)
                 continue
--- a/rooklug/front/limits.py
+++ b/rooklug/front/limits.py
@@ -5,7 +5,7 @@
 SHORT_WEIGHT = 0.2
 LONG_WEIGHT = 0.02
 LATENCY_TOLERANCE = 1.5
-SMALLEST_GRADIENT = 0.5
+MIN_GRADIENT = 0.5
 GROWTH = 1.0
 SMOOTHING = 0.2
 BUSY_FACTOR = 0.7
@@ -24,7 +24,7 @@
 class ConcurrencyLimit:
     """How many requests this front runs at one replica at once.
 
-    It follows the measured wait for the first piece: while the recent waits are at most
+    It follows the measured wait for the first chunk: while the recent waits are at most
     ``LATENCY_TOLERANCE`` times the usual ones of the same prompt size, and the limit is in
     use, it grows by a step; else it shrinks with their ratio. ``maximum`` is what the
     replica reports to run at once.
@@ -46,18 +46,18 @@
         self._maximum = maximum
         self._limit = min(self._limit, maximum)
 
-    def usual_wait(self, prompt_tokens: int) -> float | None:
-        """Return the usual seconds to the first piece for that size, None if not known."""
+    def average_wait(self, prompt_tokens: int) -> float | None:
+        """Return the usual seconds to the first chunk for that size, None if not known."""
         return self._usual.get(size_class(prompt_tokens))
 
-    def first_piece_came(self, wait_s: float, prompt_tokens: int, in_flight: int) -> None:
+    def record_first_chunk(self, wait_s: float, prompt_tokens: int, in_flight: int) -> None:
         """Follow one measured wait; ``in_flight`` includes the request itself."""
         kind = size_class(prompt_tokens)
         usual = self._usual.setdefault(kind, wait_s)
         ratio = (wait_s + SLACK_S) / (usual + SLACK_S)
         self._usual[kind] = usual + LONG_WEIGHT * (wait_s - usual)
         self._recent_ratio += SHORT_WEIGHT * (ratio - self._recent_ratio)
-        gradient = min(1.0, max(SMALLEST_GRADIENT, LATENCY_TOLERANCE / self._recent_ratio))
+        gradient = min(1.0, max(MIN_GRADIENT, LATENCY_TOLERANCE / self._recent_ratio))
         if gradient == 1.0 and in_flight < self.value:
             return
         target = self._limit + GROWTH if gradient == 1.0 else self._limit * gradient
@@ -77,7 +77,7 @@
 
 @attrs.define
 class RetryBudget:
-    """Allows retries as a share of first tries, plus a small floor for quiet fronts.
+    """Allows retries as a share of first attempts, plus a small floor for quiet fronts.
 
     The share keeps retries from feeding an overload: when everything fails, the load on
     the replicas grows by that share only.
@@ -86,8 +86,8 @@
     tokens: float = RETRY_BURST / 2
     _filled_at: float | None = None
 
-    def first_try(self, share: float) -> None:
-        """Earn the share of one first try."""
+    def record_first_attempt(self, share: float) -> None:
+        """Earn the share of one first attempt."""
         self.tokens = min(RETRY_BURST, self.tokens + share)
 
     def take(self, now: float) -> bool:
--- a/rooklug/front/once_only/answers.py
+++ b/rooklug/front/once_only/answers.py
@@ -23,7 +23,7 @@
 """Labels of the answers' metric."""
 
 
-def done_answer(http_id: int, head: OnceHead, result: bytes, repeated: bool) -> fx.HttpRespond:
+def done_answer(http_id: int, head: OnceHead, result: bytes, *, repeated: bool) -> fx.HttpRespond:
     """Answer with the back end's result; ``repeated``: an earlier sending had run it."""
     document = {
         "outcome": "done",
@@ -49,7 +49,7 @@
     return build(http_id, request_id, "no_configuration", message, RETRY_AFTER_S)
 
 
-def given_up_answer(http_id: int, head: OnceHead, not_run: bool, why: Refuse) -> fx.HttpRespond:
+def given_up_answer(http_id: int, head: OnceHead, why: Refuse, *, not_run: bool) -> fx.HttpRespond:
     """Give the final answer without a result, and when to come back, with the same key."""
     build = not_run_answer if not_run else unknown_answer
     answer = build(http_id, head.request_id, why.code, why.message, why.retry_after_s)
--- a/rooklug/front/once_only/attempt.py
+++ b/rooklug/front/once_only/attempt.py
@@ -12,7 +12,7 @@
 class AttemptState(Enum):
     """Where an attempt is. The last three are final; the values go over the wire."""
 
-    ASKING = "asking the shard's owner"
+    REQUESTING_CLAIM = "asking the shard's owner"
     WAITING = "waiting for another attempt's outcome"
     WRITING = "written, or about to be"
     DONE = "done"
@@ -33,7 +33,7 @@
 
     ``claim`` is what it asks for, then what it was granted. ``key_was_absent``: the owner,
     knowing all claims, has said during this attempt that the key had never been written (or
-    was held by an attempt that then was found to be released).
+    was recorded by an attempt that then was found to be released).
     ``answered``: the caller has its answer or has gone.
     """
 
@@ -44,8 +44,8 @@
     shard: int
     claim: ClaimRecord
     queue_wait_s: float
-    state: AttemptState = AttemptState.ASKING
-    holder: ClaimRecord | None = None
+    state: AttemptState = AttemptState.REQUESTING_CLAIM
+    competing_claim: ClaimRecord | None = None
     released: ClaimRecord | None = None
     key_was_absent: bool = False
     status_failures: int = 0
@@ -59,7 +59,7 @@
         return self.key_was_absent or self.head.first_sending
 
     @property
-    def give_up_at(self) -> float:
+    def claim_deadline(self) -> float:
         """Until when it asks for its claim.
 
         Where "not run" is true, a caller loses nothing by coming back: the wait is that of a
--- a/rooklug/front/once_only/attempt_book.py
+++ b/rooklug/front/once_only/attempt_table.py
@@ -5,7 +5,7 @@
 from rooklug.wire.generated.claims.ttypes import ClaimRecord, ClaimStatusAnswer
 
 
-class AttemptBook:
+class AttemptTable:
     """Finds attempts by number and by HTTP request."""
 
     def __init__(self, node_id: str, incarnation: str) -> None:
--- a/rooklug/front/once_only/backend.py
+++ b/rooklug/front/once_only/backend.py
@@ -19,7 +19,7 @@
     sent after the deadline.
     """
     head = attempt.head
-    left_s = head.deadline - now
+    remaining_s = head.deadline - now
     key = json.dumps(head.key).encode()
     return fx.HttpCall(
         call_id=call_id,
@@ -27,14 +27,14 @@
         method="POST",
         path=BACKEND_PATH,
         body=b'{"key":' + key + b',"payload":' + attempt.payload.data + b"}",
-        deadline_s=left_s + LATE_RESULT_S,
+        deadline_s=remaining_s + LATE_RESULT_S,
         headers={
             "Content-Type": "application/json",
             REQUEST_ID_HEADER: head.request_id,
             KEY_HEADER: head.key,
-            DEADLINE_HEADER: str(max(1, int(left_s * 1000))),
+            DEADLINE_HEADER: str(max(1, int(remaining_s * 1000))),
         },
-        connect_deadline_s=min(CONNECT_DEADLINE_S, left_s),
+        connect_deadline_s=min(CONNECT_DEADLINE_S, remaining_s),
         not_after=head.deadline,
     )
 
--- a/rooklug/front/once_only/build.py
+++ b/rooklug/front/once_only/build.py
@@ -1,21 +1,22 @@
 """Composes the parts of once-only requests."""
 
+from rooklug.distribution.core_link import CoreLink
 from rooklug.engine.component import Component
 from rooklug.engine.reducer import ProcessContext
-from rooklug.front.once_only.attempt_book import AttemptBook
+from rooklug.front.once_only.attempt_table import AttemptTable
 from rooklug.front.once_only.claim_components import ClaimOwner, OutcomeService
 from rooklug.front.once_only.once_only_component import OnceOnlyComponent
 from rooklug.model.settings import NodeSettings
 
 
 def build_once_only_components(
-    settings: NodeSettings, context: ProcessContext, core_link
+    settings: NodeSettings, context: ProcessContext, core_link: CoreLink
 ) -> list[Component]:
     """Return a front's parts, the one with callers' requests first.
 
     The claim stores are at ``settings.seeds``, the cores (``build_claim_store_components``). The
-    front's ``ViewKeeper`` must stand before these parts.
+    front's ``RoutingViewComponent`` must stand before these parts.
     """
-    book = AttemptBook(settings.node_id, context.incarnation)
+    attempts = AttemptTable(settings.node_id, context.incarnation)
     owner = ClaimOwner(context, core_link, settings.seeds)
-    return [OnceOnlyComponent(context, core_link, book), owner, OutcomeService(book, owner)]
+    return [OnceOnlyComponent(context, core_link, attempts), owner, OutcomeService(attempts, owner)]
--- a/rooklug/front/once_only/claim_components.py
+++ b/rooklug/front/once_only/claim_components.py
@@ -1,21 +1,23 @@
-"""What a front does for other fronts: owns shards, and tells what became of attempts."""
+"""What a front does for other fronts: owns claim shards, and reports outcomes of attempts."""
 
 from collections.abc import Iterable
 
+from rooklug.distribution.core_link import CoreLink
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
 from rooklug.engine.component import BaseComponent
 from rooklug.engine.reducer import MetricSample, ProcessContext
 from rooklug.front.once_only.attempt import AttemptState
-from rooklug.front.once_only.attempt_book import AttemptBook
-from rooklug.front.once_only.call_book import CallBook
+from rooklug.front.once_only.attempt_table import AttemptTable
 from rooklug.front.once_only.outcome_memory import Outcome
+from rooklug.front.once_only.pending_calls import PendingCalls
 from rooklug.front.once_only.shard_owner import Phase, ShardOwner
 from rooklug.model.internal_events import GrantsChanged
 from rooklug.model.topics import CLAIM_SHARDS, ROLE_CLAIMS_PREFIX
 from rooklug.wire.codec import encode
 from rooklug.wire.generated.claims.ttypes import (
     ClaimRequest,
+    ClaimStatusAnswer,
     ClaimStatusRequest,
     CopyResultAnswer,
     CopyResultRequest,
@@ -31,8 +33,10 @@
     call_types = (ClaimRequest,)
     subscribes_to = (GrantsChanged,)
 
-    def __init__(self, context: ProcessContext, core_link, stores: tuple[str, ...]) -> None:
-        self._calls = CallBook(context.identifiers)
+    def __init__(
+        self, context: ProcessContext, core_link: CoreLink, stores: tuple[str, ...]
+    ) -> None:
+        self._calls = PendingCalls(context.identifiers)
         self._shards = [
             ShardOwner(shard, core_link, self._calls, stores) for shard in range(CLAIM_SHARDS)
         ]
@@ -79,29 +83,31 @@
 
 
 class OutcomeService(BaseComponent):
-    """Tells other fronts what became of attempts, and keeps copies of their results."""
+    """Reports the outcomes of attempts to other fronts, and stores replicas of their results."""
 
     name = "claim-outcomes"
     call_types = (ClaimStatusRequest, CopyResultRequest, ReadFrontClaimsRequest)
 
-    def __init__(self, book: AttemptBook, owner: ClaimOwner) -> None:
-        self._book = book
+    def __init__(self, attempts: AttemptTable, owner: ClaimOwner) -> None:
+        self._attempts = attempts
         self._owner = owner
 
     def handle(self, event: ev.Event, now: float) -> list[fx.Effect]:
         """Answer one call."""
         if not isinstance(event, ev.CallArrived):
             return []
-        request = event.request
+        return [fx.Answer(event.call_id, self._answer(event.request))]
+
+    def _answer(
+        self, request: ClaimStatusRequest | CopyResultRequest | ReadFrontClaimsRequest
+    ) -> ClaimStatusAnswer | CopyResultAnswer | ReadFrontClaimsAnswer:
         if isinstance(request, ClaimStatusRequest):
-            answer = self._book.status(request.claim, request.payload_digest)
-        elif isinstance(request, CopyResultRequest):
-            answer = self._keep_copy(request)
-        else:
-            answer = self._own_claims(request)
-        return [fx.Answer(event.call_id, answer)]
-
-    def _keep_copy(self, request: CopyResultRequest) -> CopyResultAnswer:
+            return self._attempts.status(request.claim, request.payload_digest)
+        if isinstance(request, CopyResultRequest):
+            return self._store_replica(request)
+        return self._own_claims(request)
+
+    def _store_replica(self, request: CopyResultRequest) -> CopyResultAnswer:
         outcome = Outcome(
             shard=-1,
             claim=request.claim,
@@ -109,14 +115,14 @@
             state=AttemptState.DONE,
             result=request.result,
         )
-        self._book.memory.put(outcome)
+        self._attempts.memory.put(outcome)
         return CopyResultAnswer(stored=True)
 
     def _own_claims(self, request: ReadFrontClaimsRequest) -> ReadFrontClaimsAnswer:
-        claims = [encode(claim) for claim in self._book.claims_of(request.shard)]
+        claims = [encode(claim) for claim in self._attempts.claims_of(request.shard)]
         claims += self._owner.shard(request.shard % CLAIM_SHARDS).table.encoded()
         return ReadFrontClaimsAnswer(
-            incarnation=self._book.incarnation,
+            incarnation=self._attempts.incarnation,
             claims=claims,
-            had_claims=self._book.had_claims,
+            had_claims=self._attempts.had_claims,
         )
--- a/rooklug/front/once_only/claim_asking.py
+++ b/rooklug/front/once_only/claim_requester.py
@@ -4,11 +4,11 @@
 
 import attrs
 
+from rooklug.distribution.core_link import CoreLink
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
 from rooklug.front.once_only.attempt import Attempt, AttemptState, ClaimStatus
-from rooklug.front.once_only.attempt_book import AttemptBook
-from rooklug.front.once_only.call_book import CallBook, CallEnd
+from rooklug.front.once_only.attempt_table import AttemptTable
 from rooklug.front.once_only.claims import role_key_of
 from rooklug.front.once_only.limits import (
     CLAIM_DEADLINE_S,
@@ -18,6 +18,7 @@
     STATUS_POLL_S,
 )
 from rooklug.front.once_only.outages import Outages
+from rooklug.front.once_only.pending_calls import CallEnd, OnEnd, PendingCalls
 from rooklug.front.once_only.shard_owner import ClaimOutcome
 from rooklug.wire.generated.claims.ttypes import (
     ClaimAnswer,
@@ -37,7 +38,7 @@
 
 @attrs.frozen
 class DoneBefore:
-    """An earlier attempt has run; ``result`` is its JSON, "" when it isn't kept any more."""
+    """An earlier attempt has run; ``result`` is its JSON, "" when it isn't stored any more."""
 
     result: bytes
 
@@ -61,46 +62,50 @@
 OnFinding = Callable[[Attempt, Finding, float], list[fx.Effect]]
 
 
-class ClaimAsker:
-    """Asks owners and other fronts on behalf of attempts, until there is a ``Finding``."""
+class ClaimRequester:
+    """Requests claims and outcomes for attempts, until there is a ``Finding``."""
 
     def __init__(
-        self, core_link, book: AttemptBook, calls: CallBook, on_finding: OnFinding
+        self,
+        core_link: CoreLink,
+        attempts: AttemptTable,
+        calls: PendingCalls,
+        on_finding: OnFinding,
     ) -> None:
         self._core_link = core_link
-        self._book = book
+        self._attempts = attempts
         self._calls = calls
         self._on_finding = on_finding
         self._outages = Outages()
 
     def proceed(self, attempt: Attempt, now: float) -> list[fx.Effect]:
         """Do the next step of an attempt."""
-        if attempt.state is AttemptState.ASKING:
-            return self._ask_owner(attempt, now)
+        if attempt.state is AttemptState.REQUESTING_CLAIM:
+            return self._request_claim(attempt, now)
         if attempt.state is AttemptState.WAITING:
-            return self._ask_holder(attempt, now)
+            return self._request_competitor_status(attempt, now)
         return []
 
     # The owner ---------------------------------------------------------------------------
 
-    def _ask_owner(self, attempt: Attempt, now: float) -> list[fx.Effect]:
-        left_s = attempt.give_up_at - now
-        if left_s <= 0:
+    def _request_claim(self, attempt: Attempt, now: float) -> list[fx.Effect]:
+        remaining_s = attempt.claim_deadline - now
+        if remaining_s <= 0:
             return self._on_finding(attempt, NoClaim(), now)
         owner = self._core_link.role_owner(role_key_of(attempt.shard))
         if owner is None:
             return self._undecided(attempt, now)
         request = ClaimRequest(shard=attempt.shard, claim=attempt.claim, released=attempt.released)
 
-        def ended(event: CallEnd, at: float) -> list[fx.Effect]:
-            if attempt.state is not AttemptState.ASKING:
+        def on_end(event: CallEnd, at: float) -> list[fx.Effect]:
+            if attempt.state is not AttemptState.REQUESTING_CLAIM:
                 return []
             if isinstance(event, ev.CallFailed):
                 return self._undecided(attempt, at)
             return self._owner_answered(attempt, event.answer, at)
 
-        deadline_s = min(CLAIM_DEADLINE_S, left_s)
-        return [self._calls.call(owner.internal_address, request, deadline_s, ended)]
+        deadline_s = min(CLAIM_DEADLINE_S, remaining_s)
+        return [self._calls.call(owner.internal_address, request, deadline_s, on_end)]
 
     def _owner_answered(self, attempt: Attempt, answer: ClaimAnswer, now: float) -> list[fx.Effect]:
         if answer.outcome == ClaimOutcome.RUN:
@@ -108,90 +113,101 @@
             attempt.key_was_absent = True
             attempt.claim = answer.claim
             return self._on_finding(attempt, Granted(), now)
-        if answer.outcome == ClaimOutcome.HELD:
+        if answer.outcome == ClaimOutcome.CLAIMED_BY_OTHER:
             attempt.state = AttemptState.WAITING
-            attempt.holder = answer.claim
+            attempt.competing_claim = answer.claim
             attempt.status_failures = 0
-            return self._ask_holder(attempt, now)
+            return self._request_competitor_status(attempt, now)
         if answer.outcome == ClaimOutcome.NOT_RECORDED:
             attempt.key_was_absent = True
         return self._undecided(attempt, now)
 
     def _undecided(self, attempt: Attempt, now: float) -> list[fx.Effect]:
-        """Try again soon; but in an outage that has lasted, refuse at once."""
+        """Retry soon; but in an outage that has lasted, refuse at once."""
         if self._outages.failed(attempt.shard, now):
             return self._on_finding(attempt, NoClaim(), now)
-        return [self._again(attempt, CLAIM_RETRY_S)]
+        return [self._schedule_retry(attempt, CLAIM_RETRY_S)]
 
-    # The holder, or the front that keeps a copy of its result ---------------------------
+    # The competing_claim, or the front that keeps a copy of its result ---------------------------
 
-    def _ask_holder(self, attempt: Attempt, now: float) -> list[fx.Effect]:
-        holder = attempt.holder
-        if self._book.is_own(holder):
-            answer = self._book.status(holder, attempt.payload.digest)
-            return self._holder_answered(attempt, answer, now)
-        address = self._address_of(holder.asker_id, holder.asker_incarnation)
+    def _request_competitor_status(self, attempt: Attempt, now: float) -> list[fx.Effect]:
+        competing_claim = attempt.competing_claim
+        assert competing_claim is not None
+        if self._attempts.is_own(competing_claim):
+            answer = self._attempts.status(competing_claim, attempt.payload.digest)
+            return self._competitor_answered(attempt, answer, now)
+        address = self._address_of(competing_claim.asker_id, competing_claim.asker_incarnation)
         if not address:
-            return self._ask_copy(attempt, now, holder_is_gone=True)
+            return self._request_replica_status(attempt, now, competitor_is_gone=True)
 
-        def ended(event: CallEnd, at: float) -> list[fx.Effect]:
-            if not _still_waits(attempt, holder):
+        def on_end(event: CallEnd, at: float) -> list[fx.Effect]:
+            if not _still_waits(attempt, competing_claim):
                 return []
             if isinstance(event, ev.CallAnswered):
-                return self._holder_answered(attempt, event.answer, at)
+                return self._competitor_answered(attempt, event.answer, at)
             attempt.status_failures += 1
-            return self._ask_copy(attempt, at, holder_is_gone=False)
+            return self._request_replica_status(attempt, at, competitor_is_gone=False)
 
-        return [self._status_call(address, attempt, ended)]
+        return [self._status_call(address, attempt, on_end)]
 
-    def _holder_answered(
+    def _competitor_answered(
         self, attempt: Attempt, answer: ClaimStatusAnswer, now: float
     ) -> list[fx.Effect]:
         attempt.status_failures = 0
         if answer.state == ClaimStatus.RUNNING:
-            return [self._again(attempt, STATUS_POLL_S)]
+            return [self._schedule_retry(attempt, STATUS_POLL_S)]
         if answer.state == AttemptState.RELEASED.value:
             # The owner knew of no other attempt, and that one has not written.
             attempt.key_was_absent = True
-            attempt.released = attempt.holder
-            attempt.holder = None
-            attempt.state = AttemptState.ASKING
-            return self._ask_owner(attempt, now)
+            attempt.released = attempt.competing_claim
+            attempt.competing_claim = None
+            attempt.state = AttemptState.REQUESTING_CLAIM
+            return self._request_claim(attempt, now)
         return self._on_finding(attempt, _finding_of(answer), now)
 
-    def _ask_copy(self, attempt: Attempt, now: float, holder_is_gone: bool) -> list[fx.Effect]:
-        holder = attempt.holder
-        if holder.copy_id == self._book.node_id:
-            answer = self._book.status(holder, attempt.payload.digest)
-            return self._copy_answered(attempt, answer, now, holder_is_gone)
-        address = self._address_of(holder.copy_id, "")
+    def _request_replica_status(
+        self, attempt: Attempt, now: float, *, competitor_is_gone: bool
+    ) -> list[fx.Effect]:
+        competing_claim = attempt.competing_claim
+        assert competing_claim is not None
+        if competing_claim.copy_id == self._attempts.node_id:
+            answer = self._attempts.status(competing_claim, attempt.payload.digest)
+            return self._replica_answered(
+                attempt, answer, now, competitor_is_gone=competitor_is_gone
+            )
+        address = self._address_of(competing_claim.copy_id, "")
         if not address:
-            return self._copy_answered(attempt, None, now, holder_is_gone)
+            return self._replica_answered(attempt, None, now, competitor_is_gone=competitor_is_gone)
 
-        def ended(event: CallEnd, at: float) -> list[fx.Effect]:
-            if not _still_waits(attempt, holder):
+        def on_end(event: CallEnd, at: float) -> list[fx.Effect]:
+            if not _still_waits(attempt, competing_claim):
                 return []
             answer = event.answer if isinstance(event, ev.CallAnswered) else None
-            return self._copy_answered(attempt, answer, at, holder_is_gone)
+            return self._replica_answered(
+                attempt, answer, at, competitor_is_gone=competitor_is_gone
+            )
 
-        return [self._status_call(address, attempt, ended)]
+        return [self._status_call(address, attempt, on_end)]
 
-    def _copy_answered(
+    def _replica_answered(
         self,
         attempt: Attempt,
         answer: ClaimStatusAnswer | None,
         now: float,
-        holder_is_gone: bool,
+        *,
+        competitor_is_gone: bool,
     ) -> list[fx.Effect]:
         if answer is not None and answer.state != AttemptState.UNKNOWN.value:
             return self._on_finding(attempt, _finding_of(answer), now)
-        if holder_is_gone or attempt.status_failures >= MAX_STATUS_FAILURES:
+        if competitor_is_gone or attempt.status_failures >= MAX_STATUS_FAILURES:
             return self._on_finding(attempt, MayHaveRun(), now)
-        return [self._again(attempt, STATUS_POLL_S)]
+        return [self._schedule_retry(attempt, STATUS_POLL_S)]
 
-    def _status_call(self, address: str, attempt: Attempt, ended) -> fx.Call:
-        request = ClaimStatusRequest(claim=attempt.holder, payload_digest=attempt.payload.digest)
-        return self._calls.call(address, request, STATUS_DEADLINE_S, ended)
+    def _status_call(self, address: str, attempt: Attempt, on_end: OnEnd) -> fx.Call:
+        request = ClaimStatusRequest(
+            claim=attempt.competing_claim, payload_digest=attempt.payload.digest
+        )
+        return self._calls.call(address, request, STATUS_DEADLINE_S, on_end)
 
     def _address_of(self, node_id: str, incarnation: str) -> str:
         """Return where a front is; ``incarnation`` "" means whichever runs now."""
@@ -201,12 +217,12 @@
         return ""
 
     @staticmethod
-    def _again(attempt: Attempt, delay_s: float) -> fx.StartTimer:
+    def _schedule_retry(attempt: Attempt, delay_s: float) -> fx.StartTimer:
         return fx.StartTimer(f"{NEXT_TIMER}{attempt.number}", delay_s)
 
 
-def _still_waits(attempt: Attempt, holder: ClaimRecord) -> bool:
-    return attempt.state is AttemptState.WAITING and attempt.holder is holder
+def _still_waits(attempt: Attempt, competing_claim: ClaimRecord) -> bool:
+    return attempt.state is AttemptState.WAITING and attempt.competing_claim is competing_claim
 
 
 def _finding_of(answer: ClaimStatusAnswer) -> Finding:
--- a/rooklug/front/once_only/claim_store.py
+++ b/rooklug/front/once_only/claim_store.py
@@ -115,20 +115,24 @@
     def _record(self, call_id: int, request: RecordClaimsRequest) -> list[fx.Effect]:
         shard = self._shards[request.shard]
         if not shard.intact or not _all_readable(request.claims):
-            return [fx.Answer(call_id, self._record_answer(request, False))]
+            return [fx.Answer(call_id, self._record_answer(request, recorded=False))]
         if not request.claims and version_key(request.token) == shard.fence:
-            return [fx.Answer(call_id, self._record_answer(request, True))]
+            return [fx.Answer(call_id, self._record_answer(request, recorded=True))]
         self._confirmed += len(request.claims)
         entries = [claim_entry(request.shard, claim) for claim in request.claims]
-        return self._write(call_id, entries, request, lambda: self._record_answer(request, True))
+        return self._write(
+            call_id, entries, request, lambda: self._record_answer(request, recorded=True)
+        )
 
     def _restore(self, call_id: int, request: RestoreClaimsRequest) -> list[fx.Effect]:
         for_this_loss = request.incarnation == self._context.incarnation
         if not for_this_loss or not _all_readable(request.claims):
-            return [fx.Answer(call_id, self._record_answer(request, False))]
+            return [fx.Answer(call_id, self._record_answer(request, recorded=False))]
         entries = [claim_entry(request.shard, claim) for claim in request.claims]
         entries.append(intact_entry(request.shard))
-        return self._write(call_id, entries, request, lambda: self._record_answer(request, True))
+        return self._write(
+            call_id, entries, request, lambda: self._record_answer(request, recorded=True)
+        )
 
     def _write(
         self,
@@ -153,8 +157,8 @@
         return [write, *self._rewrite_if_long(shard)]
 
     def _rewrite_if_long(self, shard: int) -> list[fx.Effect]:
-        held = len(self._shards[shard].claims)
-        if self._entries_in_file[shard] < max(_REWRITE_AFTER_ENTRIES, 3 * held):
+        recorded = len(self._shards[shard].claims)
+        if self._entries_in_file[shard] < max(_REWRITE_AFTER_ENTRIES, 3 * recorded):
             return []
         entries = self._shards[shard].entries(shard)
         self._entries_in_file[shard] = len(entries)
@@ -174,17 +178,28 @@
     def _failure(self, pending: _Pending) -> ReadClaimsAnswer | RecordClaimsAnswer:
         if isinstance(pending.make_answer(), ReadClaimsAnswer):
             return self._not_intact_read()
-        return RecordClaimsAnswer(True, False, False, self._context.incarnation)
+        return RecordClaimsAnswer(
+            accepted=True,
+            recorded=False,
+            intact=False,
+            incarnation=self._context.incarnation,
+        )
 
     def _not_intact_read(self) -> ReadClaimsAnswer:
-        return ReadClaimsAnswer(True, False, self._context.incarnation, [])
+        return ReadClaimsAnswer(
+            accepted=True, intact=False, incarnation=self._context.incarnation, claims=[]
+        )
 
     def _refusal(self, request: object) -> ReadClaimsAnswer | RecordClaimsAnswer:
         accepted = self._failed
         incarnation = self._context.incarnation
         if isinstance(request, ReadClaimsRequest):
-            return ReadClaimsAnswer(accepted, False, incarnation, [])
-        return RecordClaimsAnswer(accepted, False, False, incarnation)
+            return ReadClaimsAnswer(
+                accepted=accepted, intact=False, incarnation=incarnation, claims=[]
+            )
+        return RecordClaimsAnswer(
+            accepted=accepted, recorded=False, intact=False, incarnation=incarnation
+        )
 
     def _read_answer(self, request: ReadClaimsRequest) -> ReadClaimsAnswer:
         shard = self._shards[request.shard]
@@ -193,7 +208,7 @@
         return ReadClaimsAnswer(accepted, shard.intact, self._context.incarnation, claims)
 
     def _record_answer(
-        self, request: RecordClaimsRequest | RestoreClaimsRequest, recorded: bool
+        self, request: RecordClaimsRequest | RestoreClaimsRequest, *, recorded: bool
     ) -> RecordClaimsAnswer:
         shard = self._shards[request.shard]
         accepted = version_key(request.token) >= shard.fence
--- a/rooklug/front/once_only/recovery.py
+++ b/rooklug/front/once_only/front_claim_recovery.py
@@ -1,15 +1,16 @@
-"""Asks all fronts for their claims, when two or more stores have lost theirs.
+"""Collects the claims of all fronts, when two or more stores have lost theirs.
 
 This is beyond what must be survived (one lost disk), so it is done as well as possible: every
-live front announces the claims it asked for, and the owner waits a while before it decides,
+live front announces the claims it placement for, and the owner waits a while before it decides,
 for requests that a lost front may still have written.
 """
 
+from rooklug.distribution.core_link import CoreLink
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
-from rooklug.front.once_only.call_book import CallBook, CallEnd
 from rooklug.front.once_only.claims import decode_claims
 from rooklug.front.once_only.limits import RECOVERY_WAIT_S, STORE_DEADLINE_S
+from rooklug.front.once_only.pending_calls import CallEnd, PendingCalls
 from rooklug.front.routing_view import FRONT_ROLE
 from rooklug.wire.generated.claims.ttypes import ClaimRecord, ReadFrontClaimsRequest
 from rooklug.wire.generated.control.ttypes import NodeRecord
@@ -18,7 +19,7 @@
 class FrontInquiry:
     """One shard's inquiry."""
 
-    def __init__(self, shard: int, core_link, calls: CallBook) -> None:
+    def __init__(self, shard: int, core_link: CoreLink, calls: PendingCalls) -> None:
         self._shard = shard
         self._core_link = core_link
         self._calls = calls
@@ -34,16 +35,16 @@
         self._answers = {}
         self._any_front_had_claims = False
 
-    def begin(self, now: float, no_store_intact: bool) -> None:
+    def begin(self, now: float, *, no_store_intact: bool) -> None:
         """Start the wait."""
         self.reset()
         self._began = now
         self._no_store_intact = no_store_intact
 
-    def ask(self, not_after: float) -> list[fx.Effect]:
-        """Ask every listed front that has not answered."""
+    def request_claims(self, not_after: float) -> list[fx.Effect]:
+        """Request the claims of every listed front that has not answered."""
         return [
-            self._ask_front(node, not_after)
+            self._request_claims_from(node, not_after)
             for node in self._fronts()
             if (node.node_id, node.incarnation) not in self._answers
         ]
@@ -69,10 +70,10 @@
     def _fronts(self) -> list[NodeRecord]:
         return [node for node in self._core_link.members() if node.role == FRONT_ROLE]
 
-    def _ask_front(self, node: NodeRecord, not_after: float) -> fx.Call:
+    def _request_claims_from(self, node: NodeRecord, not_after: float) -> fx.Call:
         generation = self._generation
 
-        def ended(event: CallEnd, at: float) -> list[fx.Effect]:
+        def on_end(event: CallEnd, at: float) -> list[fx.Effect]:
             if generation == self._generation and isinstance(event, ev.CallAnswered):
                 claims = decode_claims(event.answer.claims)
                 self._answers[(node.node_id, event.answer.incarnation)] = claims
@@ -80,4 +81,4 @@
             return []
 
         request = ReadFrontClaimsRequest(shard=self._shard)
-        return self._calls.call(node.internal_address, request, STORE_DEADLINE_S, ended, not_after)
+        return self._calls.call(node.internal_address, request, STORE_DEADLINE_S, on_end, not_after)
--- a/rooklug/front/once_only/once_decision.py
+++ b/rooklug/front/once_only/once_decision.py
@@ -5,11 +5,12 @@
 import attrs
 import xxhash
 
+from rooklug.config.document import Configuration
 from rooklug.front.once_only.attempt import Attempt
 from rooklug.front.once_only.limits import (
     AVOID_S,
     MAX_ACTIVE_ATTEMPTS,
-    MAX_BACKEND_TRIES,
+    MAX_BACKEND_ATTEMPTS,
     MIN_WRITE_S,
     RETRY_AFTER_S,
 )
@@ -27,26 +28,41 @@
 
 
 class OnceDecision:
-    """Asked about each request: from its head, then when its claim is granted."""
+    """Decides on each request: from its head, then when its claim is granted."""
 
     def __init__(self, own_node_id: str, random: Random) -> None:
-        self.view: RoutingView | None = None
+        self._view: RoutingView | None = None
         self.draining = False
         self._own_node_id = own_node_id
         self._random = random
         self._avoided_until: dict[str, float] = {}
 
+    @property
+    def view(self) -> RoutingView:
+        """The newest view.
+
+        Raises:
+            ValueError: None has come yet.
+        """
+        if self._view is None:
+            raise ValueError("no routing view has come yet")
+        return self._view
+
+    @view.setter
+    def view(self, view: RoutingView) -> None:
+        self._view = view
+
     @property
     def has_configuration(self) -> bool:
         """Whether any route is known yet."""
-        return self.view is not None and self.view.configuration is not None
+        return self._view is not None and self._view.configuration is not None
 
     def queue_wait_s(self) -> float:
         """Return how long the operators let a request wait in a queue."""
-        return self.view.configuration.limits.queue_wait_s
+        return self._configuration().limits.queue_wait_s
 
-    def ask_head(self, head: OnceHead, active: int) -> HeadVerdict:
-        """Answer from the head alone."""
+    def check_head(self, head: OnceHead, active: int) -> HeadVerdict:
+        """Decide from the head alone."""
         homes = head.route.home_regions
         fronts = [
             front for front in self.view.fronts_in(homes) if front.node_id != self._own_node_id
@@ -61,8 +77,8 @@
             return _refusal("overloaded", "too many once-only requests wait here")
         return ReadBody()
 
-    def ask_write(self, attempt: Attempt, now: float) -> WriteTo | Refuse:
-        """Answer where a granted attempt writes: never outside the route's home."""
+    def choose_replica(self, attempt: Attempt, now: float) -> WriteTo | Refuse:
+        """Decide where a granted attempt writes: never outside the route's home."""
         if attempt.head.deadline - now < MIN_WRITE_S:
             return _refusal("deadline", "too late to be written")
         homes = attempt.head.route.home_regions
@@ -72,7 +88,7 @@
             if replica.replica_id not in attempt.tried_replicas
             and (not homes or self._region_of(replica) in homes)
         ]
-        if not candidates or len(attempt.tried_replicas) >= MAX_BACKEND_TRIES:
+        if not candidates or len(attempt.tried_replicas) >= MAX_BACKEND_ATTEMPTS:
             return _refusal("no_replica", "no replica of the back end could be reached")
         best = min(self._rank(replica, now) for replica in candidates)
         equals = [replica for replica in candidates if self._rank(replica, now) == best]
@@ -82,8 +98,8 @@
         """Put a replica last for a while."""
         self._avoided_until[replica_id] = now + AVOID_S
 
-    def copy_front(self, head: OnceHead, digest: bytes) -> str:
-        """Return the front that keeps a copy of the result, "" without another one.
+    def replica_front(self, head: OnceHead, digest: bytes) -> str:
+        """Return the front that stores a replica of the result, "" without another one.
 
         It is at the route's home, and in another zone if there is one.
         """
@@ -100,13 +116,19 @@
         best = max(elsewhere or fronts, key=score, default=None)
         return best.node_id if best else ""
 
+    def _configuration(self) -> Configuration:
+        configuration = self.view.configuration
+        if configuration is None:
+            raise ValueError("no configuration has come yet")
+        return configuration
+
     def _rank(self, replica: ListedReplica, now: float) -> tuple[bool, bool]:
         avoided = self._avoided_until.get(replica.replica_id, 0.0) > now
         return (avoided, self._region_of(replica) != self.view.own_region)
 
     def _region_of(self, replica: ListedReplica) -> str:
         """Return a replica's region: its zone's by the configuration, else as listed."""
-        return self.view.configuration.region_of_zone(replica.zone) or replica.region
+        return self._configuration().region_of_zone(replica.zone) or replica.region
 
 
 def _refusal(code: str, message: str) -> Refuse:
--- a/rooklug/front/once_only/once_only_component.py
+++ b/rooklug/front/once_only/once_only_component.py
@@ -7,18 +7,18 @@
 from collections import Counter
 from collections.abc import Iterable
 
+from rooklug.distribution.core_link import CoreLink
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
 from rooklug.engine.component import BaseComponent
 from rooklug.engine.reducer import MetricSample, ProcessContext
 from rooklug.front.once_only import answers
 from rooklug.front.once_only.attempt import Attempt, AttemptState
-from rooklug.front.once_only.attempt_book import AttemptBook
+from rooklug.front.once_only.attempt_table import AttemptTable
 from rooklug.front.once_only.backend import backend_call, result_of
-from rooklug.front.once_only.call_book import CallBook
-from rooklug.front.once_only.claim_asking import (
+from rooklug.front.once_only.claim_requester import (
     NEXT_TIMER,
-    ClaimAsker,
+    ClaimRequester,
     DoneBefore,
     Finding,
     Granted,
@@ -28,11 +28,12 @@
 from rooklug.front.once_only.claims import key_digest, shard_of
 from rooklug.front.once_only.limits import REPLICATION_DEADLINE_S, RETRY_AFTER_S
 from rooklug.front.once_only.once_decision import OnceDecision
+from rooklug.front.once_only.pending_calls import PendingCalls
 from rooklug.front.once_only.requests import OnceHead, read_head, read_payload
 from rooklug.front.readiness import DrainingStarted
 from rooklug.front.requests import RequestProblem
 from rooklug.front.verdicts import GoTo, Refuse
-from rooklug.front.view_keeper import RoutingViewChanged
+from rooklug.front.view_component import RoutingViewChanged
 from rooklug.wire.generated.claims.ttypes import ClaimRecord, CopyResultRequest
 
 DEADLINE_TIMER = "deadline:"
@@ -51,12 +52,14 @@
     head_first_paths = (answers.ONCE_PATH,)
     subscribes_to = (RoutingViewChanged, DrainingStarted)
 
-    def __init__(self, context: ProcessContext, core_link, book: AttemptBook) -> None:
+    def __init__(
+        self, context: ProcessContext, core_link: CoreLink, attempts: AttemptTable
+    ) -> None:
         self._context = context
         self._core_link = core_link
-        self._book = book
-        self._calls = CallBook(context.identifiers)
-        self._asker = ClaimAsker(core_link, book, self._calls, self._found)
+        self._attempts = attempts
+        self._calls = PendingCalls(context.identifiers)
+        self._claim_requester = ClaimRequester(core_link, attempts, self._calls, self._found)
         self._decision = OnceDecision(context.node_id, context.random)
         self._heads: dict[int, OnceHead] = {}
         self._writes: dict[int, Attempt] = {}
@@ -64,7 +67,7 @@
 
     def active_requests(self) -> int:
         """Return how many callers wait for an answer."""
-        return self._book.unanswered + len(self._heads)
+        return self._attempts.unanswered + len(self._heads)
 
     def handle(self, event: ev.Event, now: float) -> list[fx.Effect]:
         """Take one event."""
@@ -85,7 +88,7 @@
         if isinstance(event, ev.CallAnswered | ev.CallFailed):
             return self._calls.end(event, now)
         if isinstance(event, ev.HttpAnswered | ev.HttpFailed):
-            return self._backend_ended(event, now)
+            return self._backend_finished(event, now)
         return []
 
     def metrics(self, now: float) -> Iterable[MetricSample]:
@@ -117,13 +120,13 @@
         head = read_head(self._decision.view, event.headers, fallback_id, now)
         if head.is_error():
             return [answers.problem_answer(event.request_id, head.error)]
-        verdict = self._decision.ask_head(head.ok, len(self._book) + len(self._heads))
+        verdict = self._decision.check_head(head.ok, len(self._attempts) + len(self._heads))
         if isinstance(verdict, GoTo):
             answer = answers.go_elsewhere_answer(event.request_id, head.ok, verdict.front)
             return [self._counted(answer)]
         if isinstance(verdict, Refuse):
             not_run = head.ok.first_sending
-            answer = self._given_up(event.request_id, head.ok, not_run, verdict)
+            answer = answers.given_up_answer(event.request_id, head.ok, verdict, not_run=not_run)
             return [self._counted(answer)]
         self._heads[event.request_id] = head.ok
         if event.body_withheld:
@@ -137,45 +140,47 @@
         payload = read_payload(event.body)
         if payload.is_error():
             return [answers.problem_answer(event.request_id, payload.error)]
-        number = self._book.next_number()
+        number = self._attempts.next_number()
         attempt = Attempt(
             number=number,
             http_id=event.request_id,
             head=head,
             payload=payload.ok,
             shard=shard_of(head.route_name, head.key),
-            claim=self._asked_claim(head, number),
+            claim=self._claim_template(head, number),
             queue_wait_s=self._decision.queue_wait_s(),
         )
-        self._book.add(attempt)
+        self._attempts.add(attempt)
         deadline = fx.StartTimer(f"{DEADLINE_TIMER}{number}", max(0.0, head.deadline - now))
-        return [deadline, *self._asker.proceed(attempt, now)]
+        return [deadline, *self._claim_requester.proceed(attempt, now)]
 
-    def _asked_claim(self, head: OnceHead, number: int) -> ClaimRecord:
+    def _claim_template(self, head: OnceHead, number: int) -> ClaimRecord:
         digest = key_digest(head.route_name, head.key)
         return ClaimRecord(
             key_digest=digest,
             epoch=0,
             counter=0,
             sequence=0,
-            asker_id=self._book.node_id,
-            asker_incarnation=self._book.incarnation,
+            asker_id=self._attempts.node_id,
+            asker_incarnation=self._attempts.incarnation,
             attempt=number,
-            copy_id=self._decision.copy_front(head, digest),
+            copy_id=self._decision.replica_front(head, digest),
         )
 
     # Findings and the back end -----------------------------------------------------------
 
     def _found(self, attempt: Attempt, finding: Finding, now: float) -> list[fx.Effect]:
         if isinstance(finding, Granted):
-            self._book.had_claims = True
+            self._attempts.had_claims = True
             attempt.state = AttemptState.WRITING
             return self._write(attempt, now)
         if isinstance(finding, NoClaim):
             return self._release(attempt, _NO_CLAIM)
         effects = self._finish(attempt, AttemptState.RELEASED)
         if isinstance(finding, DoneBefore) and finding.result:
-            answer = answers.done_answer(attempt.http_id, attempt.head, finding.result, True)
+            answer = answers.done_answer(
+                attempt.http_id, attempt.head, finding.result, repeated=True
+            )
             return [*effects, *self._respond(attempt, answer, "repeated")]
         if isinstance(finding, PayloadDiffers):
             answer = answers.key_reused_answer(attempt.http_id, attempt.head)
@@ -184,7 +189,7 @@
         return [*effects, *self._respond_unknown(attempt, why)]
 
     def _write(self, attempt: Attempt, now: float) -> list[fx.Effect]:
-        verdict = self._decision.ask_write(attempt, now)
+        verdict = self._decision.choose_replica(attempt, now)
         if isinstance(verdict, Refuse):
             return self._release(attempt, verdict)
         replica = verdict.replica
@@ -194,7 +199,9 @@
         self._writes[call_id] = attempt
         return [backend_call(call_id, replica, attempt, now)]
 
-    def _backend_ended(self, event: ev.HttpAnswered | ev.HttpFailed, now: float) -> list[fx.Effect]:
+    def _backend_finished(
+        self, event: ev.HttpAnswered | ev.HttpFailed, now: float
+    ) -> list[fx.Effect]:
         attempt = self._writes.pop(event.call_id, None)
         if attempt is None:
             return []
@@ -208,11 +215,14 @@
             self._decision.replica_failed(attempt.replica_id, now)
             effects = self._finish(attempt, AttemptState.UNKNOWN)
             return [*effects, *self._respond_unknown(attempt, _NO_ANSWER)]
-        effects = [*self._finish(attempt, AttemptState.DONE, result), *self._copy(attempt, result)]
-        answer = answers.done_answer(attempt.http_id, attempt.head, result, False)
+        effects = [
+            *self._finish(attempt, AttemptState.DONE, result),
+            *self._replicate_result(attempt, result),
+        ]
+        answer = answers.done_answer(attempt.http_id, attempt.head, result, repeated=False)
         return [*self._respond(attempt, answer), *effects]
 
-    def _copy(self, attempt: Attempt, result: bytes) -> list[fx.Effect]:
+    def _replicate_result(self, attempt: Attempt, result: bytes) -> list[fx.Effect]:
         for node in self._core_link.members():
             if node.node_id == attempt.claim.copy_id:
                 request = CopyResultRequest(attempt.claim, attempt.payload.digest, result)
@@ -224,9 +234,9 @@
 
     def _timer_fired(self, name: str, now: float) -> list[fx.Effect]:
         if name.startswith(NEXT_TIMER):
-            attempt = self._book.live(int(name.removeprefix(NEXT_TIMER)))
-            return self._asker.proceed(attempt, now) if attempt else []
-        attempt = self._book.live(int(name.removeprefix(DEADLINE_TIMER)))
+            attempt = self._attempts.live(int(name.removeprefix(NEXT_TIMER)))
+            return self._claim_requester.proceed(attempt, now) if attempt else []
+        attempt = self._attempts.live(int(name.removeprefix(DEADLINE_TIMER)))
         if attempt is None:
             return []
         if attempt.state is AttemptState.WRITING:
@@ -238,10 +248,10 @@
 
     def _closed(self, event: ev.HttpRequestClosed) -> list[fx.Effect]:
         self._heads.pop(event.request_id, None)
-        attempt = self._book.by_http(event.request_id)
+        attempt = self._attempts.by_http(event.request_id)
         if attempt is None:
             return []
-        self._book.mark_answered(attempt)
+        self._attempts.mark_answered(attempt)
         if attempt.state is AttemptState.WRITING:
             return []
         return self._finish(attempt, AttemptState.RELEASED)
@@ -249,12 +259,12 @@
     def _release(self, attempt: Attempt, why: Refuse) -> list[fx.Effect]:
         """End an attempt that has written nothing and never will."""
         effects = self._finish(attempt, AttemptState.RELEASED)
-        return [*effects, *self._respond_given_up(attempt, attempt.certainly_not_run, why)]
+        return [*effects, *self._respond_given_up(attempt, why, not_run=attempt.certainly_not_run)]
 
     def _finish(
         self, attempt: Attempt, state: AttemptState, result: bytes = b""
     ) -> list[fx.Effect]:
-        self._book.finish(attempt, state, result)
+        self._attempts.finish(attempt, state, result)
         return [
             fx.CancelTimer(f"{NEXT_TIMER}{attempt.number}"),
             fx.CancelTimer(f"{DEADLINE_TIMER}{attempt.number}"),
@@ -265,19 +275,16 @@
     ) -> list[fx.Effect]:
         if attempt.answered:
             return []
-        self._book.mark_answered(attempt)
+        self._attempts.mark_answered(attempt)
         return [self._counted(answer, outcome)]
 
     def _respond_unknown(self, attempt: Attempt, why: Refuse) -> list[fx.Effect]:
-        return self._respond_given_up(attempt, False, why)
+        return self._respond_given_up(attempt, why, not_run=False)
 
-    def _respond_given_up(self, attempt: Attempt, not_run: bool, why: Refuse) -> list[fx.Effect]:
-        answer = self._given_up(attempt.http_id, attempt.head, not_run, why)
+    def _respond_given_up(self, attempt: Attempt, why: Refuse, *, not_run: bool) -> list[fx.Effect]:
+        answer = answers.given_up_answer(attempt.http_id, attempt.head, why, not_run=not_run)
         return self._respond(attempt, answer)
 
-    def _given_up(self, http_id: int, head: OnceHead, not_run: bool, why: Refuse) -> fx.HttpRespond:
-        return answers.given_up_answer(http_id, head, not_run, why)
-
     def _counted(self, answer: fx.HttpRespond, outcome: str = "") -> fx.HttpRespond:
         self._answers[outcome or answers.OUTCOME_OF_STATUS[answer.status]] += 1
         return answer
--- a/rooklug/front/once_only/outcome_memory.py
+++ b/rooklug/front/once_only/outcome_memory.py
@@ -7,9 +7,9 @@
 from rooklug.front.once_only.attempt import AttemptState, ClaimStatus
 from rooklug.front.once_only.claims import attempt_identity
 from rooklug.front.once_only.limits import (
-    MAX_KEPT_RESULT_BYTES,
     MAX_OUTCOMES,
     MAX_RESULT_BYTES,
+    MAX_STORED_RESULT_BYTES,
 )
 from rooklug.wire.generated.claims.ttypes import ClaimRecord, ClaimStatusAnswer
 
@@ -69,7 +69,7 @@
         ]
 
     def _shrink(self) -> None:
-        while self._result_bytes > MAX_KEPT_RESULT_BYTES:
+        while self._result_bytes > MAX_STORED_RESULT_BYTES:
             self._drop_result(next(iter(self._with_result)))
         while len(self._outcomes) > MAX_OUTCOMES:
             identity, _ = self._outcomes.popitem(last=False)
--- a/rooklug/front/once_only/call_book.py
+++ b/rooklug/front/once_only/pending_calls.py
@@ -11,7 +11,7 @@
 OnEnd = Callable[[CallEnd, float], list[fx.Effect]]
 
 
-class CallBook:
+class PendingCalls:
     """Issues calls and finds the continuation when they end."""
 
     def __init__(self, identifiers: Identifiers) -> None:
--- a/rooklug/front/once_only/requests.py
+++ b/rooklug/front/once_only/requests.py
@@ -64,11 +64,11 @@
     route = view.route(name)
     if route is None or route.kind is not RouteKind.ONCE:
         return Error(RequestProblem(404, "unknown_route", "no once-only route of that name"))
-    left_s = _time_left(headers.get(DEADLINE_HEADER), route.deadline_s)
-    if left_s is None:
+    remaining_s = _time_left(headers.get(DEADLINE_HEADER), route.deadline_s)
+    if remaining_s is None:
         return _invalid(f"{DEADLINE_HEADER} must be a whole number of milliseconds")
     first_sending = headers.get(ATTEMPT_HEADER, "") == FIRST_ATTEMPT
-    return Ok(OnceHead(request_id, key, name, route, now, now + left_s, first_sending))
+    return Ok(OnceHead(request_id, key, name, route, now, now + remaining_s, first_sending))
 
 
 def read_payload(data: bytes) -> Result[Payload, RequestProblem]:
--- a/rooklug/front/once_only/shard_owner.py
+++ b/rooklug/front/once_only/shard_owner.py
@@ -8,15 +8,16 @@
 
 import attrs
 
+from rooklug.distribution.core_link import CoreLink
 from rooklug.engine import effects as fx
-from rooklug.front.once_only.call_book import CallBook
 from rooklug.front.once_only.claims import role_key_of, same_attempt
+from rooklug.front.once_only.front_claim_recovery import FrontInquiry
 from rooklug.front.once_only.limits import (
     DAMAGED_STORE_CHECK_S,
     STORE_CHECK_S,
     STORE_RETRY_S,
 )
-from rooklug.front.once_only.recovery import FrontInquiry
+from rooklug.front.once_only.pending_calls import PendingCalls
 from rooklug.front.once_only.shard_stores import ShardStores
 from rooklug.front.once_only.shard_table import ShardTable
 from rooklug.wire.generated.claims.ttypes import (
@@ -34,7 +35,7 @@
     """What an owner is doing."""
 
     IDLE = "never granted"
-    READING = "reading the stores"
+    QUERYING_STORES = "querying the stores"
     RECOVERING = "asking the fronts, as two or more stores have lost their claims"
     RESTORING = "restoring the stores"
     READY = "deciding"
@@ -45,7 +46,7 @@
     """Outcomes of a ``ClaimAnswer``."""
 
     RUN = "run"
-    HELD = "held"
+    CLAIMED_BY_OTHER = "held"
     NOT_OWNER = "not_owner"
     NOT_READY = "not_ready"
     NOT_RECORDED = "not_recorded"
@@ -62,10 +63,10 @@
 
 
 class ShardOwner:
-    """One shard. ``core_link`` tells whether this node's grant is valid."""
+    """One shard. ``core_link`` knows whether this node's grant is valid."""
 
     def __init__(
-        self, shard: int, core_link, calls: CallBook, store_addresses: tuple[str, ...]
+        self, shard: int, core_link: CoreLink, calls: PendingCalls, store_addresses: tuple[str, ...]
     ) -> None:
         self.shard = shard
         self.phase = Phase.IDLE
@@ -112,10 +113,10 @@
 
     def _due(self, now: float) -> list[fx.Effect]:
         until = self._grant_until(now)
-        if self.phase is Phase.READING:
+        if self.phase is Phase.QUERYING_STORES:
             return self._stores.read_unanswered(until)
         if self.phase is Phase.RECOVERING:
-            return [*self._inquiry.ask(until), *self._recover(now)]
+            return [*self._inquiry.request_claims(until), *self._recover(now)]
         if self.phase is Phase.RESTORING:
             return self._stores.restore_blank(self.table.encoded, until)
         if self.phase is Phase.READY:
@@ -128,7 +129,7 @@
         self._sequence = 0
         self._stores.begin(token)
         self._inquiry.reset()
-        self.phase = Phase.READING
+        self.phase = Phase.QUERYING_STORES
         self._ticking = False
         return effects
 
@@ -153,7 +154,7 @@
     def _heard_of_store(self, now: float) -> list[fx.Effect]:
         if self.phase is Phase.RESTORING and self._stores.has_quorum:
             self.phase = Phase.READY
-        if self.phase is not Phase.READING:
+        if self.phase is not Phase.QUERYING_STORES:
             return []
         views = self._stores.views
         if self._stores.has_quorum:
@@ -164,7 +165,7 @@
             return []
         self.phase = Phase.RECOVERING
         self._inquiry.begin(now, no_store_intact=views.intact_count == 0)
-        return [self._recovery_log(), *self._inquiry.ask(self._grant_until(now))]
+        return [self._recovery_log(), *self._inquiry.request_claims(self._grant_until(now))]
 
     def _recovery_log(self) -> fx.Log:
         intact = self._stores.views.intact_count
@@ -198,30 +199,32 @@
             return [fx.Answer(call_id, ClaimAnswer(ClaimOutcome.NOT_OWNER))]
         if self.phase is not Phase.READY:
             return [fx.Answer(call_id, ClaimAnswer(ClaimOutcome.NOT_READY))]
-        held = self.table.find(request.claim.key_digest)
-        if held is None or _is_released(held.claim, request):
+        recorded = self.table.find(request.claim.key_digest)
+        if recorded is None or _is_released(recorded.claim, request):
             return self._record(call_id, request.claim, now)
-        if not same_attempt(held.claim, request.claim):
-            return [fx.Answer(call_id, ClaimAnswer(ClaimOutcome.HELD, held.claim))]
-        if held.confirmed:
-            return [fx.Answer(call_id, ClaimAnswer(ClaimOutcome.RUN, held.claim))]
+        if not same_attempt(recorded.claim, request.claim):
+            return [fx.Answer(call_id, ClaimAnswer(ClaimOutcome.CLAIMED_BY_OTHER, recorded.claim))]
+        if recorded.confirmed:
+            return [fx.Answer(call_id, ClaimAnswer(ClaimOutcome.RUN, recorded.claim))]
         recording = self._recordings.get(request.claim.key_digest)
         if recording is not None:
             recording.waiting.append(call_id)
             return []
         return self._record(call_id, request.claim, now)
 
-    def _record(self, call_id: int, asked: ClaimRecord, now: float) -> list[fx.Effect]:
+    def _record(self, call_id: int, requested: ClaimRecord, now: float) -> list[fx.Effect]:
+        token = self._token
+        assert token is not None
         self._sequence += 1
         claim = ClaimRecord(
-            key_digest=asked.key_digest,
-            epoch=self._token.epoch,
-            counter=self._token.counter,
+            key_digest=requested.key_digest,
+            epoch=token.epoch,
+            counter=token.counter,
             sequence=self._sequence,
-            asker_id=asked.asker_id,
-            asker_incarnation=asked.asker_incarnation,
-            attempt=asked.attempt,
-            copy_id=asked.copy_id,
+            asker_id=requested.asker_id,
+            asker_incarnation=requested.asker_incarnation,
+            attempt=requested.attempt,
+            copy_id=requested.copy_id,
         )
         self.table.put(claim)
         recording = _Recording(claim, [call_id])
@@ -247,14 +250,14 @@
             return self._grant(recording, now)
         if recording.open_calls == 0:
             del self._recordings[digest]
-            answer = ClaimAnswer(ClaimOutcome.NOT_RECORDED)
-            return [fx.Answer(call, answer) for call in recording.waiting]
+            not_recorded = ClaimAnswer(ClaimOutcome.NOT_RECORDED)
+            return [fx.Answer(call, not_recorded) for call in recording.waiting]
         return []
 
     def _grant(self, recording: _Recording, now: float) -> list[fx.Effect]:
-        held = self.table.find(recording.claim.key_digest)
-        if held is not None and held.claim is recording.claim:
-            held.confirmed = True
+        recorded = self.table.find(recording.claim.key_digest)
+        if recorded is not None and recorded.claim is recording.claim:
+            recorded.confirmed = True
         if not self._may_decide(now):
             answer = ClaimAnswer(ClaimOutcome.NOT_OWNER)
         else:
--- a/rooklug/front/once_only/shard_stores.py
+++ b/rooklug/front/once_only/shard_stores.py
@@ -5,9 +5,9 @@
 
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
-from rooklug.front.once_only.call_book import CallBook, CallEnd
 from rooklug.front.once_only.claims import decode_claims
 from rooklug.front.once_only.limits import STORE_DEADLINE_S
+from rooklug.front.once_only.pending_calls import CallEnd, PendingCalls
 from rooklug.front.once_only.store_views import StoreView, StoreViews
 from rooklug.wire.codec import encode
 from rooklug.wire.generated.claims.ttypes import (
@@ -37,7 +37,7 @@
         self,
         shard: int,
         addresses: tuple[str, ...],
-        calls: CallBook,
+        calls: PendingCalls,
         on_heard: OnHeard,
         on_fenced: OnFenced,
     ) -> None:
@@ -81,7 +81,7 @@
     def _read(self, view: StoreView, not_after: float) -> fx.Call:
         token = self._token
 
-        def ended(event: CallEnd, now: float) -> list[fx.Effect]:
+        def on_end(event: CallEnd, now: float) -> list[fx.Effect]:
             if token != self._token or isinstance(event, ev.CallFailed):
                 return []
             if not event.answer.accepted:
@@ -93,14 +93,14 @@
             return self._on_heard(now)
 
         request = ReadClaimsRequest(shard=self._shard, token=token)
-        return self._calls.call(view.address, request, STORE_DEADLINE_S, ended, not_after)
+        return self._calls.call(view.address, request, STORE_DEADLINE_S, on_end, not_after)
 
     def _check(
         self, view: StoreView, claims: MakeClaims, grant_until: GrantUntil, now: float
     ) -> fx.Call:
         round_number = self.views.round
 
-        def ended(answer: RecordClaimsAnswer | None, at: float) -> list[fx.Effect]:
+        def on_end(answer: RecordClaimsAnswer | None, at: float) -> list[fx.Effect]:
             if round_number != self.views.round:
                 return []
             self._open_checks -= 1
@@ -112,7 +112,7 @@
             return [self._restore(lost, claims(), until) for lost in self.views.restorable()]
 
         request = RecordClaimsRequest(shard=self._shard, token=self._token, claims=[])
-        return self._call(view, request, grant_until(now), ended)
+        return self._call(view, request, grant_until(now), on_end)
 
     def _restore(self, view: StoreView, claims: list[bytes], not_after: float) -> fx.Call:
         request = RestoreClaimsRequest(
@@ -129,7 +129,7 @@
         token = self._token
         round_number = self.views.round
 
-        def ended(event: CallEnd, now: float) -> list[fx.Effect]:
+        def on_end(event: CallEnd, now: float) -> list[fx.Effect]:
             if token != self._token:
                 return []
             answer = event.answer if isinstance(event, ev.CallAnswered) else None
@@ -139,4 +139,4 @@
                 view.take(answer, round_number)
             return then(answer, now)
 
-        return self._calls.call(view.address, request, STORE_DEADLINE_S, ended, not_after)
+        return self._calls.call(view.address, request, STORE_DEADLINE_S, on_end, not_after)
--- a/rooklug/front/once_only/shard_table.py
+++ b/rooklug/front/once_only/shard_table.py
@@ -11,7 +11,7 @@
 
 
 @attrs.define
-class HeldClaim:
+class RecordedClaim:
     """A claim; ``confirmed`` once enough stores have it under the owner's own token."""
 
     claim: ClaimRecord
@@ -22,35 +22,37 @@
     """Claims by key digest, the oldest first, bounded."""
 
     def __init__(self) -> None:
-        self._held: dict[bytes, HeldClaim] = {}
+        self._claims: dict[bytes, RecordedClaim] = {}
 
     def __len__(self) -> int:
         """Return the number of keys."""
-        return len(self._held)
+        return len(self._claims)
 
-    def find(self, key_digest: bytes) -> HeldClaim | None:
+    def find(self, key_digest: bytes) -> RecordedClaim | None:
         """Return the claim of a key."""
-        return self._held.get(key_digest)
+        return self._claims.get(key_digest)
 
-    def put(self, claim: ClaimRecord) -> HeldClaim:
+    def put(self, claim: ClaimRecord) -> RecordedClaim:
         """Set a key's claim, as the newest."""
-        self._held.pop(claim.key_digest, None)
-        held = self._held[claim.key_digest] = HeldClaim(claim)
-        if len(self._held) > MAX_CLAIMS_PER_SHARD:
-            del self._held[next(iter(self._held))]
-        return held
+        self._claims.pop(claim.key_digest, None)
+        recorded = self._claims[claim.key_digest] = RecordedClaim(claim)
+        if len(self._claims) > MAX_CLAIMS_PER_SHARD:
+            del self._claims[next(iter(self._claims))]
+        return recorded
 
     def merge(self, claims: Iterable[ClaimRecord]) -> None:
         """Take claims from several sources; of two of a key the higher one stays."""
-        newest: dict[bytes, ClaimRecord] = {key: held.claim for key, held in self._held.items()}
+        newest: dict[bytes, ClaimRecord] = {
+            key: recorded.claim for key, recorded in self._claims.items()
+        }
         for claim in claims:
             known = newest.get(claim.key_digest)
             if known is None or claim_order(claim) > claim_order(known):
                 newest[claim.key_digest] = claim
         ordered = sorted(newest.values(), key=lambda claim: (claim_order(claim), claim.key_digest))
-        kept = ordered[-MAX_CLAIMS_PER_SHARD:]
-        self._held = {claim.key_digest: HeldClaim(claim) for claim in kept}
+        newest_claims = ordered[-MAX_CLAIMS_PER_SHARD:]
+        self._claims = {claim.key_digest: RecordedClaim(claim) for claim in newest_claims}
 
     def encoded(self) -> list[bytes]:
         """Return all claims, encoded, the oldest first."""
-        return [encode(held.claim) for held in self._held.values()]
+        return [encode(recorded.claim) for recorded in self._claims.values()]
--- a/rooklug/front/once_only/store_state.py
+++ b/rooklug/front/once_only/store_state.py
@@ -26,9 +26,11 @@
     def take_claim(self, encoded: bytes) -> None:
         """Keep a claim unless a later one of the same key is here."""
         claim = decode(ClaimRecord, encoded).ok
-        held = self.claims.pop(claim.key_digest, None)
-        if held is not None and claim_order(decode(ClaimRecord, held).ok) > claim_order(claim):
-            encoded = held
+        recorded = self.claims.pop(claim.key_digest, None)
+        if recorded is not None and claim_order(decode(ClaimRecord, recorded).ok) > claim_order(
+            claim
+        ):
+            encoded = recorded
         self.claims[claim.key_digest] = encoded
         if len(self.claims) > MAX_CLAIMS_PER_SHARD:
             del self.claims[next(iter(self.claims))]
--- a/rooklug/front/once_only/store_views.py
+++ b/rooklug/front/once_only/store_views.py
@@ -1,6 +1,6 @@
 """What an owner knows of the claim stores, for one shard under one token."""
 
-from collections.abc import Iterable
+from collections.abc import Iterable, Iterator
 
 import attrs
 
@@ -43,7 +43,7 @@
         self.quorum = len(self._views) // 2 + 1
         self.round = 0
 
-    def __iter__(self):
+    def __iter__(self) -> Iterator[StoreView]:
         """Iterate over the stores."""
         return iter(self._views.values())
 
--- a/rooklug/front/readiness.py
+++ b/rooklug/front/readiness.py
@@ -4,16 +4,17 @@
 
 import attrs
 
+from rooklug.distribution.core_link import CoreLink
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
 from rooklug.engine.component import BaseComponent, EmitEvent, InternalEvent
 from rooklug.front.answers import json_answer
-from rooklug.front.view_keeper import RoutingViewChanged, ViewKeeper
+from rooklug.front.view_component import RoutingViewChanged, RoutingViewComponent
 
 READY_PATH = "/v1/ready"
 DRAIN_TIMER = "drain"
 DRAIN_CHECK_S = 0.1
-DRAIN_NOTICE_S = 1.5
+DRAIN_PROPAGATION_S = 1.5
 # Below the grace after which the runtime stops the process by itself.
 DRAIN_LIMIT_S = 25.0
 
@@ -26,7 +27,7 @@
 class Readiness(BaseComponent):
     """Tells the platform and the core whether this front takes requests.
 
-    At ``StopRequested`` it waits until nothing is active, at least ``DRAIN_NOTICE_S`` (so that
+    At ``StopRequested`` it waits until nothing is active, at least ``DRAIN_PROPAGATION_S`` (so that
     others see it drain) and at most ``DRAIN_LIMIT_S``, then stops the process. Components with
     requests of their own register a counter with ``watch``.
     """
@@ -35,24 +36,24 @@
     http_prefixes = (READY_PATH,)
     subscribes_to = (RoutingViewChanged,)
 
-    def __init__(self, keeper: ViewKeeper, core_link) -> None:
-        self._keeper = keeper
+    def __init__(self, view_component: RoutingViewComponent, core_link: CoreLink) -> None:
+        self._view_component = view_component
         self._core_link = core_link
         self._active_counters: list[Callable[[], int]] = []
-        self._drain_began: float | None = None
+        self._draining_since: float | None = None
 
     @property
     def draining(self) -> bool:
         """Whether the process is on its way out."""
-        return self._drain_began is not None
+        return self._draining_since is not None
 
     def watch(self, active_requests: Callable[[], int]) -> None:
         """Let the drain wait until ``active_requests()`` is 0."""
         self._active_counters.append(active_requests)
 
     def reason_not_ready(self) -> str:
-        """Return "" when ready, else why not. Silent control alone is no reason."""
-        view = self._keeper.view
+        """Return "" when ready, else why not. A lost control plane alone is no reason."""
+        view = self._view_component.view
         if self.draining:
             return "draining"
         if view.configuration is None:
@@ -83,7 +84,7 @@
     def _begin_drain(self, now: float) -> list[fx.Effect]:
         if self.draining:
             return []
-        self._drain_began = now
+        self._draining_since = now
         return [
             *self._core_link.set_ready(False),
             *self._core_link.set_draining(True),
@@ -93,10 +94,12 @@
         ]
 
     def _check_drain(self, now: float) -> list[fx.Effect]:
-        elapsed = now - self._drain_began
+        if self._draining_since is None:
+            return []
+        elapsed = now - self._draining_since
         if elapsed >= DRAIN_LIMIT_S:
             return [fx.StopProcess(0, f"drain limit, {self._active()} requests cut off")]
-        if elapsed >= DRAIN_NOTICE_S and self._active() == 0:
+        if elapsed >= DRAIN_PROPAGATION_S and self._active() == 0:
             return [fx.StopProcess(0, "drained")]
         return [fx.StartTimer(DRAIN_TIMER, DRAIN_CHECK_S)]
 
--- a/rooklug/front/regions.py
+++ b/rooklug/front/regions.py
@@ -1,11 +1,11 @@
-"""In which order regions are tried for a request: the matrix's preferences, weights and ramps."""
+"""The order of regions for a request, from the matrix's preferences, weights and slow starts."""
 
 from collections.abc import Mapping
 
 import attrs
 
 from rooklug.front.routing_view import Destination, DestinationLevels
-from rooklug.front.slow_start import FULL_SHARE
+from rooklug.front.slow_start_tracker import FULL_SHARE
 
 
 @attrs.frozen
@@ -24,12 +24,12 @@
 ) -> list[RegionStep]:
     """Return the regions to try, the first choice first.
 
-    ``shares`` are the slow-start shares of the regions with a replica that may be asked;
-    ``draw`` (0..1) is the request's own: the same at each ask.
-    A region that ramps up gets its share of what the matrix sends it; the rest goes to the
-    next preferences, and waits for them: it does not come back while another region is warm.
-    Shares count relative to the largest one, so that regions that are all cold lose nothing
-    to one another.
+    ``shares`` are the slow-start shares of the regions with a replica that may get requests;
+    ``draw`` (0..1) is the request's own: the same at each decision.
+    A region in slow start gets its share of what the matrix sends it; the rest goes to the next
+    preferences, and waits for them: it does not come back while another region is at full
+    share. Shares count relative to the largest one, so that regions that are all in slow start
+    lose nothing to one another.
     """
     alive = [tuple(cell for cell in level if cell.region in shares) for level in levels]
     alive = [level for level in alive if level]
@@ -37,7 +37,7 @@
         return []
     largest = max(shares[cell.region] for level in alive for cell in level)
     passed: list[RegionStep] = []
-    nothing_is_warm = largest < FULL_SHARE
+    all_in_slow_start = largest < FULL_SHARE
     for number, level in enumerate(alive):
         weights = [cell.weight * shares[cell.region] / largest for cell in level]
         chance = sum(weights) / sum(cell.weight for cell in level)
@@ -49,7 +49,7 @@
             return [
                 RegionStep(first.region, not preferred and first.region != source_region),
                 *(RegionStep(cell.region, cell.region != source_region) for cell in rest),
-                *(passed if nothing_is_warm else ()),
+                *(passed if all_in_slow_start else ()),
             ]
         passed.extend(RegionStep(cell.region, number > 0) for cell in level)
         draw = (draw - chance) / (1.0 - chance)
--- a/rooklug/front/replica_states.py
+++ b/rooklug/front/replica_states.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from rooklug.front.attempts import AttemptOutcome, AttemptReport
+from rooklug.front.attempt import AttemptOutcome, AttemptReport
 from rooklug.front.health import ReplicaHealth
 from rooklug.front.limits import ConcurrencyLimit
 from rooklug.front.routing_view import RoutingView, ServingReplica
@@ -37,12 +37,12 @@
 
     @property
     def duration_s(self) -> float:
-        """The usual seconds of a whole answer there."""
+        """The usual seconds of a complete answer there."""
         measured = self.measured_duration_s
         return DEFAULT_DURATION_S if measured is None else measured
 
     @property
-    def has_room(self) -> bool:
+    def has_capacity(self) -> bool:
         """Whether one more request may run there."""
         return self.in_flight < self.allowed
 
@@ -51,7 +51,7 @@
         return self._recent_load * exp((self._recent_at - now) / RECENT_LOAD_S)
 
     def completed(self, elapsed_s: float) -> None:
-        """Take a whole answer."""
+        """Count a complete answer."""
         self.health.succeeded()
         usual = self.measured_duration_s if self.measured_duration_s is not None else elapsed_s
         self.measured_duration_s = usual + DURATION_WEIGHT * (elapsed_s - usual)
@@ -77,14 +77,14 @@
         return sorted(self._states.items())
 
     def follow(self, view: RoutingView) -> None:
-        """Add what is new, begin anew at a new incarnation, forget what is gone and idle."""
+        """Add what is new, start over at a new incarnation, forget what is gone and idle."""
         fronts = max(1, len(view.fronts_in()))
-        kept: set[str] = set()
+        listed: set[str] = set()
         for model in view.models():
             for replica in view.serving(model):
-                kept.add(replica.replica_id)
+                listed.add(replica.replica_id)
                 self._follow_replica(replica, fronts)
-        for replica_id in [name for name in self._states if name not in kept]:
+        for replica_id in [name for name in self._states if name not in listed]:
             if self._states[replica_id].in_flight == 0:
                 del self._states[replica_id]
 
@@ -93,22 +93,22 @@
         ejected = sum(state.health.is_ejected(now) for state in self._states.values())
         return 2 * ejected > len(self._states)
 
-    def began(self, replica: ServingReplica, load_tokens: float, now: float) -> None:
-        """Count a try that is sent."""
+    def record_start(self, replica: ServingReplica, load_tokens: float, now: float) -> None:
+        """Count an attempt that is sent."""
         state = self[replica]
         state.in_flight += 1
         state.add_load(load_tokens, now)
 
-    def ended(self, report: AttemptReport, now: float) -> bool:
-        """Count a try that is over; tell whether it ejects the replica."""
+    def record_end(self, report: AttemptReport, now: float) -> bool:
+        """Count an attempt that is over; return whether it ejects the replica."""
         replica = report.serve_at.replica
         state = self[replica]
         state.in_flight -= 1
         if state.incarnation != replica.incarnation:
             return False
-        if report.first_piece_s is not None:
+        if report.first_chunk_s is not None:
             in_flight = state.in_flight + 1
-            state.limit.first_piece_came(report.first_piece_s, report.prompt_tokens, in_flight)
+            state.limit.record_first_chunk(report.first_chunk_s, report.prompt_tokens, in_flight)
         if report.outcome is AttemptOutcome.SUCCESS:
             state.completed(report.elapsed_s)
             return False
--- a/rooklug/front/requests.py
+++ b/rooklug/front/requests.py
@@ -8,14 +8,14 @@
 from expression import Error, Ok, Result
 
 from rooklug.config.document import Route, RouteKind
-from rooklug.front.affinity import hash_parts
+from rooklug.front.affinity import hash_blocks
 from rooklug.front.routing_view import RoutingView
 
 ROUTE_HEADER = "x-rooklug-route"
 REQUEST_ID_HEADER = "x-rooklug-request-id"
 DEADLINE_HEADER = "x-rooklug-deadline-ms"
 MAX_REQUEST_ID_LENGTH = 200
-MAX_PROMPT_PARTS = 256
+MAX_PROMPT_PREFIX_BLOCKS = 256
 MAX_TOKENS = 10_000_000
 PROMPT_TOKENS_PER_LOAD_TOKEN = 8
 
@@ -44,13 +44,13 @@
 class GenerateBody:
     """A model request's body; ``document`` is all of it, to be carried on.
 
-    ``part_hashes`` name the shared prompt parts, in their order.
+    ``block_hashes`` name the shared prefix blocks, in their order.
     """
 
     prompt_tokens: int
     max_tokens: int
     stream: bool
-    part_hashes: tuple[int, ...]
+    block_hashes: tuple[int, ...]
     document: dict[str, Any]
 
     @property
@@ -88,18 +88,20 @@
     if model != route.model:
         return _invalid("model: not the route's model")
     prompt_tokens = document.get("prompt_tokens")
-    if not _is_count(prompt_tokens, 0):
+    if not isinstance(prompt_tokens, int) or not _is_count(prompt_tokens, 0):
         return _invalid("prompt_tokens: must be a whole number, 0 or more")
     max_tokens = document.get("max_tokens")
-    if not _is_count(max_tokens, 1):
+    if not isinstance(max_tokens, int) or not _is_count(max_tokens, 1):
         return _invalid("max_tokens: must be a whole number, 1 or more")
-    parts = read_prompt_parts(document)
-    if parts is None:
-        return _invalid(f"prompt_parts: must be a list of at most {MAX_PROMPT_PARTS} strings")
+    blocks = read_prefix_blocks(document)
+    if blocks is None:
+        return _invalid(
+            f"prompt_parts: must be a list of at most {MAX_PROMPT_PREFIX_BLOCKS} strings"
+        )
     stream = document.get("stream", False)
     if not isinstance(stream, bool):
         return _invalid("stream: must be true or false")
-    return Ok(GenerateBody(prompt_tokens, max_tokens, stream, hash_parts(parts), document))
+    return Ok(GenerateBody(prompt_tokens, max_tokens, stream, hash_blocks(blocks), document))
 
 
 def read_json_object(data: bytes) -> dict[str, Any] | None:
@@ -111,12 +113,12 @@
     return document if isinstance(document, dict) else None
 
 
-def read_prompt_parts(document: Mapping[str, Any]) -> tuple[str, ...] | None:
-    """Return the shared prompt parts (none given: empty), or None if malformed."""
-    parts = document.get("prompt_parts", [])
-    if not isinstance(parts, list) or len(parts) > MAX_PROMPT_PARTS:
+def read_prefix_blocks(document: Mapping[str, Any]) -> tuple[str, ...] | None:
+    """Return the shared prefix blocks (none given: empty), or None if malformed."""
+    blocks = document.get("prompt_parts", [])
+    if not isinstance(blocks, list) or len(blocks) > MAX_PROMPT_PREFIX_BLOCKS:
         return None
-    return tuple(parts) if all(isinstance(part, str) for part in parts) else None
+    return tuple(blocks) if all(isinstance(block, str) for block in blocks) else None
 
 
 def encode_attempt_body(body: GenerateBody, request_id: str, model: str) -> bytes:
--- a/rooklug/front/routing_view.py
+++ b/rooklug/front/routing_view.py
@@ -1,7 +1,7 @@
-"""What a front knows about who serves what: one immutable snapshot, rebuilt at each topic change.
+"""A front's routing view: one immutable snapshot of who serves what, rebuilt at topic changes.
 
-The parts of a front hold the ``ViewKeeper`` (``rooklug.front.view_keeper``) and read its
-``view`` anew for each request; a snapshot must not be kept between requests.
+The components of a front hold the ``RoutingViewComponent`` (``rooklug.front.view_component``)
+and read its ``view`` for each request; a snapshot must not be kept between requests.
 
 Methods that other packages use:
 
@@ -37,7 +37,7 @@
     zone: str
     incarnation: str
     concurrency: int
-    cold: bool
+    warming_up: bool
     healthy: bool = True
 
 
@@ -88,7 +88,7 @@
 class RoutingView:
     """A snapshot for one front. Build it with ``build_routing_view``.
 
-    ``resting`` are (replica id, model) that are loaded and healthy, but not intended now.
+    ``loaded_unplanned`` are (replica id, model) that are loaded and healthy, but not intended now.
     """
 
     own_node_id: str
@@ -99,7 +99,7 @@
     _serving: Mapping[str, tuple[ServingReplica, ...]]
     _matrix: Mapping[MatrixKey, DestinationLevels]
     _once: Mapping[str, tuple[ListedReplica, ...]]
-    resting: frozenset[tuple[str, str]] = frozenset()
+    loaded_unplanned: frozenset[tuple[str, str]] = frozenset()
 
     @property
     def configuration(self) -> Configuration | None:
@@ -113,7 +113,7 @@
 
     @property
     def own_zone_drained(self) -> bool:
-        """Whether the operators have emptied this front's zone."""
+        """Whether the operators have drained this front's zone."""
         return self.own_zone in self.sources.drained_zones
 
     def route(self, name: str) -> Route | None:
@@ -131,12 +131,12 @@
         return not route.home_regions or self.own_region in route.home_regions
 
     def fronts_in(self, regions: Iterable[str] = ()) -> tuple[FrontNode, ...]:
-        """Return ready fronts outside emptied zones, by node id; no regions: in any region."""
+        """Return ready fronts outside drained zones, by node id; no regions: in any region."""
         wanted = tuple(regions)
         return tuple(front for front in self._fronts if not wanted or front.region in wanted)
 
     def once_replicas(self, backend: str) -> tuple[ListedReplica, ...]:
-        """Return a back end's replicas, without leaving ones and those in emptied zones."""
+        """Return a back end's replicas, without draining ones and those in drained zones."""
         return self._once.get(backend, ())
 
     def serving(self, model: str) -> tuple[ServingReplica, ...]:
@@ -159,8 +159,8 @@
         levels = self._matrix.get(key) or self._unplanned(source_region, homes)
         if not homes:
             return levels
-        kept = (tuple(cell for cell in level if cell.region in homes) for level in levels)
-        return tuple(level for level in kept if level)
+        allowed = (tuple(cell for cell in level if cell.region in homes) for level in levels)
+        return tuple(level for level in allowed if level)
 
     def spill_share(self, region: str) -> float:
         """Return the share of a region's capacity that traffic from elsewhere may use."""
--- a/rooklug/front/cold_admission.py
+++ b/rooklug/front/slow_start_admission.py
@@ -1,11 +1,11 @@
-"""Lets a trickle of requests through to cold replicas.
+"""Admits a few requests to replicas in slow start.
 
 Two measures, both scaled by the replica's slow-start share:
 
-- relative: beside warm replicas, a cold one earns its share of the arriving requests;
+- relative: beside replicas at full share, one in slow start earns its share of the requests;
 - absolute: all fronts together keep about ``capacity share x concurrency`` requests running
-  there. This one alone holds when nothing is warm, so that a fleet that is cold as a whole serves
-  as much as its shares allow.
+  there. This one alone applies when no replica is at full share, so that a fleet that is all in
+  slow start serves as much as its shares allow.
 """
 
 from random import Random
@@ -14,15 +14,15 @@
 
 from rooklug.front.replica_states import ReplicaStates
 from rooklug.front.routing_view import RoutingView, ServingReplica
-from rooklug.front.slow_start import SlowStartRamps
+from rooklug.front.slow_start_tracker import SlowStartTracker
 
 ONE_REQUEST = 1.0
-SMALLEST_DURATION_S = 0.05
+MIN_DURATION_S = 0.05
 
 
 @attrs.define
 class Allowance:
-    """What a cold replica may still get. ``since`` names the ramp it belongs to."""
+    """What a replica in slow start may still get. ``since`` identifies its slow start."""
 
     since: float | None
     earned: float
@@ -30,11 +30,13 @@
     filled_at: float
 
 
-class ColdAdmission:
-    """Keeps the allowances of the cold replicas."""
+class SlowStartAdmission:
+    """Keeps the allowances of the replicas in slow start."""
 
-    def __init__(self, ramps: SlowStartRamps, states: ReplicaStates, random: Random) -> None:
-        self._ramps = ramps
+    def __init__(
+        self, slow_starts: SlowStartTracker, states: ReplicaStates, random: Random
+    ) -> None:
+        self._slow_starts = slow_starts
         self._states = states
         self._random = random
         self._allowances: dict[tuple[str, str], Allowance] = {}
@@ -44,22 +46,24 @@
         served = {
             (entry.replica_id, model) for model in view.models() for entry in view.serving(model)
         }
-        self._allowances = {key: held for key, held in self._allowances.items() if key in served}
+        self._allowances = {
+            key: allowance for key, allowance in self._allowances.items() if key in served
+        }
 
     def earn(
         self,
         model: str,
-        warm: list[ServingReplica],
-        cold: list[ServingReplica],
+        full: list[ServingReplica],
+        slow: list[ServingReplica],
         now: float,
     ) -> None:
-        """Share out one arriving request by capacity; cold ones count by their share of it."""
+        """Divide one arriving request by capacity; in slow start a replica counts by its share."""
         weights = [
-            self._ramps.replica_share(replica.replica_id, model, now) * replica.concurrency
-            for replica in cold
+            self._slow_starts.replica_share(replica.replica_id, model, now) * replica.concurrency
+            for replica in slow
         ]
-        total = sum(replica.concurrency for replica in warm) + sum(weights)
-        for replica, weight in zip(cold, weights, strict=True):
+        total = sum(replica.concurrency for replica in full) + sum(weights)
+        for replica, weight in zip(slow, weights, strict=True):
             allowance = self._allowance(replica, model, now)
             allowance.earned = min(ONE_REQUEST, allowance.earned + weight / total)
 
@@ -77,14 +81,14 @@
         return self._allowance(replica, model, now).earned >= ONE_REQUEST
 
     def spend(self, replica: ServingReplica, model: str, now: float) -> None:
-        """Count a request that goes to a cold replica."""
+        """Count a request that goes to a replica in slow start."""
         allowance = self._allowance(replica, model, now)
         allowance.earned = max(0.0, allowance.earned - ONE_REQUEST)
         allowance.bucket = max(0.0, allowance.bucket - ONE_REQUEST)
 
     def _allowance(self, replica: ServingReplica, model: str, now: float) -> Allowance:
         key = (replica.replica_id, model)
-        since = self._ramps.cold_since(*key)
+        since = self._slow_starts.slow_start_since(*key)
         allowance = self._allowances.get(key)
         if allowance is None or allowance.since != since:
             # Random beginnings, so that the fronts' first requests don't come together.
@@ -97,6 +101,6 @@
         """Return the requests a second this front may send, its part of all fronts' sum."""
         here = replica.region == view.own_region
         fronts = view.fronts_in((view.own_region,)) if here else view.fronts_in()
-        share = self._ramps.capacity_share(replica.replica_id, model, now)
-        duration = max(self._states[replica].duration_s, SMALLEST_DURATION_S)
+        share = self._slow_starts.capacity_share(replica.replica_id, model, now)
+        duration = max(self._states[replica].duration_s, MIN_DURATION_S)
         return share * replica.concurrency / (max(1, len(fronts)) * duration)
--- a/rooklug/front/streams.py
+++ b/rooklug/front/streams.py
@@ -21,7 +21,7 @@
 
 
 @attrs.frozen
-class CheckedPieces:
+class CheckedChunks:
     """Good lines in order: their bytes as they came, and their texts."""
 
     lines: bytes
@@ -37,10 +37,10 @@
         self._next_index = 0
         self._end_line = b""
 
-    def feed(self, data: bytes) -> CheckedPieces | StreamFault:
-        """Take bytes as they came; return the whole lines they complete, without the end line.
+    def feed(self, data: bytes) -> CheckedChunks | StreamFault:
+        """Take bytes as they came; return the lines they complete, without the end line.
 
-        A plain union in place of a Result: this runs for each piece of each stream.
+        A plain union in place of a Result: this runs for each chunk of each stream.
         """
         *lines, self._partial = (self._partial + data).split(b"\n")
         if len(self._partial) > MAX_LINE_BYTES:
@@ -55,7 +55,7 @@
                 return StreamFault(fault)
             if not self._end_line:
                 good.append(line + b"\n")
-        return CheckedPieces(b"".join(good), tuple(texts))
+        return CheckedChunks(b"".join(good), tuple(texts))
 
     def finish(self) -> Result[bytes, StreamFault]:
         """Return the end line, once the answer's connection has ended properly."""
@@ -82,11 +82,11 @@
             return f"index {index!r} in place of {self._next_index}"
         if "end" in document:
             return self._check_end(line, document)
-        piece = document.get("piece")
-        if not isinstance(piece, str):
+        text = document.get("piece")
+        if not isinstance(text, str):
             return "a line has no piece"
         self._next_index += 1
-        texts.append(piece)
+        texts.append(text)
         return ""
 
     def _check_end(self, line: bytes, document: dict) -> str:
--- a/rooklug/front/verdicts.py
+++ b/rooklug/front/verdicts.py
@@ -1,4 +1,4 @@
-"""What the decision object can answer, and what it is asked about."""
+"""The decision object's inputs and verdicts."""
 
 import attrs
 
@@ -7,17 +7,17 @@
 
 
 @attrs.frozen
-class Question:
-    """One request to be placed. ``tried`` are replicas it has already failed at.
+class PlacementRequest:
+    """One request to be placed. ``tried`` are ids of replicas it has already failed at.
 
-    ``first_ask`` is True only once a request: what is asked again from the queue or for
-    a retry earns no new share of a cold replica.
+    ``is_first_decision`` is True only once a request: a decision from the queue or for a
+    retry earns no new share of a replica in slow start.
     """
 
     head: RequestHead
     body: GenerateBody
     tried: frozenset[str] = frozenset()
-    first_ask: bool = True
+    is_first_decision: bool = True
 
 
 @attrs.frozen
@@ -25,7 +25,7 @@
     """What a request would find in the queue. ``ahead``: requests served before it."""
 
     ahead: int
-    has_room: bool
+    has_capacity: bool
 
 
 @attrs.frozen
--- a/rooklug/front/view_building.py
+++ b/rooklug/front/view_building.py
@@ -1,8 +1,6 @@
 """Builds a front's routing view from the bodies of its topics."""
 
-from collections.abc import Iterable
-
-import attrs
+from collections.abc import Callable, Iterable
 
 from rooklug.config.document import Configuration
 from rooklug.front.routing_view import (
@@ -22,6 +20,9 @@
     RouteWeight,
 )
 
+RegionOf = Callable[[str, str], str]
+"""Region of a zone, and the region to take where the zone is not known."""
+
 
 def build_routing_view(
     node_id: str,
@@ -41,40 +42,40 @@
     def region_of(of_zone: str, otherwise: str) -> str:
         return regions.get(of_zone, "") or otherwise
 
-    known = _Unchanged(previous, sources)
-    same_serving = known("configuration", "drained_zones", "replicas", "plan")
-    listed = () if same_serving else _listed(sources)
+    same_fronts = _reusable(previous, sources, "configuration", "drained_zones", "nodes")
+    same_matrix = _reusable(previous, sources, "plan")
+    same_serving = _reusable(
+        previous, sources, "configuration", "drained_zones", "replicas", "plan"
+    )
+    listed = _listed(sources) if same_serving is None else []
     return RoutingView(
         own_node_id=node_id,
         own_zone=zone,
         own_region=region_of(zone, fallback_region),
         sources=sources,
-        fronts=previous._fronts
-        if known("configuration", "drained_zones", "nodes")
-        else _fronts(sources, region_of),
-        serving=previous._serving
+        fronts=same_fronts._fronts if same_fronts else _fronts(sources, region_of),
+        serving=same_serving._serving
         if same_serving
         else _serving_by_model(listed, sources.plan, region_of),
-        matrix=previous._matrix
-        if known("plan")
+        matrix=same_matrix._matrix
+        if same_matrix
         else _matrix_of(sources.plan.matrix if sources.plan else ()),
-        once=previous._once if same_serving else _once_by_backend(listed),
-        resting=previous.resting if same_serving else _resting(listed, sources.plan),
+        once=same_serving._once if same_serving else _once_by_backend(listed),
+        loaded_unplanned=same_serving.loaded_unplanned
+        if same_serving
+        else _loaded_unplanned(listed, sources.plan),
     )
 
 
-@attrs.frozen
-class _Unchanged:
-    """Tells whether bodies are the very objects that the previous view was built from."""
-
-    previous: RoutingView | None
-    sources: ViewSources
-
-    def __call__(self, *names: str) -> bool:
-        if self.previous is None:
-            return False
-        before = self.previous.sources
-        return all(getattr(before, name) is getattr(self.sources, name) for name in names)
+def _reusable(
+    previous: RoutingView | None, sources: ViewSources, *names: str
+) -> RoutingView | None:
+    """Return the previous view if these bodies are the very objects it was built from."""
+    if previous is None:
+        return None
+    before = previous.sources
+    same = all(getattr(before, name) is getattr(sources, name) for name in names)
+    return previous if same else None
 
 
 def _listed(sources: ViewSources) -> list[ListedReplica]:
@@ -85,7 +86,7 @@
     ]
 
 
-def _fronts(sources: ViewSources, region_of) -> tuple[FrontNode, ...]:
+def _fronts(sources: ViewSources, region_of: RegionOf) -> tuple[FrontNode, ...]:
     return tuple(
         FrontNode(node.node_id, node.http_address, node.zone, region_of(node.zone, node.region))
         for node in sorted(sources.nodes, key=lambda entry: entry.node_id)
@@ -104,7 +105,9 @@
     return {zone: configuration.region_of_zone(zone) for zone in zones}
 
 
-def _resting(listed: list[ListedReplica], plan: PlanBody | None) -> frozenset[tuple[str, str]]:
+def _loaded_unplanned(
+    listed: list[ListedReplica], plan: PlanBody | None
+) -> frozenset[tuple[str, str]]:
     names = {replica.replica_id for replica in listed}
     return frozenset(
         (entry.replica_id, model)
@@ -125,7 +128,7 @@
 
 
 def _serving_by_model(
-    listed: list[ListedReplica], plan: PlanBody | None, region_of
+    listed: list[ListedReplica], plan: PlanBody | None, region_of: RegionOf
 ) -> dict[str, tuple[ServingReplica, ...]]:
     reported = {entry.replica_id: entry for entry in plan.replicas} if plan else {}
     by_model: dict[str, list[ServingReplica]] = {}
@@ -147,7 +150,7 @@
         zone=replica.zone,
         incarnation=loaded.incarnation,
         concurrency=max(1, loaded.concurrency),
-        cold=loaded.cold,
+        warming_up=loaded.cold,
         healthy=loaded.healthy,
     )
 
--- a/rooklug/front/view_keeper.py
+++ b/rooklug/front/view_component.py
@@ -28,7 +28,7 @@
     view: RoutingView
 
 
-class ViewKeeper(BaseComponent):
+class RoutingViewComponent(BaseComponent):
     """Holds ``view``, the newest snapshot; never takes an older body of a topic."""
 
     name = "routing-view"
--- a/rooklug/front/wait_queue.py
+++ b/rooklug/front/wait_queue.py
@@ -37,7 +37,7 @@
     def __iter__(self) -> Iterator[QueueEntry]:
         return iter(tuple(self._entries))
 
-    def has_room(self, priority: int, capacity: int) -> bool:
+    def has_capacity(self, priority: int, capacity: int) -> bool:
         """Tell whether a request of that priority would get a place."""
         if len(self._entries) < capacity:
             return True
@@ -46,23 +46,23 @@
     def outlook(self, priority: int, capacity: int) -> QueueOutlook:
         """Return what a request of that priority would find."""
         ahead = bisect_right(self._entries, -priority, key=lambda entry: entry.rank)
-        return QueueOutlook(ahead, self.has_room(priority, capacity))
+        return QueueOutlook(ahead, self.has_capacity(priority, capacity))
 
     def add(
         self, http_id: int, priority: int, until: float, lane: Hashable, capacity: int
     ) -> list[int]:
         """Queue a request; return the requests that lost their place (itself, if no room)."""
-        if not self.has_room(priority, capacity):
+        if not self.has_capacity(priority, capacity):
             return [http_id]
         self._sequence += 1
         entry = QueueEntry(-priority, self._sequence, http_id, until, lane)
         insort(self._entries, entry)
         self._by_http_id[http_id] = entry
-        pushed_out = []
+        evicted = []
         while len(self._entries) > capacity:
-            pushed_out.append(self._entries[-1].http_id)
-            self.remove(pushed_out[-1])
-        return pushed_out
+            evicted.append(self._entries[-1].http_id)
+            self.remove(evicted[-1])
+        return evicted
 
     def remove(self, http_id: int) -> bool:
         """Forget a request; tell whether it was queued."""
--- a/rooklug_lab/hollow/demand.py
+++ b/rooklug_lab/hollow/demand.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from rooklug.front.view_keeper import ViewKeeper
+from rooklug.front.view_component import RoutingViewComponent
 from rooklug.wire.generated.control.ttypes import DemandEntry, ReplicaObservation
 from rooklug_lab.hollow.document import HollowRoute
 from rooklug_lab.hollow.size import PROMPT_TOKENS
@@ -37,7 +37,7 @@
 class SyntheticDemand:
     """Stands in for ``DemandCounts``: ``rate_per_s`` requests, all of them answered."""
 
-    keeper: ViewKeeper
+    keeper: RoutingViewComponent
     table: RouteTable
     region: str
     rate_per_s: float
--- a/rooklug_lab/hollow/front.py
+++ b/rooklug_lab/hollow/front.py
@@ -17,7 +17,7 @@
 from rooklug.engine.reducer import Identifiers, ProcessContext
 from rooklug.front.demand import DemandComponent
 from rooklug.front.readiness import Readiness
-from rooklug.front.view_keeper import ViewKeeper
+from rooklug.front.view_component import RoutingViewComponent
 from rooklug.model.settings import NodeSettings
 from rooklug.model.topics import ROLE_PLACER
 from rooklug_lab.hollow.demand import RouteTable, SyntheticDemand
@@ -43,7 +43,7 @@
     settings: NodeSettings
     reducer: TimedReducer
     core_link: CoreLink
-    keeper: ViewKeeper
+    keeper: RoutingViewComponent
 
     def version(self) -> int:
         """Return the version of the configuration that it serves under."""
--- a/rooklug_lab/hollow/sharing.py
+++ b/rooklug_lab/hollow/sharing.py
@@ -13,7 +13,7 @@
 from rooklug.distribution import subscribed_topics
 from rooklug.front.routing_view import RoutingView, ViewSources
 from rooklug.front.view_building import build_routing_view
-from rooklug.front.view_keeper import ConfigurationReader, ViewKeeper
+from rooklug.front.view_component import ConfigurationReader, RoutingViewComponent
 from rooklug.model.settings import NodeSettings
 from rooklug.wire.packing import decode_packed
 from rooklug_lab.hollow.timed import SharedComputations
@@ -69,7 +69,7 @@
         return all(getattr(held, name) is getattr(sources, name) for name in names)
 
 
-class SharedViewKeeper(ViewKeeper):
+class SharedViewKeeper(RoutingViewComponent):
     """A view keeper that builds with the other fronts of its process."""
 
     def __init__(
--- a/rooklug_lab/sim/mutations.py
+++ b/rooklug_lab/sim/mutations.py
@@ -15,7 +15,7 @@
 from rooklug.distribution.core_link import CoreLink
 from rooklug.distribution.subscribed_topics import SubscribedTopics
 from rooklug.engine.events import SendState
-from rooklug.front import slow_start
+from rooklug.front import slow_start_tracker
 from rooklug.front.once_only import answers, once_only_component
 from rooklug.front.routing_view import RoutingView
 from rooklug.front.streams import StreamChecker
@@ -106,10 +106,10 @@
     """Cold replicas and regions get their whole share at once."""
     whole = lambda *_: 1.0  # noqa: E731
     with (
-        mock.patch.object(slow_start.SlowStartRamps, "replica_share", whole),
-        mock.patch.object(slow_start.SlowStartRamps, "capacity_share", whole),
-        mock.patch.object(slow_start.SlowStartRamps, "region_share", whole),
-        mock.patch.object(slow_start.SlowStartRamps, "cold_since", lambda *_: None),
+        mock.patch.object(slow_start_tracker.SlowStartTracker, "replica_share", whole),
+        mock.patch.object(slow_start_tracker.SlowStartTracker, "capacity_share", whole),
+        mock.patch.object(slow_start_tracker.SlowStartTracker, "region_share", whole),
+        mock.patch.object(slow_start_tracker.SlowStartTracker, "slow_start_since", lambda *_: None),
     ):
         yield
 
@@ -147,14 +147,14 @@
 @contextmanager
 def _write_again_after_any_failure() -> Iterator[None]:
     """A once-only request is written again whatever became of the first write."""
-    ended = once_only_component.OnceOnlyComponent._backend_ended
+    ended = once_only_component.OnceOnlyComponent._backend_finished
 
     def careless(self, event, now):
         if hasattr(event, "send_state"):
             event = attrs.evolve(event, send_state=SendState.NOT_SENT)
         return ended(self, event, now)
 
-    with mock.patch.object(once_only_component.OnceOnlyComponent, "_backend_ended", careless):
+    with mock.patch.object(once_only_component.OnceOnlyComponent, "_backend_finished", careless):
         yield
 
 
@@ -164,8 +164,8 @@
 
     given_up = answers.given_up_answer
 
-    def wrong(http_id, head, not_run, why):
-        return given_up(http_id, head, True, why)
+    def wrong(http_id, head, why, *, not_run):
+        return given_up(http_id, head, why, not_run=True)
 
     with mock.patch.object(answers, "given_up_answer", wrong):
         yield
--- a/tests/once_mutations.py
+++ b/tests/once_mutations.py
@@ -7,8 +7,8 @@
 from rooklug.engine import events as ev
 from rooklug.front.once_only import backend, claim_store, once_only_component, store_state
 from rooklug.front.once_only.attempt import Attempt
-from rooklug.front.once_only.attempt_book import AttemptBook
-from rooklug.front.once_only.claim_asking import ClaimAsker
+from rooklug.front.once_only.attempt_table import AttemptTable
+from rooklug.front.once_only.claim_requester import ClaimRequester
 from rooklug.front.once_only.shard_owner import Phase, ShardOwner
 from rooklug.front.once_only.store_state import StoredShard
 from rooklug.front.once_only.store_views import StoreViews
@@ -82,9 +82,9 @@
     """An owner grants a claim before any store has it."""
     record = ShardOwner._record
 
-    def record_later(self, call_id, asked, now):
-        effects = record(self, call_id, asked, now)
-        recording = self._recordings.pop(asked.key_digest)
+    def record_later(self, call_id, requested, now):
+        effects = record(self, call_id, requested, now)
+        recording = self._recordings.pop(requested.key_digest)
         return [*self._grant(recording, now), *effects]
 
     return patch.object(ShardOwner, "_record", record_later)
@@ -92,19 +92,19 @@
 
 def with_second_try() -> AbstractContextManager:
     """A write that failed midway is tried again."""
-    ended = once_only_component.OnceOnlyComponent._backend_ended
+    ended = once_only_component.OnceOnlyComponent._backend_finished
 
     def again(self, event, now):
         if isinstance(event, ev.HttpFailed):
             event = ev.HttpFailed(event.call_id, event.reason, ev.SendState.NOT_SENT)
         return ended(self, event, now)
 
-    return patch.object(once_only_component.OnceOnlyComponent, "_backend_ended", again)
+    return patch.object(once_only_component.OnceOnlyComponent, "_backend_finished", again)
 
 
 def with_release_while_writing() -> AbstractContextManager:
     """A front attests that a running attempt never wrote."""
-    status = AttemptBook.status
+    status = AttemptTable.status
 
     def released(self, claim, digest):
         answer = status(self, claim, digest)
@@ -112,17 +112,17 @@
             return ClaimStatusAnswer(state="released", result=b"")
         return answer
 
-    return patch.object(AttemptBook, "status", released)
+    return patch.object(AttemptTable, "status", released)
 
 
 def with_gone_holder_released() -> AbstractContextManager:
     """An attempt of a front that is gone counts as never written."""
 
-    def released(self, attempt, now, holder_is_gone):
+    def released(self, attempt, now, competitor_is_gone):
         answer = ClaimStatusAnswer(state="released", result=b"")
-        return self._holder_answered(attempt, answer, now)
+        return self._competitor_answered(attempt, answer, now)
 
-    return patch.object(ClaimAsker, "_ask_copy", released)
+    return patch.object(ClaimRequester, "_request_replica_status", released)
 
 
 def with_refusal_while_unknown() -> AbstractContextManager:
@@ -135,7 +135,7 @@
     """ "Not run" is said when the deadline passes while writing."""
 
     def refuse(self, attempt, why):
-        return self._respond_given_up(attempt, True, why)
+        return self._respond_given_up(attempt, why, not_run=True)
 
     return patch.object(once_only_component.OnceOnlyComponent, "_respond_unknown", refuse)
 
--- a/tests/once_support.py
+++ b/tests/once_support.py
@@ -19,7 +19,7 @@
 from rooklug.front.once_only.build import build_once_only_components
 from rooklug.front.once_only.claim_store import build_claim_store_components
 from rooklug.front.once_only.claims import role_key_of, shard_of
-from rooklug.front.view_keeper import ViewKeeper
+from rooklug.front.view_component import RoutingViewComponent
 from rooklug.model import topics
 from rooklug.model.internal_events import GrantsChanged, TopicChanged
 from rooklug.model.settings import NodeSettings
@@ -311,7 +311,7 @@
 
         def build(context) -> CompositeReducer:
             link = self.links[name] = FakeLink(self, settings, context.incarnation)
-            keeper = ViewKeeper(settings, read_configuration)
+            keeper = RoutingViewComponent(settings, read_configuration)
             return CompositeReducer(
                 [link, keeper, *build_once_only_components(settings, context, link)]
             )
@@ -398,7 +398,7 @@
         return len(keys & done) / len(keys)
 
     def move_role(self, shard: int, front: str) -> None:
-        """Hand a role over at once, although its holder doesn't know: two owners."""
+        """Hand a role over at once, although its competing_claim doesn't know: two owners."""
         self.counter += 1
         token = wire.VersionMark(1, self.counter)
         self.roles[role_key_of(shard)] = HeldRole(front, token, self.world.now + LEASE_S)
--- a/tests/test_front_balancing.py
+++ b/tests/test_front_balancing.py
@@ -105,15 +105,15 @@
         self.assertGreater(max(served.values()) / 300, 0.55)
 
     def test_table_is_bounded_and_forgets_incarnations(self) -> None:
-        table = AffinityTable(max_parts=10)
+        table = AffinityTable(max_blocks=10)
         replica = ServingReplica("a", "x:1", "north", "n1", "1", 4, False)
         for part in range(50):
-            table.note((), (part,), replica)
-            table.note(("north",), (part,), replica)
+            table.record((), (part,), replica)
+            table.record(("north",), (part,), replica)
         self.assertLessEqual(len(table), 10)
-        self.assertEqual(table.held_parts(("north",), (49,), replica), 1)
+        self.assertEqual(table.cached_blocks(("north",), (49,), replica), 1)
         replaced = ServingReplica("a", "x:1", "north", "n1", "2", 4, True)
-        self.assertEqual(table.held_parts(("north",), (49,), replaced), 0)
+        self.assertEqual(table.cached_blocks(("north",), (49,), replaced), 0)
 
     def test_bound_parts_are_dropped_when_the_home_moves(self) -> None:
         self.serve(5, "home", prompt_parts=["secret"])
--- a/tests/test_front_limits.py
+++ b/tests/test_front_limits.py
@@ -6,12 +6,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from rooklug.front.attempts import AttemptOutcome
+from rooklug.front.attempt import AttemptOutcome
 from rooklug.front.health import LONGEST_EJECTION_S, ReplicaHealth
 from rooklug.front.limits import RETRY_BURST, RETRY_FLOOR_PER_S, ConcurrencyLimit, RetryBudget
 from rooklug.front.overload import Overload
 from rooklug.front.routing_view import RoutingView, ViewSources
-from rooklug.front.slow_start import SlowStartRamps
+from rooklug.front.slow_start_tracker import SlowStartTracker
 from rooklug.front.view_building import build_routing_view
 from rooklug.front.wait_queue import WaitQueue
 from rooklug.wire.generated.control.ttypes import PlanBody
@@ -51,30 +51,30 @@
                 maximum = step
                 limit.set_maximum(step)
             else:
-                limit.first_piece_came(*step)
+                limit.record_first_chunk(*step)
             self.assertTrue(1 <= limit.value <= maximum)
 
     def test_follows_latency_both_ways(self) -> None:
         limit = ConcurrencyLimit(32, 4)
         for _ in range(200):
-            limit.first_piece_came(0.1, 100, limit.value)
+            limit.record_first_chunk(0.1, 100, limit.value)
         grown = limit.value
         self.assertGreater(grown, 16)
         for _ in range(30):
-            limit.first_piece_came(0.5, 100, limit.value)
+            limit.record_first_chunk(0.5, 100, limit.value)
         self.assertLess(limit.value, grown / 2)
 
     def test_an_idle_limit_does_not_grow(self) -> None:
         limit = ConcurrencyLimit(32, 4)
         for _ in range(100):
-            limit.first_piece_came(0.1, 100, 1)
+            limit.record_first_chunk(0.1, 100, 1)
         self.assertEqual(limit.value, 4)
 
     def test_long_prompts_are_no_congestion(self) -> None:
         limit = ConcurrencyLimit(32, 8)
         for number in range(200):
             tokens = 100 if number % 2 else 100_000
-            limit.first_piece_came(tokens / 1000, tokens, limit.value)
+            limit.record_first_chunk(tokens / 1000, tokens, limit.value)
         self.assertGreaterEqual(limit.value, 8)
 
 
@@ -86,13 +86,13 @@
     @given(st.lists(st.tuples(st.floats(0, 6), REPLICA_STATES), min_size=1, max_size=12))
     def test_shares_against_a_history(self, steps) -> None:
         """The oracle: seconds since the last change that makes a replica cold."""
-        ramps, now, before, began = SlowStartRamps(), 100.0, None, None
+        ramps, now, before, began = SlowStartTracker(), 100.0, None, None
         for number, (pause, state) in enumerate(steps):
             now += pause
             other = loaded("b")
             plan = [other] if state is None else [other, loaded("a", state[1], str(state[0]))]
             ramps.follow(view_of(plan), now)
-            ramps.consider_replica("a", "talk", now)
+            ramps.start_clock("a", "talk", now)
             if state is not None:
                 came = before is None or before[0] != state[0]
                 emptied = before is not None and state[1] and not before[1]
@@ -106,7 +106,7 @@
             before = state
 
     def test_a_second_model_keeps_the_first_one_warm(self) -> None:
-        ramps = SlowStartRamps()
+        ramps = SlowStartTracker()
         ramps.follow(view_of([loaded("a")]), 1.0)
         both = ["talk", "other"]
         plan = [loaded("a", True, loaded_models=both, intended_models=both)]
@@ -115,7 +115,7 @@
         self.assertEqual(ramps.replica_share("a", "other", 2.0), 0.05)
 
     def test_a_model_that_rests_stays_warm(self) -> None:
-        ramps = SlowStartRamps()
+        ramps = SlowStartTracker()
         ramps.follow(view_of([loaded("a"), loaded("b")]), 1.0)
         ramps.follow(view_of([loaded("a", intended_models=[]), loaded("b")]), 2.0)
         ramps.follow(view_of([loaded("a"), loaded("b")]), 3.0)
@@ -125,27 +125,27 @@
         self.assertEqual(ramps.replica_share("a", "talk", 5.0), 0.05)
 
     def test_time_without_traffic_warms_nothing(self) -> None:
-        ramps = SlowStartRamps()
+        ramps = SlowStartTracker()
         ramps.follow(view_of([loaded("b")]), 1.0)
         ramps.follow(view_of([loaded("a", True), loaded("b")]), 2.0)
-        ramps.consider_replica("a", "talk", 60.0)
+        ramps.start_clock("a", "talk", 60.0)
         self.assertEqual(ramps.replica_share("a", "talk", 60.0), 0.05)
 
     def test_a_region_whose_only_replica_rested_cold_is_cold(self) -> None:
-        ramps = SlowStartRamps()
+        ramps = SlowStartTracker()
         ramps.follow(view_of([loaded("a", True)]), 1.0)
         ramps.follow(view_of([loaded("a", True, intended_models=[])]), 2.0)
         ramps.follow(view_of([loaded("a", True)]), 3.0)
-        ramps.consider_replica("a", "talk", 60.0)
+        ramps.start_clock("a", "talk", 60.0)
         view = view_of([loaded("a", True)])
         self.assertEqual(ramps.region_share(view.serving("talk"), "talk", 60.0), 0.05)
 
     def test_what_others_have_warmed_is_warm(self) -> None:
-        ramps = SlowStartRamps()
+        ramps = SlowStartTracker()
         ramps.follow(view_of([loaded("b")]), 1.0)
         ramps.follow(view_of([loaded("b")]), 61.0)
         ramps.follow(view_of([loaded("a"), loaded("b")]), 62.0)
-        ramps.consider_replica("a", "talk", 90.0)
+        ramps.start_clock("a", "talk", 90.0)
         self.assertEqual(ramps.replica_share("a", "talk", 90.0), 1.0)
 
 
@@ -158,7 +158,7 @@
             now += 0.01
             if is_first:
                 firsts += 1
-                budget.first_try(share)
+                budget.record_first_attempt(share)
             else:
                 granted += budget.take(now)
             ceiling = RETRY_BURST / 2 + share * firsts + RETRY_FLOOR_PER_S * now
--- a/tests/test_front_path.py
+++ b/tests/test_front_path.py
@@ -5,7 +5,7 @@
 
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
-from rooklug.front.view_keeper import RoutingViewChanged
+from rooklug.front.view_component import RoutingViewChanged
 from rooklug.model.internal_events import TopicChanged
 from rooklug.wire.generated.control.ttypes import PlanBody, ReplicasBody, VersionMark, ZonesBody
 from tests.front_support import (
--- a/tests/test_front_promises.py
+++ b/tests/test_front_promises.py
@@ -11,16 +11,16 @@
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
 from rooklug.front import view_building
-from rooklug.front.active import ActiveRequest
+from rooklug.front.active_request import ActiveRequest
 from rooklug.front.affinity import AffinityTable
 from rooklug.front.attempt_runner import AttemptRunner
 from rooklug.front.balancer import Balancer
-from rooklug.front.cold_admission import ColdAdmission
 from rooklug.front.decision import Decision
 from rooklug.front.health import ReplicaHealth
 from rooklug.front.limits import RetryBudget
 from rooklug.front.routing_view import RoutingView
-from rooklug.front.slow_start import SlowStartRamps
+from rooklug.front.slow_start_admission import SlowStartAdmission
+from rooklug.front.slow_start_tracker import SlowStartTracker
 from rooklug.front.streams import StreamChecker
 from rooklug.front.wait_queue import WaitQueue
 from tests import test_front_balancing as balancing
@@ -213,8 +213,8 @@
         run_worlds(range(40))
 
 
-def forget_failures(self, request, outcome, reason, may_have_run, now, cancel=False):
-    return ORIGINAL_FAIL(self, request, outcome, reason, False, now, cancel)
+def forget_failures(self, request, outcome, reason, now, *, may_have_run, cancel=False):
+    return ORIGINAL_FAIL(self, request, outcome, reason, now, may_have_run=False, cancel=cancel)
 
 
 def trust_line(self, line, texts):
@@ -227,7 +227,7 @@
 
 
 ORIGINAL_FAIL = AttemptRunner._fail
-ORIGINAL_RAMP = SlowStartRamps._next_ramp
+ORIGINAL_PROGRESS = SlowStartTracker._next_progress
 # (what is switched off, where, its name, the replacement, the test that must fail)
 MUTATIONS = [
     ("stream check", StreamChecker, "_check", trust_line, None),
@@ -241,20 +241,21 @@
          if told.replica_id == one.replica_id)}, None),
     ("home of the matrix", RoutingView, "destinations",
      lambda self, route, source: self._unplanned(source, ()), None),
-    ("slots given back", Decision, "ended", lambda self, report, now: None, None),
+    ("slots given back", Decision, "record_end", lambda self, report, now: None, None),
     ("leaving the queue", WaitQueue, "remove", lambda self, http_id: True, None),
     ("home from the head", RoutingView, "serves_home", lambda self, route: True,
      path.HomeTest("test_redirected_from_the_head_alone")),
-    ("slow start", SlowStartRamps, "replica_share", lambda *arguments: 1.0,
+    ("slow start", SlowStartTracker, "replica_share", lambda *arguments: 1.0,
      balancing.SlowStartTest("test_a_cold_replica_gets_a_trickle_then_its_share")),
-    ("ramp by incarnation", SlowStartRamps, "_next_ramp", lambda self, held, replica, grew, now:
-     held or ORIGINAL_RAMP(self, held, replica, grew, now),
+    ("ramp by incarnation", SlowStartTracker, "_next_progress",
+     lambda self, known, replica, now, **options:
+     known or ORIGINAL_PROGRESS(self, known, replica, now, **options),
      balancing.SlowStartTest("test_a_second_loss_begins_at_the_bottom")),
-    ("region ramp", SlowStartRamps, "region_share", lambda *arguments: 1.0,
+    ("region ramp", SlowStartTracker, "region_share", lambda *arguments: 1.0,
      balancing.SlowStartTest("test_a_repaired_region_gets_a_trickle")),
-    ("absolute cold measure", ColdAdmission, "may_take", lambda *arguments: True,
+    ("absolute cold measure", SlowStartAdmission, "may_take", lambda *arguments: True,
      balancing.SlowStartTest("test_cold_fleet_serves_a_quarter_in_time")),
-    ("relative cold measure", ColdAdmission, "has_earned", lambda *arguments: True,
+    ("relative cold measure", SlowStartAdmission, "has_earned", lambda *arguments: True,
      balancing.SlowStartTest("test_much_room_does_not_lift_the_trickle")),
     ("ejection", ReplicaHealth, "failed", lambda *arguments: False,
      balancing.RetryTest("test_refused_connection_is_tried_elsewhere_and_ejects")),
@@ -265,8 +266,8 @@
      balancing.RetryTest("test_budget_ends_a_retry_storm")),
     ("spill bound", Balancer, "_spill_allowed", lambda *arguments: True,
      balancing.MatrixTest("test_spill_stays_within_the_weights")),
-    ("bounded affinity", Balancer, "_choose_warm", lambda self, asked, warm:
-     self._ordered(asked, warm)[0],
+    ("bounded affinity", Balancer, "_choose_at_full_share", lambda self, placement, replicas:
+     self._ordered(placement, replicas)[0],
      balancing.AffinityTest("test_hot_parts_stay_below_the_bounded_share")),
     ("table's home", AffinityTable, "follow", lambda self, view: None,
      balancing.AffinityTest("test_bound_parts_are_dropped_when_the_home_moves")),
--- a/tests/test_once_front.py
+++ b/tests/test_once_front.py
@@ -15,7 +15,7 @@
 from rooklug.engine.reducer import Identifiers, ProcessContext
 from rooklug.front.once_only import limits, outcome_memory, shard_table, store_state
 from rooklug.front.once_only.attempt import AttemptState
-from rooklug.front.once_only.attempt_book import AttemptBook
+from rooklug.front.once_only.attempt_table import AttemptTable
 from rooklug.front.once_only.claim_store import ClaimStore, claims_file
 from rooklug.front.once_only.once_only_component import OnceOnlyComponent
 from rooklug.front.once_only.outcome_memory import Outcome, OutcomeMemory
@@ -30,7 +30,7 @@
 from rooklug.front.readiness import DrainingStarted
 from rooklug.front.routing_view import ViewSources
 from rooklug.front.view_building import build_routing_view
-from rooklug.front.view_keeper import RoutingViewChanged
+from rooklug.front.view_component import RoutingViewChanged
 from rooklug.model.constants import MAX_JSON_DEPTH
 from rooklug.wire.codec import encode
 from rooklug.wire.generated.claims import ttypes as claims
@@ -71,7 +71,7 @@
             replicas=(),
         )
         context = ProcessContext("front-1", "i", Random(1), Identifiers())
-        self.component = OnceOnlyComponent(context, FakeLink(), AttemptBook("front-1", "i"))
+        self.component = OnceOnlyComponent(context, FakeLink(), AttemptTable("front-1", "i"))
         view = build_routing_view("front-1", "alexandria-a", "alexandria", sources)
         self.component.handle(RoutingViewChanged(view), 0.0)
 
@@ -136,7 +136,7 @@
 
     def test_before_the_first_configuration(self) -> None:
         context = ProcessContext("front-1", "i", Random(1), Identifiers())
-        part = OnceOnlyComponent(context, FakeLink(), AttemptBook("front-1", "i"))
+        part = OnceOnlyComponent(context, FakeLink(), AttemptTable("front-1", "i"))
         event = ev.HttpRequestArrived(1, "POST", "/v1/once", {}, HEADERS, b"", True)
         self.assertEqual(part.handle(event, 0.0)[0].status, 504)
 
@@ -150,7 +150,7 @@
     def test_results_are_dropped_before_outcomes(self) -> None:
         memory = OutcomeMemory()
         with (
-            patch.object(outcome_memory, "MAX_KEPT_RESULT_BYTES", 10),
+            patch.object(outcome_memory, "MAX_STORED_RESULT_BYTES", 10),
             patch.object(outcome_memory, "MAX_OUTCOMES", 3),
         ):
             for key in range(5):
--- a/tests/test_once_scenarios.py
+++ b/tests/test_once_scenarios.py
@@ -219,7 +219,7 @@
         self.assertEqual(site.violations(), [])
         self.assertEqual({execution.region for execution in site.executions}, {"cairo"})
         for name, front in site.fronts.items():
-            outcomes = len(front.reducer.components["claim-outcomes"]._book.memory)
+            outcomes = len(front.reducer.components["claim-outcomes"]._attempts.memory)
             self.assertEqual(outcomes > 0, front.place.region == "cairo", name)
         elsewhere = {
             sending.outcome
