--- a/rooklug/front/affinity.py
+++ b/rooklug/front/affinity.py
@@ -39,7 +39,7 @@
     """
 
     def __init__(self, max_blocks: int = MAX_PREFIX_BLOCKS) -> None:
-        self._max_parts = max_blocks
+        self._max_blocks = max_blocks
         self._tables: dict[Homes, OrderedDict[int, dict[str, str]]] = {}
 
     def __len__(self) -> int:
@@ -95,7 +95,7 @@
 
     def _shrink(self, newest: OrderedDict[int, dict[str, str]]) -> None:
         """Keep the bound over all tables: drop the oldest blocks, of others' tables first."""
-        excess = len(self) - self._max_parts
+        excess = len(self) - self._max_blocks
         for table in [*(other for other in self._tables.values() if other is not newest), newest]:
             while excess > 0 and table:
                 table.popitem(last=False)
