--- a/rooklug/config/document.py
+++ b/rooklug/config/document.py
@@ -96,7 +96,7 @@
 
 @attrs.frozen
 class Limits:
-    """Limits a front applies. ``retry_share``: retries per first try, as a budget."""
+    """Limits a front applies. ``retry_share``: retries per first attempt, as a budget."""
 
     retry_share: float = 0.1
     queue_length: int = 64
@@ -106,7 +106,7 @@
 
 @attrs.frozen
 class SlowStart:
-    """A cold replica's or region's share grows from ``first_share`` to 1 over ``duration_s``."""
+    """Slow start: a share grows from ``first_share`` to 1 over ``duration_s``."""
 
     first_share: float = 0.05
     duration_s: float = 10.0
--- a/rooklug/controller/__init__.py
+++ b/rooklug/controller/__init__.py
@@ -1,7 +1,7 @@
 """The singleton roles beside the core: platform watcher, prober shards, placer.
 
 Owns, in memory only, the platform's list, the verdicts on replicas, the demand of the fronts and
-the plan; a new owner of a role gathers them anew (docs/controller.md). Every order and publication
+the plan; a new owner of a role gathers them again (docs/controller.md). Every order and publication
 carries the role's fencing token.
 
 Begin with ``build.py``; then ``role.py`` (how a role is followed), ``platform_watcher.py``,
--- a/rooklug/controller/controller_events.py
+++ b/rooklug/controller/controller_events.py
@@ -1,4 +1,4 @@
-"""Messages between the parts of a controller."""
+"""Internal events between the components of a controller."""
 
 import attrs
 
--- a/rooklug/controller/fleet_state.py
+++ b/rooklug/controller/fleet_state.py
@@ -1,4 +1,4 @@
-"""The placer's picture of the replicas: listing, emptied zones, reports and verdicts."""
+"""The placer's picture of the replicas: listing, drained zones, reports and verdicts."""
 
 from collections.abc import Iterable
 from enum import Enum
@@ -28,7 +28,7 @@
 
 @attrs.define
 class Replica:
-    """One listed model replica. ``warming_since`` is when it last turned cold.
+    """One listed model replica. ``warming_since`` is when its last slow start began.
 
     ``remembered`` is the entry of the predecessor's plan: it stands for the replica until
     its first report.
@@ -121,7 +121,7 @@
     _remembered: dict[str, LoadedReplica] = attrs.field(factory=dict)
 
     def remember(self, last_plan: Iterable[LoadedReplica]) -> None:
-        """Keep the incarnations of the predecessor's plan: a change since then is cold."""
+        """Keep the incarnations of the predecessor's plan: a later change means a slow start."""
         self._remembered = {replica.replica_id: replica for replica in last_plan}
 
     def take_listing(self, listed: Iterable[ListedReplica]) -> tuple[list[str], list[str]]:
@@ -175,7 +175,7 @@
             replica.health.traffic_seen(observer, seen.successes, failures, now)
 
     def judge(self, now: float) -> list[tuple[str, Verdict, Verdict]]:
-        """Form all verdicts anew; return (replica id, before, after) of those that changed."""
+        """Form all verdicts again; return (replica id, before, after) of those that changed."""
         changed = []
         for replica_id, replica in self.replicas.items():
             verdict = replica.judge(now)
@@ -196,7 +196,7 @@
         ]
 
     def in_drained_zones(self) -> list[str]:
-        """Return the replicas in emptied zones."""
+        """Return the replicas in drained zones."""
         return [
             replica_id
             for replica_id, replica in self.replicas.items()
@@ -230,7 +230,7 @@
 
 
 def is_warming_up(replica: Replica, now: float, slow_start_s: float = DEFAULT_SLOW_START_S) -> bool:
-    """Return whether a replica should get only a trickle at first."""
+    """Return whether a replica is in slow start."""
     if replica.report is None:
         return replica.remembered is None or replica.remembered.cold
     if replica.report.warming_up:
--- a/rooklug/controller/link.py
+++ b/rooklug/controller/link.py
@@ -1,4 +1,4 @@
-"""What the controller's parts need of the node's link to the core."""
+"""What the controller's components need of the node's link to the core."""
 
 from typing import Any, Protocol
 
--- a/rooklug/controller/placer_term.py
+++ b/rooklug/controller/placer_term.py
@@ -1,6 +1,6 @@
 """One term of the placer: from taking the role under a token until losing it.
 
-All knowledge of a term is gathered anew, so that nothing of an earlier one leaks into it.
+Each term gathers all of its knowledge again, so that nothing of an earlier one leaks into it.
 """
 
 from typing import Any
--- a/rooklug/controller/plan_publisher.py
+++ b/rooklug/controller/plan_publisher.py
@@ -33,7 +33,7 @@
 class PlanPublisher:
     """Keeps what was published last. ``dirty`` says that a rebuild may differ from it.
 
-    One publisher serves one term: publications are numbered anew under each token.
+    One publisher serves one term: publications are numbered from 1 under each token.
     """
 
     link: Link
--- a/rooklug/controller/problem_builder.py
+++ b/rooklug/controller/problem_builder.py
@@ -20,7 +20,7 @@
 ) -> PlacementProblem:
     """Return the problem of this moment.
 
-    ``demand`` is in load tokens/s; ``committed_models`` tells what a replica has loaded or is
+    ``demand`` is in load tokens/s; ``committed_models`` is what a replica has loaded or is
     loading; ``avoid`` replicas get no new model.
     """
     usable = [r for r in fleet.usable() if _region_of(configuration, r)]
--- a/rooklug/controller/role.py
+++ b/rooklug/controller/role.py
@@ -28,7 +28,7 @@
 class RoleFollower:
     """Knows whether this node owns a role, and when that began or ended.
 
-    A grant under another token is a role taken anew. So is the same grant seen again
+    A grant under another token is a new term of the role. So is the same grant seen again
     after a gap longer than a lease: this process was frozen, and what it knows is old.
     """
 
--- a/rooklug/controller/takeover.py
+++ b/rooklug/controller/takeover.py
@@ -25,7 +25,7 @@
     def may_decide(
         self, fleet: FleetState, fronts_expected: int, fronts_seen: int, now: float
     ) -> bool:
-        """Return whether every replica has been probed, and the fronts heard; or time is up."""
+        """Return whether all replicas are probed and the fronts have reported, or time is up."""
         if not fleet.has_listing:
             return False
         elapsed = now - self.started_at
--- a/rooklug/core/store.py
+++ b/rooklug/core/store.py
@@ -122,7 +122,7 @@
         return ""
 
     def rewrite_all(self, now: float) -> None:
-        """Write the file anew: the committed state as a snapshot, and the entries after it."""
+        """Rewrite the file: the committed state as a snapshot, and the entries after it."""
         self.log.compact(self.state.position)
         self._rewrite([*self.snapshot_records(), *self._entry_records()], now)
 
--- a/rooklug/core/witness.py
+++ b/rooklug/core/witness.py
@@ -71,7 +71,7 @@
         self._disk.after_sync(now, then)
 
     def record_heartbeat(self, supported_primary: MemberDisk, epoch: int, now: float) -> None:
-        """Record a heartbeat of the primary of ``epoch``: the guard of its lease begins anew."""
+        """Record a heartbeat of the primary of ``epoch``: the guard of its lease restarts."""
         self.supported_primary = supported_primary
         self.supported_epoch = epoch
         self.last_heartbeat_at = now
@@ -155,7 +155,7 @@
         self.save(state, now, lambda now: self._outbox.answer(call_id, answer))
 
     def on_adopt(self, call_id: int, request: wire.AdoptViewRequest, now: float) -> None:
-        """Answer a core that an operator has told to recover."""
+        """Answer a core that an operator has ordered to recover."""
         proposer = disk_from_wire(request.proposer)
         disks = [disk_from_wire(disk) for disk in request.disks]
         view = view_from_wire(request.view)
--- a/rooklug/distribution/document_delta.py
+++ b/rooklug/distribution/document_delta.py
@@ -99,7 +99,7 @@
     """Return the new document, or None if the delta doesn't give the one with the digest.
 
     The plain JSON reader is enough here: the primary has checked the base strictly, and
-    the digest tells whether the result is right to the byte.
+    the digest shows whether the result is right to the byte.
     """
     try:
         document = canonical_bytes(merged(json.loads(task.base), json.loads(task.patch)))
--- a/rooklug/front/decision.py
+++ b/rooklug/front/decision.py
@@ -182,7 +182,7 @@
         return self.refusal("no_home", "no front of the route's home is ready", now)
 
     def _leave_front(self, route: Route, now: float) -> GoTo | Refuse | None:
-        """Send away new requests while draining or in an emptied zone; None: carry on."""
+        """Send away new requests while draining or in a drained zone; None: carry on."""
         view = self._view_component.view
         if not self.draining and not view.own_zone_drained:
             return None
--- a/rooklug/front/demand.py
+++ b/rooklug/front/demand.py
@@ -76,7 +76,7 @@
         self._count(head, prompt_tokens, answer_tokens)
 
     def record_attempt(self, report: AttemptReport) -> None:
-        """Count what a try says about its replica."""
+        """Count what an attempt says about its replica."""
         replica = report.serve_at.replica
         record = self._replicas.setdefault(
             (replica.replica_id, replica.incarnation), ReplicaRecord()
@@ -91,7 +91,7 @@
             record.first_chunk_s.append(report.first_chunk_s)
 
     def take_entries(self, elapsed_s: float) -> list[DemandEntry]:
-        """Return the rates since the last call, sorted, and begin anew."""
+        """Return the rates since the last call, sorted, and reset them."""
         taken, self._routes = self._routes, {}
         return [
             DemandEntry(
@@ -108,7 +108,7 @@
         ]
 
     def take_observations(self) -> list[ReplicaObservation]:
-        """Return what was seen of replicas since the last call, sorted, and begin anew."""
+        """Return what was seen of replicas since the last call, sorted, and reset them."""
         taken, self._replicas = self._replicas, {}
         return [
             ReplicaObservation(
--- a/rooklug/front/executor.py
+++ b/rooklug/front/executor.py
@@ -141,7 +141,7 @@
         self._decision.record_end(cancel.report, now)
         return [*cancel.effects, *self._pump(now)]
 
-    # The decision is placement and obeyed -------------------------------------------
+    # Verdicts of the decision object --------------------------------------------
 
     def _decide(self, request: ActiveRequest, now: float) -> list[fx.Effect]:
         verdict = self._decision.choose(
--- a/rooklug/front/health.py
+++ b/rooklug/front/health.py
@@ -1,4 +1,4 @@
-"""Passive health: what a front learns of replicas from its own tries."""
+"""Passive health: what a front learns of replicas from its own attempts."""
 
 from random import Random
 
@@ -20,7 +20,7 @@
 
 @attrs.define
 class ReplicaHealth:
-    """One replica's health by this front's tries.
+    """One replica's health by this front's attempts.
 
     An ejected replica gets no requests for a time that doubles with each ejection, up to
     ``LONGEST_EJECTION_S`` (short enough that machines that return are found in time), with
--- a/rooklug/front/once_only/build.py
+++ b/rooklug/front/once_only/build.py
@@ -1,4 +1,4 @@
-"""Composes the parts of once-only requests."""
+"""Composes the components of once-only requests."""
 
 from rooklug.distribution.core_link import CoreLink
 from rooklug.engine.component import Component
--- a/rooklug/front/once_only/claim_requester.py
+++ b/rooklug/front/once_only/claim_requester.py
@@ -128,7 +128,7 @@
             return self._on_finding(attempt, NoClaim(), now)
         return [self._schedule_retry(attempt, CLAIM_RETRY_S)]
 
-    # The competing_claim, or the front that keeps a copy of its result ---------------------------
+    # The competing attempt, or the front with a replica of its result ---------------------------
 
     def _request_competitor_status(self, attempt: Attempt, now: float) -> list[fx.Effect]:
         competing_claim = attempt.competing_claim
--- a/rooklug/front/once_only/claim_store.py
+++ b/rooklug/front/once_only/claim_store.py
@@ -221,5 +221,5 @@
 
 
 def build_claim_store_components(context: ProcessContext) -> list[Component]:
-    """Return the parts that a core needs for once-only requests."""
+    """Return the components that a core needs for once-only requests."""
     return [ClaimStore(context)]
--- a/rooklug/front/once_only/front_claim_recovery.py
+++ b/rooklug/front/once_only/front_claim_recovery.py
@@ -1,7 +1,7 @@
 """Collects the claims of all fronts, when two or more stores have lost theirs.
 
 This is beyond what must be survived (one lost disk), so it is done as well as possible: every
-live front announces the claims it placement for, and the owner waits a while before it decides,
+live front announces the claims that it requested, and the owner waits a while before it decides,
 for requests that a lost front may still have written.
 """
 
@@ -54,7 +54,7 @@
 
         There is no wait at a first start: no store has a claim, and no front has ever had
         one. A loss of everything looks the same, but then the configuration is lost with
-        the claims, and no front is ready until the operators have given it anew.
+        the claims, and no front is ready until the operators have submitted it again.
         """
         fronts = self._fronts()
         identities = [(node.node_id, node.incarnation) for node in fronts]
--- a/rooklug/front/once_only/outages.py
+++ b/rooklug/front/once_only/outages.py
@@ -7,20 +7,20 @@
 
 @attrs.define
 class _Outage:
-    """A row of tries without a grant."""
+    """Consecutive attempts without a grant."""
 
     since: float
     last: float
 
 
 class Outages:
-    """Rows of failed tries, by shard."""
+    """Consecutive failed attempts, by shard."""
 
     def __init__(self) -> None:
         self._by_shard: dict[int, _Outage] = {}
 
     def failed(self, shard: int, now: float) -> bool:
-        """Note a try without a grant; tell whether that has gone on for long."""
+        """Count an attempt without a grant; return whether the outage has lasted."""
         outage = self._by_shard.get(shard)
         if outage is None or now - outage.last > OUTAGE_FORGOTTEN_S:
             outage = self._by_shard[shard] = _Outage(now, now)
--- a/rooklug/front/once_only/pending_calls.py
+++ b/rooklug/front/once_only/pending_calls.py
@@ -1,4 +1,4 @@
-"""Calls of a part, each with what is to be done at its end."""
+"""Calls in flight of a component, each with its continuation."""
 
 from collections.abc import Callable
 from typing import Any
@@ -32,6 +32,6 @@
         return fx.Call(call_id, address, request, deadline_s, not_after)
 
     def end(self, event: CallEnd, now: float) -> list[fx.Effect]:
-        """Carry on after a call."""
+        """Run the continuation of a call."""
         on_end = self._open.pop(event.call_id, None)
         return on_end(event, now) if on_end else []
--- a/rooklug/front/once_only/requests.py
+++ b/rooklug/front/once_only/requests.py
@@ -28,7 +28,7 @@
 
 @attrs.frozen
 class OnceHead:
-    """What the head tells. ``deadline`` is a monotonic time of this process.
+    """The request's headers. ``deadline`` is a monotonic time of this process.
 
     ``first_sending``: the caller says that it has not sent this key before.
     """
--- a/rooklug/front/outcomes.py
+++ b/rooklug/front/outcomes.py
@@ -1,10 +1,10 @@
-"""How a try of a request at one replica ended."""
+"""Outcomes of an attempt of a request at one replica."""
 
 from enum import Enum
 
 
 class AttemptOutcome(Enum):
-    """How a try ended, as far as the replica is judged by it."""
+    """How an attempt ended, as far as the replica is judged by it."""
 
     SUCCESS = "success"
     BUSY = "busy"
--- a/rooklug/front/regions.py
+++ b/rooklug/front/regions.py
@@ -10,7 +10,7 @@
 
 @attrs.frozen
 class RegionStep:
-    """One region to try. ``spilled``: its spill weight bounds what it takes from elsewhere."""
+    """One region in the order. ``spilled``: its spill weight bounds what it takes over."""
 
     region: str
     spilled: bool
--- a/rooklug/front/requests.py
+++ b/rooklug/front/requests.py
@@ -31,7 +31,7 @@
 
 @attrs.frozen
 class RequestHead:
-    """What the head tells. ``deadline`` is a monotonic time of this process."""
+    """The request's headers. ``deadline`` is a monotonic time of this process."""
 
     request_id: str
     route_name: str
--- a/rooklug/front/slow_start_tracker.py
+++ b/rooklug/front/slow_start_tracker.py
@@ -55,7 +55,7 @@
 
 
 def share_of(progress: SlowStartProgress | None, settings: SlowStart, now: float) -> float:
-    """Return the share at ``now``: first_share, then doubling evenly until it is 1."""
+    """Return the share at ``now``: ``first_share``, then doubling evenly until it is 1."""
     if progress is None or progress.since is None:
         return FULL_SHARE
     first = max(settings.first_share, MIN_SHARE)
--- a/rooklug/gateway/decision.py
+++ b/rooklug/gateway/decision.py
@@ -191,7 +191,7 @@
         return min(costs, key=lambda cost: cost.order).replica
 
     def _least_running(self, candidates: list[GatewayReplica], now: float) -> GatewayReplica:
-        """Return the replica with the fewest calls, in this zone if equal, else by lot."""
+        """Return the replica with the fewest calls, in this zone if equal, else at random."""
         running = {r.replica_id: self.traffic.usage_of(r, now).running for r in candidates}
         return min(
             candidates,
--- a/rooklug/gateway/prefix_cache_table.py
+++ b/rooklug/gateway/prefix_cache_table.py
@@ -1,4 +1,4 @@
-"""Which prefix blocks of prompts each replica probably still is_cached in its KV cache."""
+"""Which prefix blocks of prompts each replica probably still has in its KV cache."""
 
 from collections import OrderedDict
 from itertools import islice
--- a/rooklug/gateway/replica_rate_limiter.py
+++ b/rooklug/gateway/replica_rate_limiter.py
@@ -2,7 +2,7 @@
 
 A replica may restart at any moment, and the list shows it only seconds later, while the bound on
 a replica in slow start counts from the first moment. So replicas of a service with a slow-start
-rate are rate-limited even while they are warm. Fronts don't coordinate: each has a share of the
+rate are rate-limited even while they are ready. Fronts don't coordinate: each has a share of the
 bound. Up to its share a front sends freely; beyond it other replicas come first, and only when
 all of them are at their shares does it go on, up to a limit that it never passes.
 """
--- a/rooklug/gateway/request_forwarder.py
+++ b/rooklug/gateway/request_forwarder.py
@@ -22,7 +22,7 @@
 MIN_TIME_TO_SEND_S = 0.01
 """With less time left a request is not sent any more."""
 RETRY_AFTER_FULL_S = 0.5
-"""What a client is told when the attempts of its request are used up."""
+"""``Retry-After`` of a request whose attempts are used up."""
 
 
 @attrs.define
--- a/rooklug/membership/role_planning.py
+++ b/rooklug/membership/role_planning.py
@@ -63,7 +63,7 @@
 
     @property
     def planned_owner(self) -> str:
-        """Return the node that is to have it: the next_owner one, else a owner that stays."""
+        """Return the node that is to have it: the next owner, else an owner that stays."""
         if self.next_owner:
             return self.next_owner
         return self.owner.node_id if self.owner and not self.revoked else ""
--- a/rooklug/model/versions.py
+++ b/rooklug/model/versions.py
@@ -1,4 +1,4 @@
-"""Comparison of version versions and fencing tokens."""
+"""Comparison of versions and fencing tokens, which are both (epoch, counter)."""
 
 from rooklug.wire.generated.control.ttypes import VersionMark
 
--- a/rooklug/placement/diving.py
+++ b/rooklug/placement/diving.py
@@ -47,7 +47,7 @@
     def search(self, limit_s: float, styles: tuple[DiveStyle, ...]) -> LinearSolution | None:
         """Return the best integer solution of the dives, with its proven relative gap.
 
-        Reads the model's column bounds anew. ``limit_s`` counts from the first search.
+        Rereads the model's column bounds. ``limit_s`` counts from the first search.
         """
         if self._root is None:
             return None
--- a/rooklug/placement/linear.py
+++ b/rooklug/placement/linear.py
@@ -146,7 +146,7 @@
     """Return a silent single-threaded solver.
 
     The binding's core class: ``highspy.Highs`` adds callbacks, not used here, and prints a
-    banner to standard output when it is made, before it can be told to be silent.
+    banner to standard output when it is made, before its output can be switched off.
     """
     solver = highspy._core._Highs()
     solver.setOptionValue("output_flag", False)  # noqa: FBT003 - the library's signature
--- a/rooklug/placement/live_weights.py
+++ b/rooklug/placement/live_weights.py
@@ -106,7 +106,7 @@
         return self._last
 
     def _servable(self, model: str, hosts: set[str]) -> list[RouteShare]:
-        """Return a model's cells; worked out anew only when what they rest on has changed."""
+        """Return a model's cells; recomputed only when their inputs have changed."""
         live, planned = self._live.get(model, ()), self._planned.get(model, ())
         known = self._cells.get(model)
         if known is not None and known.rests_on(live, planned, hosts):
--- a/rooklug/placement/orders.py
+++ b/rooklug/placement/orders.py
@@ -1,4 +1,4 @@
-"""What the move executor is told and what it orders, as plain values."""
+"""Inputs and orders of the move executor, as plain values."""
 
 import attrs
 
--- a/rooklug/placement/slotting.py
+++ b/rooklug/placement/slotting.py
@@ -18,7 +18,7 @@
     """How an attempt goes about it.
 
     Keep everything loaded; keep it and move small models aside where a large one finds no
-    free_units; or forget what is loaded. The first needs the fewest loads, the last packs best.
+    room; or forget what is loaded. The first needs the fewest loads, the last packs best.
     """
 
     KEEP_ALL = "keep all"
--- a/rooklug/runbooks/recover_cores.py
+++ b/rooklug/runbooks/recover_cores.py
@@ -1,4 +1,4 @@
-"""Runbook: too few cores are left to go on by themselves; one copy is told to go on."""
+"""Runbook: the quorum of cores is lost; one replica continues on the operator's order."""
 
 import json
 
--- a/tests/once_chaos.py
+++ b/tests/once_chaos.py
@@ -13,7 +13,7 @@
 class Chaos:
     """Throws faults at a site for a while, then heals everything.
 
-    ``overlaps``: roles are also handed over while their competing_claim still thinks it has them.
+    ``overlaps``: roles are also handed over while their owner still thinks it has them.
     ``disk_losses``: one store at a time may lose its disk.
     """
 
--- a/tests/once_support.py
+++ b/tests/once_support.py
@@ -398,7 +398,7 @@
         return len(keys & done) / len(keys)
 
     def move_role(self, shard: int, front: str) -> None:
-        """Hand a role over at once, although its competing_claim doesn't know: two owners."""
+        """Hand a role over at once, although its owner doesn't know: two owners."""
         self.counter += 1
         token = wire.VersionMark(1, self.counter)
         self.roles[role_key_of(shard)] = HeldRole(front, token, self.world.now + LEASE_S)
