--- a/rooklug/placement/slotting.py
+++ b/rooklug/placement/slotting.py
@@ -22,7 +22,7 @@
     """
 
     KEEP_ALL = "keep all"
-    PACKING = "make free_units"
+    PACKING = "keep it and move small models aside"
     FRESH = "fresh"
 
 
