--- a/rooklug/api/status.py
+++ b/rooklug/api/status.py
@@ -69,7 +69,7 @@
         return [] if query.open_calls else [self._respond(query)]
 
     def owns(self, call_id: int) -> bool:
-        """Tell whether a call is one of the collector's."""
+        """Return whether a call is one of the collector's."""
         return call_id in self._by_call
 
     def _respond(self, query: _StatusQuery) -> fx.HttpRespond:
--- a/rooklug/api/verdicts.py
+++ b/rooklug/api/verdicts.py
@@ -95,7 +95,7 @@
 
 
 def is_order(request: object) -> bool:
-    """Tell whether a request changes state, so that a lost answer leaves it unknown."""
+    """Return whether a request changes state, so that a lost answer leaves it unknown."""
     return isinstance(request, SubmitChangeRequest | SetZoneRequest)
 
 
--- a/rooklug/cli/operator_requests.py
+++ b/rooklug/cli/operator_requests.py
@@ -14,7 +14,7 @@
 
 
 def put_configuration(version: int, document: bytes | None) -> OperatorRequest:
-    """Return the order to take a whole document."""
+    """Return the order to take a complete document."""
     return OperatorRequest("PUT", f"/v1/config/{version}", document, _JSON)
 
 
--- a/rooklug/config/checking.py
+++ b/rooklug/config/checking.py
@@ -32,7 +32,7 @@
     above: bool = False
 
     def allows(self, number: float) -> bool:
-        """Tell whether ``number`` lies inside."""
+        """Return whether ``number`` lies inside."""
         if self.above and number <= self.lowest:
             return False
         return self.lowest <= number <= self.highest
--- a/rooklug/config/document.py
+++ b/rooklug/config/document.py
@@ -134,7 +134,7 @@
 
 @attrs.frozen
 class Configuration:
-    """A whole configuration document."""
+    """A complete configuration document."""
 
     regions: dict[str, Region]
     models: dict[str, Model]
--- a/rooklug/config/document_reader.py
+++ b/rooklug/config/document_reader.py
@@ -19,7 +19,7 @@
 
 
 def read_configuration(data: bytes) -> Result[Configuration, Problems]:
-    """Read and check a whole document; an error lists all problems that could be found.
+    """Read and check a complete document; an error lists all problems that could be found.
 
     Problems of the text hide those of the structure, and those of the structure the cross
     checks, since the later steps need the result of the earlier ones.
--- a/rooklug/controller/demand_forecast.py
+++ b/rooklug/controller/demand_forecast.py
@@ -73,7 +73,7 @@
 
 
 def rose(planned: float, solved_for: float, total: float) -> bool:
-    """Tell whether demand has stepped up enough to solve at once.
+    """Return whether demand has stepped up enough to solve at once.
 
     ``total`` is the planned demand of all keys. A deployment with hundreds of small keys has
     one that jumps by chance in every second; what is small beside the whole waits for the
--- a/rooklug/controller/health.py
+++ b/rooklug/controller/health.py
@@ -1,6 +1,6 @@
 """Verdicts on replicas from several observers: the probers and the fronts' own traffic.
 
-One observer may itself be the one that is cut off, so its word alone makes a replica
+One observer may itself be the one that is cut off, so its report alone makes a replica
 suspect (nothing new is placed there), not dead. Dead needs two observers, or one that
 nobody has contradicted for a while. Fronts count a busy answer as a failure, so without a
 prober's agreement they have to wait until a probe could have contradicted them.
@@ -32,7 +32,7 @@
 
 @attrs.frozen
 class Opinion:
-    """One observer's newest word; ``bad_since`` is when it began to be bad."""
+    """One observer's newest report; ``bad_since`` is when its reports became bad."""
 
     good: bool
     at: float
--- a/rooklug/controller/json_fields.py
+++ b/rooklug/controller/json_fields.py
@@ -11,7 +11,7 @@
 
 
 def is_count(value: Any) -> bool:
-    """Tell whether ``value`` is an integer of zero or more that JSON carries exactly."""
+    """Return whether ``value`` is an integer of zero or more that JSON carries exactly."""
     return type(value) is int and 0 <= value <= MAX_SAFE_INTEGER
 
 
--- a/rooklug/controller/platform_listing.py
+++ b/rooklug/controller/platform_listing.py
@@ -37,7 +37,7 @@
 
 
 def read_listing(body: bytes) -> Result[Listing, ListingError]:
-    """Read the whole answer; one bad entry makes the answer bad."""
+    """Read the complete answer; one bad entry makes the answer bad."""
     if len(body) > MAX_LISTING_BYTES:
         return Error(ListingError("listing too large"))
     try:
--- a/rooklug/core/call_handlers.py
+++ b/rooklug/core/call_handlers.py
@@ -37,7 +37,7 @@
         self._outbox.answer(call_id, wire.JoinAnswer(noted=serves, primary_address=address))
 
     def on_leave(self, call_id: int, request: wire.LeaveRequest, now: float) -> None:
-        """Take the news that a core is being stopped."""
+        """Handle the notification that a core is being stopped."""
         self._primary.record_draining(request.core_id, now)
         self._outbox.answer(call_id, wire.LeaveAnswer(noted=True))
 
--- a/rooklug/core/primary.py
+++ b/rooklug/core/primary.py
@@ -159,7 +159,7 @@
             self._member_changes.request_join(member, now, first_start=first_start)
 
     def record_draining(self, core_id: str, now: float) -> None:
-        """Take the news that a core is being stopped on purpose."""
+        """Handle the notification that a core is being stopped on purpose."""
         self._member_changes.record_draining(core_id, now)
 
     @property
--- a/rooklug/core/recovery.py
+++ b/rooklug/core/recovery.py
@@ -1,7 +1,7 @@
 """Executes the runbook "recover": goes on from one replica after a disaster.
 
 Normally a view needs the promises of two witnesses and a disk in sync. When two disks are
-lost, or every disk in sync is, nothing starts by itself. An operator may then tell the
+lost, or every disk in sync is, nothing starts by itself. An operator may then order the
 core with the best replica to go on: it first says what may be lost, as a plan; the same plan
 sent back is the confirmation.
 """
--- a/rooklug/distribution/core_link.py
+++ b/rooklug/distribution/core_link.py
@@ -115,7 +115,7 @@
     def publish(
         self, topic: str, role_key: str, body: Any, decisions: list[DecisionRecord], now: float
     ) -> list[fx.Effect]:
-        """Publish a whole topic under the grant of ``role_key``; nothing without a valid one.
+        """Publish a complete topic under the grant of ``role_key``; nothing without a valid one.
 
         It is sent until the primary has it, a newer one replaces it, or the grant ends. The
         caller must emit the effects. Decisions without a token and sequence of this grant
--- a/rooklug/engine/effects.py
+++ b/rooklug/engine/effects.py
@@ -32,7 +32,7 @@
 
     Ends in exactly one ``CallAnswered`` or ``CallFailed`` with this id (unique a process).
     ``not_after``: monotonic time of this process after which it must not be sent any more
-    (checked right before the send: a holder frozen past its lease sends nothing).
+    (checked right before the send: an owner frozen past its lease sends nothing).
     """
 
     call_id: int
@@ -89,7 +89,7 @@
 
 @attrs.frozen
 class HttpRespond(Effect):
-    """Answer an ``HttpRequestArrived`` with a whole response."""
+    """Answer an ``HttpRequestArrived`` with a complete response."""
 
     request_id: int
     status: int
@@ -108,7 +108,7 @@
 
 @attrs.frozen
 class HttpStreamChunk(Effect):
-    """Send one piece of a chunked response."""
+    """Send one chunk of a streamed response."""
 
     request_id: int
     data: bytes
@@ -133,7 +133,7 @@
     """Make an HTTP request to ``address`` ("ip:port").
 
     Not streaming: one ``HttpAnswered`` or ``HttpFailed``. Streaming: ``HttpResponseStarted``,
-    pieces, then ``HttpResponseCompleted``; or ``HttpFailed`` at any point.
+    chunks, then ``HttpResponseCompleted``; or ``HttpFailed`` at any point.
     ``connect_deadline_s`` bounds the connection; ``deadline_s`` the whole call;
     ``first_byte_deadline_s`` the wait for the head (0: no bound of its own).
     ``not_after`` as in ``Call``.
--- a/rooklug/engine/events.py
+++ b/rooklug/engine/events.py
@@ -135,7 +135,7 @@
 
 @attrs.frozen
 class HttpAnswered(Event):
-    """The whole answer to a non-streaming ``HttpCall``."""
+    """The complete answer to a non-streaming ``HttpCall``."""
 
     call_id: int
     status: int
@@ -177,7 +177,7 @@
 
 @attrs.frozen
 class HttpFailed(Event):
-    """An ``HttpCall`` ended without a whole answer."""
+    """An ``HttpCall`` ended without a complete answer."""
 
     call_id: int
     reason: str
--- a/rooklug/front/balancer.py
+++ b/rooklug/front/balancer.py
@@ -98,7 +98,7 @@
     def has_free_replica(
         self, route: Route, source_region: str, view: RoutingView, now: float
     ) -> bool:
-        """Tell whether any replica that the route may use has room."""
+        """Return whether any replica that the route may use has room."""
         levels = view.destinations(route, source_region)
         allowed = {cell.region for level in levels for cell in level}
         inside = [entry for entry in view.serving(route.model) if entry.region in allowed]
@@ -133,7 +133,7 @@
         self.slow_starts.lost(replica_id, now, model)
 
     def _is_lost(self, replica: ServingReplica, now: float) -> bool:
-        """Tell whether an ejected replica will come back in slow start.
+        """Return whether an ejected replica will come back in slow start.
 
         Connections fail for moments too, so it takes a second ejection; and while most
         replicas fail, this front may be the one that is cut off.
@@ -248,7 +248,7 @@
     def _ordered(
         self, placement: _Placement, replicas: list[ServingReplica]
     ) -> list[ServingReplica]:
-        """Return the replicas by affinity, or by load for a request without shared parts."""
+        """Return the replicas by affinity, or by load if the request shares no prefix."""
         if len(replicas) < 2:
             return replicas
         hashes = placement.request.body.block_hashes
--- a/rooklug/front/health.py
+++ b/rooklug/front/health.py
@@ -33,7 +33,7 @@
     ejected_until: float = 0.0
 
     def is_ejected(self, now: float) -> bool:
-        """Tell whether it gets no requests now."""
+        """Return whether it gets no requests now."""
         return now < self.ejected_until
 
     @property
@@ -48,7 +48,7 @@
         self.ejected_until = 0.0
 
     def failed(self, outcome: AttemptOutcome, now: float, random: Random) -> bool:
-        """Take a failure; tell whether it ejects the replica."""
+        """Take a failure; return whether it ejects the replica."""
         needed = FAILURES_TO_EJECT.get(outcome)
         if needed is None:
             return False
--- a/rooklug/front/once_only/attempt_table.py
+++ b/rooklug/front/once_only/attempt_table.py
@@ -67,7 +67,7 @@
         return ClaimStatusAnswer(state=state, result=b"")
 
     def is_own(self, claim: ClaimRecord) -> bool:
-        """Tell whether an attempt is of this process."""
+        """Return whether an attempt is of this process."""
         return (claim.asker_id, claim.asker_incarnation) == (self.node_id, self.incarnation)
 
     def claims_of(self, shard: int) -> list[ClaimRecord]:
--- a/rooklug/front/once_only/build.py
+++ b/rooklug/front/once_only/build.py
@@ -12,10 +12,10 @@
 def build_once_only_components(
     settings: NodeSettings, context: ProcessContext, core_link: CoreLink
 ) -> list[Component]:
-    """Return a front's parts, the one with callers' requests first.
+    """Return a front's components, the one with callers' requests first.
 
     The claim stores are at ``settings.seeds``, the cores (``build_claim_store_components``). The
-    front's ``RoutingViewComponent`` must stand before these parts.
+    front's ``RoutingViewComponent`` must stand before these components.
     """
     attempts = AttemptTable(settings.node_id, context.incarnation)
     owner = ClaimOwner(context, core_link, settings.seeds)
--- a/rooklug/front/once_only/claims.py
+++ b/rooklug/front/once_only/claims.py
@@ -46,7 +46,7 @@
 
 
 def same_attempt(first: ClaimRecord, second: ClaimRecord) -> bool:
-    """Tell whether two records are of one attempt of one process."""
+    """Return whether two records are of one attempt of one process."""
     return attempt_identity(first) == attempt_identity(second)
 
 
--- a/rooklug/front/once_only/front_claim_recovery.py
+++ b/rooklug/front/once_only/front_claim_recovery.py
@@ -50,7 +50,7 @@
         ]
 
     def is_complete(self, now: float) -> bool:
-        """Tell whether every listed front has answered and the wait is over.
+        """Return whether every listed front has answered and the wait is over.
 
         There is no wait at a first start: no store has a claim, and no front has ever had
         one. A loss of everything looks the same, but then the configuration is lost with
--- a/rooklug/front/replica_states.py
+++ b/rooklug/front/replica_states.py
@@ -89,7 +89,7 @@
                 del self._states[replica_id]
 
     def most_are_ejected(self, now: float) -> bool:
-        """Tell whether so many fail at once that this front may be the one cut off."""
+        """Return whether so many fail at once that this front may be the one cut off."""
         ejected = sum(state.health.is_ejected(now) for state in self._states.values())
         return 2 * ejected > len(self._states)
 
--- a/rooklug/front/routing_view.py
+++ b/rooklug/front/routing_view.py
@@ -127,7 +127,7 @@
         return named if known else self.own_region
 
     def serves_home(self, route: Route) -> bool:
-        """Tell whether this front is inside the route's home (an unbound route: always)."""
+        """Return whether this front is inside the route's home (an unbound route: always)."""
         return not route.home_regions or self.own_region in route.home_regions
 
     def fronts_in(self, regions: Iterable[str] = ()) -> tuple[FrontNode, ...]:
--- a/rooklug/front/slow_start_admission.py
+++ b/rooklug/front/slow_start_admission.py
@@ -68,7 +68,7 @@
             allowance.earned = min(ONE_REQUEST, allowance.earned + weight / total)
 
     def may_take(self, replica: ServingReplica, model: str, view: RoutingView, now: float) -> bool:
-        """Tell whether the absolute measure lets one more request through."""
+        """Return whether the absolute measure lets one more request through."""
         allowance = self._allowance(replica, model, now)
         elapsed = now - allowance.filled_at
         allowance.filled_at = now
@@ -77,7 +77,7 @@
         return allowance.bucket >= ONE_REQUEST
 
     def has_earned(self, replica: ServingReplica, model: str, now: float) -> bool:
-        """Tell whether the relative measure lets one more request through."""
+        """Return whether the relative measure lets one more request through."""
         return self._allowance(replica, model, now).earned >= ONE_REQUEST
 
     def spend(self, replica: ServingReplica, model: str, now: float) -> None:
--- a/rooklug/front/wait_queue.py
+++ b/rooklug/front/wait_queue.py
@@ -38,7 +38,7 @@
         return iter(tuple(self._entries))
 
     def has_capacity(self, priority: int, capacity: int) -> bool:
-        """Tell whether a request of that priority would get a place."""
+        """Return whether a request of that priority would get a place."""
         if len(self._entries) < capacity:
             return True
         return bool(self._entries) and capacity > 0 and -self._entries[-1].rank < priority
@@ -65,7 +65,7 @@
         return evicted
 
     def remove(self, http_id: int) -> bool:
-        """Forget a request; tell whether it was queued."""
+        """Forget a request; return whether it was queued."""
         entry = self._by_http_id.pop(http_id, None)
         if entry is None:
             return False
--- a/rooklug/gateway/decision.py
+++ b/rooklug/gateway/decision.py
@@ -165,7 +165,7 @@
         return responsive or healthy or replicas
 
     def _is_healthy(self, replica: GatewayReplica, now: float) -> bool:
-        """Tell whether a listed replica is neither stale, ejected nor unresponsive."""
+        """Return whether a listed replica is neither stale, ejected nor unresponsive."""
         stale_endpoints = self.traffic.stale_endpoints
         if stale_endpoints.is_replaced(replica.replica_id):
             return False
--- a/rooklug/gateway/document.py
+++ b/rooklug/gateway/document.py
@@ -71,7 +71,7 @@
 
 @attrs.frozen
 class GatewayConfiguration:
-    """A whole configuration. ``routes`` are found by host, then by prefix."""
+    """A complete configuration. ``routes`` are found by host, then by prefix."""
 
     version: int
     routes: dict[str, dict[str, Route]]
--- a/rooklug/gateway/event_stream.py
+++ b/rooklug/gateway/event_stream.py
@@ -7,7 +7,7 @@
 
 
 def complete_length(data: bytes) -> int:
-    """Return how many bytes of ``data`` are whole events."""
+    """Return how many bytes of ``data`` are complete events."""
     end = 0
     for match in _END_OF_EVENT.finditer(data):
         end = match.end()
--- a/rooklug/gateway/executor.py
+++ b/rooklug/gateway/executor.py
@@ -149,7 +149,7 @@
         ]
 
     def _may_accept(self, proxied: ProxiedRequest, now: float) -> bool:
-        """Tell whether a request can be finished before this process ends."""
+        """Return whether a request can be finished before this process ends."""
         if self._draining_since is None or now <= self._draining_since + ACCEPT_WHILE_DRAINING_S:
             return True
         exit_at = self._draining_since + self._grace_s
--- a/rooklug/gateway/gateway_replica.py
+++ b/rooklug/gateway/gateway_replica.py
@@ -21,5 +21,5 @@
     slow_start_until: float = 0.0
 
     def is_in_slow_start(self, now: float) -> bool:
-        """Tell whether it bears only its slow-start rate."""
+        """Return whether it bears only its slow-start rate."""
         return now < self.slow_start_until
--- a/rooklug/gateway/prefill_rate.py
+++ b/rooklug/gateway/prefill_rate.py
@@ -5,7 +5,7 @@
 INITIAL_TOKENS_PER_S = 30_000.0
 """Assumed before the first observation."""
 MIN_SAMPLE_TOKENS = 1_500
-"""Shorter prefills tell more of fixed costs than of the rate."""
+"""Shorter prefills reflect fixed costs more than the rate."""
 SAMPLE_WEIGHT = 0.05
 """Weight of one observation in the moving average."""
 MIN_TOKENS_PER_S = 1_000.0
--- a/rooklug/gateway/prefix_cache_table.py
+++ b/rooklug/gateway/prefix_cache_table.py
@@ -40,7 +40,7 @@
         return evicted
 
     def is_cached(self, block: PrefixBlock, now: float) -> bool:
-        """Tell whether the block is probably still cached."""
+        """Return whether the block is probably still cached."""
         cached = self.blocks.get(block.block_id)
         return cached is not None and now - cached.used_at <= CACHE_TTL_S
 
@@ -84,7 +84,7 @@
         return list(islice(reversed(self._users.get(block_id, {})), most))
 
     def forget_except(self, replica_ids: set[str]) -> None:
-        """Drop what is kept of replicas that are gone."""
+        """Drop what is held of replicas that are gone."""
         for replica_id in self._replicas.keys() - replica_ids:
             for block_id in self._replicas.pop(replica_id).blocks:
                 self._forget_user(block_id, replica_id)
--- a/rooklug/gateway/protocols.py
+++ b/rooklug/gateway/protocols.py
@@ -39,7 +39,7 @@
 
 @attrs.frozen
 class SubmitConfiguration:
-    """A whole configuration or a patch, in rooklug's own document format."""
+    """A complete configuration or a patch, in rooklug's own document format."""
 
     version: int
     body: bytes
--- a/rooklug/gateway/proxied_request.py
+++ b/rooklug/gateway/proxied_request.py
@@ -87,7 +87,7 @@
         return self.deadline - now
 
     def may_send_again(self) -> bool:
-        """Tell whether the route lets the request go to one more replica."""
+        """Return whether the route lets the request go to one more replica."""
         if self.executions >= self.route.max_replicas:
             return False
         return not self.may_have_run or self.route.is_idempotent
--- a/rooklug/gateway/replica_call.py
+++ b/rooklug/gateway/replica_call.py
@@ -42,12 +42,12 @@
 
 
 def is_not_executed(status: int, headers: dict[str, str], names: HeaderNames) -> bool:
-    """Tell whether a replica says that it did not run the request."""
+    """Return whether a replica says that it did not run the request."""
     if status == REPLACED_STATUS:
         return True
     return status in NOT_EXECUTED_STATUSES and names.not_executed in headers
 
 
 def is_answer_to(proxied: ProxiedRequest, headers: dict[str, str], names: HeaderNames) -> bool:
-    """Tell whether an answer belongs to the request: its id tells answers apart."""
+    """Return whether an answer belongs to the request: its id identifies the answer."""
     return headers.get(names.request_id) == proxied.request.request_id
--- a/rooklug/gateway/replica_load.py
+++ b/rooklug/gateway/replica_load.py
@@ -55,5 +55,5 @@
         self.queued_prefills.pop(call_id, None)
 
     def is_unresponsive(self, now: float) -> bool:
-        """Tell whether answers are due and nothing comes at all."""
+        """Return whether answers are due and nothing comes at all."""
         return self.running > 0 and now - self.last_activity_at > RESPONSE_TIMEOUT_S
--- a/rooklug/gateway/replica_rate_limiter.py
+++ b/rooklug/gateway/replica_rate_limiter.py
@@ -96,7 +96,7 @@
     def allowance(
         self, replica_id: str, rate_per_s: float, share: SendShare, now: float
     ) -> Allowance:
-        """Tell whether one more request to a replica is allowed; a rate of 0 has no limit."""
+        """Return whether one more request to a replica is allowed; a rate of 0 has no limit."""
         recent = len(self._recent(replica_id, now))
         if rate_per_s <= 0 or not recent:
             return Allowance.FREE
@@ -110,7 +110,7 @@
         self._sent_at.setdefault(replica_id, deque()).append(now)
 
     def forget_except(self, replica_ids: set[str]) -> None:
-        """Drop what is kept of replicas that are gone."""
+        """Drop what is held of replicas that are gone."""
         self._sent_at = {key: sent for key, sent in self._sent_at.items() if key in replica_ids}
 
     def _recent(self, replica_id: str, now: float) -> deque[float]:
--- a/rooklug/gateway/request_forwarder.py
+++ b/rooklug/gateway/request_forwarder.py
@@ -1,6 +1,6 @@
 """Sends requests to replicas, retries them, and gives clients their final answers.
 
-What a client is told: a replica's answer unchanged; 503 with ``Retry-After`` only when no replica
+Final answers: a replica's answer unchanged; 503 with ``Retry-After`` only when no replica
 has run the request or will; 504 at its deadline; 502 when a replica may have run it and no answer
 came. An answer that has begun and breaks off ends without its final chunk.
 """
@@ -96,7 +96,7 @@
         return self.give_up(proxied, now, RETRY_AFTER_FULL_S)
 
     def may_retry(self, proxied: ProxiedRequest, now: float) -> bool:
-        """Tell whether this front's share of the retry budget allows one more retry."""
+        """Return whether this front's share of the retry budget allows one more retry."""
         fronts = len(self.decision.view.ready_fronts)
         return self.budgets.of(proxied.service.name).may_retry(fronts, now)
 
@@ -145,7 +145,7 @@
     def give_up(
         self, proxied: ProxiedRequest, now: float, retry_after_s: float = 0.0
     ) -> list[fx.Effect]:
-        """Give the final answer at once; a request that has not run is told when to come back."""
+        """Give the final answer at once; a request that has not run gets ``Retry-After``."""
         if proxied.response_state is ResponseState.STREAMING:
             return self.abort_stream(proxied)
         self.forget(proxied)
--- a/rooklug/gateway/retry_budget.py
+++ b/rooklug/gateway/retry_budget.py
@@ -38,7 +38,7 @@
         self._requests.append(now)
 
     def may_retry(self, fronts: int, now: float) -> bool:
-        """Tell whether a request may be sent once more."""
+        """Return whether a request may be sent once more."""
         self._forget(now)
         settings = self.settings
         slack = settings.slack / fronts if fronts > 0 else 0.0
--- a/rooklug/gateway/slow_start_limiter.py
+++ b/rooklug/gateway/slow_start_limiter.py
@@ -41,7 +41,7 @@
     def may_send(
         self, replica_id: str, rate_per_s: float, senders: tuple[str, ...], now: float
     ) -> bool:
-        """Tell whether a request may go to a replica in slow start now.
+        """Return whether a request may go to a replica in slow start now.
 
         ``senders`` are the fronts that take the traffic of the replica's region.
         """
@@ -61,7 +61,7 @@
         self._next_at[replica_id] = now + eligible_count / (rate_per_s * RATE_SHARE)
 
     def forget_except(self, replica_ids: set[str]) -> None:
-        """Drop what is kept of replicas that are gone."""
+        """Drop what is held of replicas that are gone."""
         self._next_at = {key: at for key, at in self._next_at.items() if key in replica_ids}
 
     def _eligible(self, replica_id: str, senders: tuple[str, ...]) -> list[str]:
--- a/rooklug/gateway/stale_endpoint_detector.py
+++ b/rooklug/gateway/stale_endpoint_detector.py
@@ -34,11 +34,11 @@
             self._confirmed.add(replica_id)
 
     def is_replaced(self, replica_id: str) -> bool:
-        """Tell whether this start of a replica is over."""
+        """Return whether this start of a replica is over."""
         return replica_id in self._replaced
 
     def is_suspect(self, replica_id: str, zone: str) -> bool:
-        """Tell whether an entry is probably as stale as others of its zone were."""
+        """Return whether an entry is probably as stale as others of its zone were."""
         if not self._replaced or replica_id in self._confirmed:
             return False
         replaced_in_zone = sum(other == zone for other in self._replaced.values())
--- a/rooklug/gateway/traffic_record.py
+++ b/rooklug/gateway/traffic_record.py
@@ -71,11 +71,11 @@
         )
 
     def is_unresponsive(self, replica: GatewayReplica, now: float) -> bool:
-        """Tell whether a replica owes answers and sends nothing at all."""
+        """Return whether a replica owes answers and sends nothing at all."""
         return self.load_of(replica).is_unresponsive(now)
 
     def is_ejected(self, replica: GatewayReplica, now: float) -> bool:
-        """Tell whether a replica is ejected, or on probation with a call in flight."""
+        """Return whether a replica is ejected, or on probation with a call in flight."""
         load = self.loads.get(replica.replica_id)
         if load is None:
             return False
--- a/rooklug/membership/decisions.py
+++ b/rooklug/membership/decisions.py
@@ -62,7 +62,7 @@
         return len(self._entries)
 
     def append(self, records: Iterable[DecisionRecord], *, announced_again: bool) -> bool:
-        """Add the decisions that are not there yet; tell whether there were any.
+        """Add the decisions that are not there yet; return whether there were any.
 
         ``announced_again``: their place among those of other owners is not known.
         """
--- a/rooklug/membership/primary_tracker.py
+++ b/rooklug/membership/primary_tracker.py
@@ -55,7 +55,7 @@
             self.known_address = ""
 
     def learn(self, event: PrimaryKnown) -> None:
-        """Remember where the primary is; news of an older epoch is ignored."""
+        """Remember where the primary is; an update of an older epoch is ignored."""
         if event.epoch < max(self.epoch, self.known_epoch):
             return
         self.known_epoch = event.epoch
--- a/rooklug/membership/roles.py
+++ b/rooklug/membership/roles.py
@@ -1,7 +1,7 @@
 """Singleton roles at the primary: the owner, the fencing token and the lease of each.
 
 The table is soft state of one primary. A role is granted only to the node that was chosen
-for it, in the answer to that node's renewal, and only once the previous holder's lease has
+for it, in the answer to that node's renewal, and only once the previous owner's lease has
 surely ended by this core's clock or was given back.
 """
 
--- a/rooklug/placement/assembly.py
+++ b/rooklug/placement/assembly.py
@@ -1,4 +1,4 @@
-"""From assignments and traffic to a whole plan, the same for every solver."""
+"""From assignments and traffic to a complete plan, the same for every solver."""
 
 import attrs
 
--- a/rooklug/placement/capacity_tracker.py
+++ b/rooklug/placement/capacity_tracker.py
@@ -91,7 +91,7 @@
         return self._needs[kind]
 
     def has_capacity(self, model: str, slot: ReplicaSlot) -> bool:
-        """Tell whether ``model`` could still be opened on ``slot``."""
+        """Return whether ``model`` could still be opened on ``slot``."""
         need = self._need(model, slot)
         if need is None or model in self.assignments[slot.replica_id]:
             return False
--- a/rooklug/placement/linear.py
+++ b/rooklug/placement/linear.py
@@ -67,7 +67,7 @@
 
 
 def highs_available() -> bool:
-    """Tell whether the solver can be imported."""
+    """Return whether the solver can be imported."""
     try:
         import highspy  # noqa: F401
         import numpy  # noqa: F401
--- a/rooklug/placement/live_weights.py
+++ b/rooklug/placement/live_weights.py
@@ -68,7 +68,7 @@
         return sum(self._required.get(model, {}).values())
 
     def has_switched(self, model: str) -> bool:
-        """Tell whether the adopted plan's weights are live for ``model``."""
+        """Return whether the adopted plan's weights are live for ``model``."""
         return model in self._switched
 
     def switch(self, plan: PlacementPlan) -> list[str]:
--- a/rooklug/placement/moves.py
+++ b/rooklug/placement/moves.py
@@ -169,7 +169,7 @@
         return orders
 
     def _is_short(self, model: str) -> bool:
-        """Tell whether ``model`` lacks replicas that its demand needs: repair, not a move."""
+        """Return whether ``model`` lacks replicas that its demand needs: repair, not a move."""
         planned = sum(self._plan.required.get(model, {}).values())
         live = self._weights.needed_in_all(model)
         needed = min(planned, live) if live else planned
--- a/rooklug/placement/published.py
+++ b/rooklug/placement/published.py
@@ -35,6 +35,6 @@
 
 
 def within_homes(cell: RouteShare) -> bool:
-    """Tell whether a cell stays inside its key's homes."""
+    """Return whether a cell stays inside its key's homes."""
     homes = cell.demand_key.home_regions
     return not homes or cell.destination_region in homes
--- a/rooklug/routing/peer_loads.py
+++ b/rooklug/routing/peer_loads.py
@@ -39,7 +39,7 @@
         usages: dict[str, ReplicaUsage],
         now: float,
     ) -> bool:
-        """Take a peer's report; tell whether it is newer than the one held."""
+        """Take a peer's report; return whether it is newer than the one held."""
         known = self._reports.get(node_id)
         if known and known.incarnation == incarnation and known.sequence >= sequence:
             return False
--- a/rooklug/runbooks/model.py
+++ b/rooklug/runbooks/model.py
@@ -39,7 +39,7 @@
 class Step:
     """One step.
 
-    ``check`` tells whether the step may be taken now. ``act`` sends orders to the site, or
+    ``check`` decides whether the step may be taken now. ``act`` sends orders to the site, or
     ``by_hand`` says what a person must do at the machines; a step with neither waits for
     what the site does by itself. ``verify`` is repeated until it is good, ``verify_limit_s``
     long. ``undo`` is a sentence.
--- a/rooklug/runtime/http_exchange.py
+++ b/rooklug/runtime/http_exchange.py
@@ -146,7 +146,7 @@
             self._body_wanted.set_result(None)
 
     def respond(self, status: int, headers: dict[str, str], body: bytes) -> None:
-        """Send a whole answer."""
+        """Send a complete answer."""
         if self._answered:
             return
         self._answered = True
@@ -236,7 +236,7 @@
         return written
 
     def _finish_with(self, written: asyncio.Future) -> None:
-        """Remember the future that is done when the whole answer has been written."""
+        """Remember the future that is done when the complete answer has been written."""
         self.written = written
         if not written.done():
             self._exchanges.finishing.add(self)
--- a/rooklug_lab/fleet/client.py
+++ b/rooklug_lab/fleet/client.py
@@ -96,7 +96,7 @@
 
 
 async def is_listening(address: str) -> bool:
-    """Tell whether a process takes connections at ``address``."""
+    """Return whether a process takes connections at ``address``."""
     ip, _, port = address.partition(":")
     try:
         _, writer = await asyncio.open_connection(ip, int(port))
--- a/rooklug_lab/fleet/link_rules.py
+++ b/rooklug_lab/fleet/link_rules.py
@@ -23,7 +23,7 @@
     destinations: frozenset[str] | None = None
 
     def covers(self, source_ip: str, destination_ip: str) -> bool:
-        """Tell whether traffic from one machine to the other is under this rule."""
+        """Return whether traffic from one machine to the other is under this rule."""
         if source_ip == destination_ip:
             return False
         from_here = self.sources is None or source_ip in self.sources
--- a/rooklug_lab/fleet/links.py
+++ b/rooklug_lab/fleet/links.py
@@ -174,7 +174,7 @@
             self.close(advertised)
 
     def is_cut(self, one_ip: str, other_ip: str) -> bool:
-        """Tell whether the link is cut in either direction: TCP needs both."""
+        """Return whether the link is cut in either direction: TCP needs both."""
         states = (self.rules.state(one_ip, other_ip), self.rules.state(other_ip, one_ip))
         return LinkState.CUT in states
 
--- a/rooklug_lab/fleet/warm_up.py
+++ b/rooklug_lab/fleet/warm_up.py
@@ -41,7 +41,7 @@
         self._first_served_s: float | None = None
 
     async def is_over(self) -> bool:
-        """Run one round; tell whether all is served, slow start is over, and nothing is cold."""
+        """Run one round; return whether all is served, slow start is over, and nothing is cold."""
         wanted = [
             probe for probe in self._probes if probe in self._unserved or probe.load.kind != "once"
         ]
--- a/rooklug_lab/gateway/journal.py
+++ b/rooklug_lab/gateway/journal.py
@@ -88,5 +88,5 @@
     read_back: bytes = b""
 
     def is_calm(self, at: float, before_s: float) -> bool:
-        """Tell whether nothing disturbed the deployment from ``before_s`` before ``at``."""
+        """Return whether nothing disturbed the deployment from ``before_s`` before ``at``."""
         return not any(d.began <= at and at - before_s < d.ended for d in self.disturbances)
--- a/rooklug_lab/hollow/front.py
+++ b/rooklug_lab/hollow/front.py
@@ -50,7 +50,7 @@
         return self.keeper.view.sources.configuration_version
 
     def serves(self) -> bool:
-        """Tell whether its lease is valid and it has a plan."""
+        """Return whether its lease is valid and it has a plan."""
         return self.core_link.connected and self.keeper.view.has_plan
 
     def placer(self) -> str:
--- a/rooklug_lab/placement/replicas.py
+++ b/rooklug_lab/placement/replicas.py
@@ -94,5 +94,5 @@
                 self.reports[name] = replica.report()
 
     def order_arrives(self) -> bool:
-        """Tell whether the next order gets through."""
+        """Return whether the next order gets through."""
         return self._random.random() < self.ORDER_CHANCE
--- a/rooklug_lab/placement/sweep.py
+++ b/rooklug_lab/placement/sweep.py
@@ -106,7 +106,7 @@
         )
 
     def _has_converged(self) -> bool:
-        """Tell whether every replica holds what the last plan wants, and no more."""
+        """Return whether every replica holds what the last plan wants, and no more."""
         return all(
             set(self._plan.assignments[name]) == replica.loaded and not replica.loading
             for name, replica in self._fleet.replicas.items()
--- a/rooklug_lab/policy/engine.py
+++ b/rooklug_lab/policy/engine.py
@@ -93,7 +93,7 @@
         return self._step.ends_at if self._step else NEVER
 
     def admits(self, prompt_tokens: int) -> bool:
-        """Tell whether one more request would be taken."""
+        """Return whether one more request would be taken."""
         fits = prompt_tokens <= self.shape.memory_tokens
         return fits and len(self.waiting) < self.shape.queue
 
--- a/rooklug_lab/policy/replicas.py
+++ b/rooklug_lab/policy/replicas.py
@@ -109,7 +109,7 @@
         return [] if dark else lost
 
     def is_cold(self, now: float) -> bool:
-        """Tell whether it bears only its cold rate."""
+        """Return whether it bears only its cold rate."""
         return now < self.cold_until
 
     def _falls_over(self, now: float) -> bool:
--- a/rooklug_lab/scenarios/scenario_run.py
+++ b/rooklug_lab/scenarios/scenario_run.py
@@ -79,7 +79,7 @@
                 await asyncio.wait_for(self._changes_stop.wait(), CHANGE_INTERVAL_S)
 
     async def change(self) -> bool:
-        """Patch a limit; tell whether it was acknowledged (else it is noted as a problem)."""
+        """Patch a limit; return whether it was acknowledged (else it is noted as a problem)."""
         self._changes += 1
         share = round(0.1 + 0.001 * (self._changes % 50), 4)
         patch = json.dumps({"limits": {"retry_share": share}}).encode()
--- a/rooklug_lab/sim/network.py
+++ b/rooklug_lab/sim/network.py
@@ -62,7 +62,7 @@
         self.messages = 0
 
     def is_cut(self, source: Place, destination: Place) -> bool:
-        """Tell whether packets from ``source`` to ``destination`` are dropped now."""
+        """Return whether packets from ``source`` to ``destination`` are dropped now."""
         return (source.ip, destination.ip) in self._cuts
 
     def cut(self, sources: list[Place], destinations: list[Place]) -> None:
--- a/rooklug_lab/standins/caller_base.py
+++ b/rooklug_lab/standins/caller_base.py
@@ -62,7 +62,7 @@
         raise NotImplementedError
 
     def may_retry(self, flight: Flight, outcome: Outcome) -> bool:
-        """Tell whether a further attempt is allowed after one with this outcome."""
+        """Return whether a further attempt is allowed after one with this outcome."""
         raise NotImplementedError
 
     # -- events -------------------------------------------------------------------
--- a/rooklug_lab/standins/loaded_models.py
+++ b/rooklug_lab/standins/loaded_models.py
@@ -29,7 +29,7 @@
         self.highest_token: Token = (0, 0)
 
     def is_loaded(self, model: str) -> bool:
-        """Tell whether ``model`` can serve."""
+        """Return whether ``model`` can serve."""
         held = self._held.get(model)
         return held is not None and held.state == LOADED
 
@@ -42,11 +42,11 @@
         return [held.name for held in self._held.values() if held.state == LOADED]
 
     def holds(self, model: str) -> bool:
-        """Tell whether ``model`` is loaded or loading."""
+        """Return whether ``model`` is loaded or loading."""
         return model in self._held
 
     def has_room(self, model: str) -> bool:
-        """Tell whether ``model`` fits beside what is held."""
+        """Return whether ``model`` fits beside what is held."""
         profiles = self._settings.models
         used = sum(profiles[name].units for name in self._held)
         return used + profiles[model].units <= self._settings.resource_units + 1e-9
