--- a/rooklug/cli/ctl.py
+++ b/rooklug/cli/ctl.py
@@ -81,7 +81,7 @@
 
 
 def _add_configuration_commands(commands: argparse._SubParsersAction) -> None:
-    apply = commands.add_parser("apply", help="send a complete configuration")
+    apply = commands.add_parser("apply", help="send a whole configuration")
     apply.add_argument("file", metavar="FILE", help="JSON document, - for standard input")
     apply.add_argument("--version", type=int, required=True, help="the number you give it")
     apply.set_defaults(run=_run(_apply))
