--- a/rooklug/api/requests.py
+++ b/rooklug/api/requests.py
@@ -1,6 +1,7 @@
 """Operators' HTTP requests to thrift requests; faults of the request are error values."""
 
 import re
+from collections.abc import Callable
 
 import attrs
 from expression import Error, Ok, Result
@@ -22,7 +23,6 @@
 
 _NUMBER = re.compile(r"(0|[1-9][0-9]{0,15})\Z")
 _ZONE_PATH = re.compile(r"/v1/zones/([A-Za-z0-9._-]{1,128})/(empty|restore)\Z")
-_CONFIG_PREFIX = "/v1/config/"
 _CONFIG_PATH = re.compile(r"/v1/config/([^/]+)\Z")
 
 
@@ -54,6 +54,7 @@
     | StatusQuery
 )
 Parsed = Result[OperatorRequest, RequestProblem]
+Parser = Callable[..., Parsed]
 
 
 def parse_request(event: HttpRequestArrived) -> Parsed:
@@ -68,18 +69,21 @@
         return _for_method(event, {"GET": lambda _: Ok(StatusQuery())})
     if event.path == "/v1/decisions":
         return _for_method(event, {"GET": _parse_decisions})
-    if _CONFIG_PATH.match(event.path):
-        return _for_method(event, {"PUT": _parse_replacement, "PATCH": _parse_patch})
-    if _ZONE_PATH.match(event.path):
-        return _for_method(event, {"POST": _parse_zone})
+    if change := _CONFIG_PATH.match(event.path):
+        return _for_method(event, {"PUT": _parse_replacement, "PATCH": _parse_patch}, change)
+    if zone_order := _ZONE_PATH.match(event.path):
+        return _for_method(event, {"POST": _parse_zone}, zone_order)
     return _problem(404, "unknown_path", "no such path")
 
 
-def _for_method(event: HttpRequestArrived, parsers: dict) -> Parsed:
+def _for_method(
+    event: HttpRequestArrived, parsers: dict[str, Parser], path: re.Match[str] | None = None
+) -> Parsed:
+    """Parse by the method's parser; it gets the event and the groups of the path's pattern."""
     parser = parsers.get(event.method)
     if parser is None:
         return _problem(405, "wrong_method", f"use {' or '.join(parsers)} here")
-    return parser(event)
+    return parser(event, *(path.groups() if path else ()))
 
 
 def _problem(status: int, code: str, message: str) -> Parsed:
@@ -96,19 +100,21 @@
     return int(text)
 
 
-def _parse_replacement(event: HttpRequestArrived) -> Parsed:
-    return _parse_change(event, is_patch=False, base=0)
+def _parse_replacement(event: HttpRequestArrived, version_text: str) -> Parsed:
+    return _parse_change(event, version_text, is_patch=False, base=0)
 
 
-def _parse_patch(event: HttpRequestArrived) -> Parsed:
+def _parse_patch(event: HttpRequestArrived, version_text: str) -> Parsed:
     base = _number(event.query.get("base", ""))
     if base is None:
         return _invalid("?base= must name the version that the patch is for, a whole number")
-    return _parse_change(event, is_patch=True, base=base)
+    return _parse_change(event, version_text, is_patch=True, base=base)
 
 
-def _parse_change(event: HttpRequestArrived, *, is_patch: bool, base: int) -> Parsed:
-    version = _number(event.path.removeprefix(_CONFIG_PREFIX))
+def _parse_change(
+    event: HttpRequestArrived, version_text: str, *, is_patch: bool, base: int
+) -> Parsed:
+    version = _number(version_text)
     if not version:
         return _invalid(f"the version must be a whole number from 1 to {MAX_SAFE_INTEGER}")
     if not event.body:
@@ -126,8 +132,7 @@
     )
 
 
-def _parse_zone(event: HttpRequestArrived) -> Parsed:
-    zone, action = event.path.split("/")[-2:]
+def _parse_zone(event: HttpRequestArrived, zone: str, action: str) -> Parsed:
     operation_id = event.headers.get(OPERATION_ID_HEADER, "")
     if not operation_id:
         return _invalid(f"{OPERATION_ID_HEADER} is missing; a repeat must carry the same one")
--- a/rooklug/controller/json_fields.py
+++ b/rooklug/controller/json_fields.py
@@ -1,7 +1,7 @@
 """Strict readers of single JSON fields, shared by the readers of reports and listings."""
 
 import math
-from typing import Any
+from typing import Any, TypeGuard
 
 from rooklug.model.constants import MAX_SAFE_INTEGER
 
@@ -10,7 +10,7 @@
     """A field is missing or of the wrong kind. Never leaves the readers."""
 
 
-def is_count(value: Any) -> bool:
+def is_count(value: Any) -> TypeGuard[int]:
     """Return whether ``value`` is an integer of zero or more that JSON carries exactly."""
     return type(value) is int and 0 <= value <= MAX_SAFE_INTEGER
 
@@ -18,7 +18,7 @@
 def count_field(document: dict[str, Any], key: str) -> int:
     """Return an integer of zero or more."""
     value = document.get(key)
-    if not isinstance(value, int) or not is_count(value):
+    if not is_count(value):
         raise MalformedError(f"{key} is not a count")
     return value
 
--- a/rooklug/controller/order_dispatcher.py
+++ b/rooklug/controller/order_dispatcher.py
@@ -128,11 +128,6 @@
                 effects.append(self._send(pending))
         return DueOrders(effects, given_up)
 
-    def next_due(self) -> float | None:
-        """Return when ``send_due`` should be called next."""
-        due = [pending.due for pending in self._pending.values() if pending.call_id is None]
-        return min(due, default=None)
-
     def end_attempt(
         self, event: ev.HttpAnswered | ev.HttpFailed, now: float
     ) -> CompletedOrder | None:
--- a/rooklug/controller/probe_urgency.py
+++ b/rooklug/controller/probe_urgency.py
@@ -13,7 +13,7 @@
 
 @attrs.frozen
 class UrgencyLists:
-    """ProbeUrgency in the answer to one prober's report."""
+    """Replica ids in the answer to one prober's report."""
 
     probe_soon: tuple[str, ...]
     steady: tuple[str, ...]
--- a/rooklug/core/constants.py
+++ b/rooklug/core/constants.py
@@ -40,7 +40,6 @@
 """A core whose disk refuses writes exits so much later; its supervisor starts it again."""
 
 EPOCH_SLOTS = 3
-MINIMUM_IN_SYNC = 2
 FIRST_EPOCH = EPOCH_SLOTS
 REPLACE_AFTER_S = 1.6
 """A member without contact for so long may be replaced by a core that wants to join."""
--- a/rooklug/core/control_state_component.py
+++ b/rooklug/core/control_state_component.py
@@ -28,6 +28,7 @@
 from rooklug.core.documents import DocumentChecker
 from rooklug.core.formation import Formation
 from rooklug.core.http_interface import PREFIX, HttpInterface
+from rooklug.core.in_sync_set import EVERYONE_STAYS
 from rooklug.core.joining import JoinRequester
 from rooklug.core.outbox import Outbox
 from rooklug.core.peers import Peers
@@ -51,7 +52,6 @@
 FAILED_TIMER = "failed"
 EXIT_OK = 0
 EXIT_FAILED = 1
-NO_EXCLUSIONS: frozenset[str] = frozenset()
 
 
 class ControlStateComponent(BaseComponent):
@@ -231,7 +231,7 @@
         self.store.compact_if_long(now)
         self._forget_unresponsive_primary(now)
         if self._is_candidate(now):
-            self.view_changer.begin(NO_EXCLUSIONS, now)
+            self.view_changer.begin(EVERYONE_STAYS, now)
 
     def _on_write_failed(self, event: ev.WriteFailed, now: float) -> None:
         self.disk.failed(event.reason)
--- a/rooklug/core/leadership_lease.py
+++ b/rooklug/core/leadership_lease.py
@@ -15,13 +15,12 @@
 from rooklug.core.records import disk_from_wire, disk_to_wire
 from rooklug.core.replicator import Replicator
 from rooklug.core.store import ReplicaStore
-from rooklug.core.types import NotLeadingError, View
 from rooklug.core.witness import Witness
 from rooklug.wire.generated.core import ttypes as wire
 
 
 class LeadershipLease:
-    """Sends heartbeats during one view and extends the lease by their answers.
+    """Sends heartbeats during the replicator's view and extends the lease by their answers.
 
     ``until`` is the monotonic time at which the lease ends, in seconds. ``on_extended()``
     follows each extension; ``on_refused(epoch, now)`` the answer of a core that has promised a
@@ -45,7 +44,6 @@
         self._replicator = replicator
         self._on_extended = on_extended
         self._on_refused = on_refused
-        self._view: View | None = None
         self._next_heartbeat_at = 0.0
         self._own_supported_at = NEVER
         self.until = 0.0
@@ -54,21 +52,13 @@
         """Return whether the lease lasts at this very moment."""
         return now < self.until
 
-    @property
-    def _led_view(self) -> View:
-        if self._view is None:
-            raise NotLeadingError("heartbeats are sent by the primary of a view")
-        return self._view
-
-    def start(self, view: View, accepts_sent_at: float, now: float) -> None:
+    def start(self, accepts_sent_at: float, now: float) -> None:
         """Begin a view; the accepts of a majority count like answers to a heartbeat."""
-        self._view = view
         self._next_heartbeat_at = now
         self.until = max(self.until, accepts_sent_at + LEASE_S)
 
     def stop(self) -> None:
-        """End the lease; late answers to heartbeats are ignored."""
-        self._view = None
+        """End the lease."""
         self.until = 0.0
 
     def send_heartbeats_if_due(self, now: float) -> None:
@@ -80,24 +70,26 @@
         """Ask every member for its support, and say what is committed."""
         self._next_heartbeat_at = now + HEARTBEAT_S
         own = self._witness.state.own
-        self._witness.record_heartbeat(own, self._led_view.epoch, now)
+        self._witness.record_heartbeat(own, self._replicator.led_view.epoch, now)
         self._own_supported_at = now
         request = wire.HeartbeatRequest(
-            epoch=self._led_view.epoch, primary=disk_to_wire(own), committed=self._store.committed
+            epoch=self._replicator.led_view.epoch,
+            primary=disk_to_wire(own),
+            committed=self._store.committed,
         )
         for core_id in sorted(self._replicator.followers):
             self._send_heartbeat(core_id, request, now)
         self._extend()
 
     def _send_heartbeat(self, core_id: str, request: wire.HeartbeatRequest, now: float) -> None:
-        view, sent_at = self._led_view, now
+        view, sent_at = self._replicator.led_view, now
 
         def answered(answer: wire.HeartbeatAnswer, now: float) -> None:
-            if self._view is view:
+            if self._replicator.view is view:
                 self._on_answer(core_id, answer, sent_at, now)
 
         def failed(now: float) -> None:
-            if self._view is view:
+            if self._replicator.view is view:
                 self._replicator.followers[core_id].reachable = False
 
         address = self._peers.address(core_id)
@@ -106,7 +98,7 @@
     def _on_answer(
         self, core_id: str, answer: wire.HeartbeatAnswer, sent_at: float, now: float
     ) -> None:
-        if answer.promised_epoch > self._led_view.epoch:
+        if answer.promised_epoch > self._replicator.led_view.epoch:
             self._on_refused(answer.promised_epoch, now)
             return
         follower = self._replicator.followers[core_id]
@@ -126,7 +118,7 @@
             for follower in self._replicator.followers.values()
         }
         supported_at[self._peers.own_id] = self._own_supported_at
-        electorates = self._peers.electorates(self._view)
+        electorates = self._peers.electorates(self._replicator.view)
         newest = min(_majority_time(electorate, supported_at) for electorate in electorates)
         if newest + LEASE_S > self.until:
             self.until = newest + LEASE_S
--- a/rooklug/core/primary.py
+++ b/rooklug/core/primary.py
@@ -101,7 +101,7 @@
         self.view = view
         self._last_at_start = self._store.last.sequence
         self._in_sync_set.reset()
-        self.lease.start(view, accepts_sent_at, now)
+        self.lease.start(accepts_sent_at, now)
         in_sync = sorted(disk.core_id for disk in view.in_sync)
         self._outbox.log("info", "became primary of a view", epoch=view.epoch, in_sync=in_sync)
         self.replicator.start(view, now)
--- a/rooklug/core/replicator.py
+++ b/rooklug/core/replicator.py
@@ -79,7 +79,14 @@
         self.followers = {}
 
     @property
-    def _led_view(self) -> View:
+    def led_view(self) -> View:
+        """The view that this core leads.
+
+        Raises
+        ------
+        NotLeadingError
+            It leads none.
+        """
         if self.view is None:
             raise NotLeadingError("this core leads no view")
         return self.view
@@ -125,7 +132,7 @@
     def record_contact(self, follower: Follower, disk: MemberDisk, now: float) -> None:
         """Record contact; a follower in sync with another disk has lost the old one."""
         follower.last_contact_at = now
-        if follower.in_sync and not self._led_view.has(disk):
+        if follower.in_sync and not self.led_view.has(disk):
             follower.owing_since = now
             follower.allowed_s = 0.0
 
@@ -156,7 +163,7 @@
     def _send_start(self, follower: Follower, now: float) -> None:
         log = self._store.log
         request = wire.StartViewRequest(
-            view=view_to_wire(self._led_view),
+            view=view_to_wire(self.led_view),
             base=position_to_wire(log.base),
             runs=runs_to_wire(log.runs()),
             last=position_to_wire(log.last),
@@ -185,7 +192,7 @@
             return
         entries = _batch(log.after(follower.acknowledged))
         request = wire.AppendRequest(
-            epoch=self._led_view.epoch,
+            epoch=self.led_view.epoch,
             previous=position_to_wire(previous),
             entries=entries,
             committed=self._store.committed,
@@ -207,7 +214,7 @@
 
     def _send_chunk(self, follower: Follower, transfer: SnapshotTransfer, now: float) -> None:
         request = wire.SnapshotPartRequest(
-            epoch=self._led_view.epoch,
+            epoch=self.led_view.epoch,
             position=position_to_wire(transfer.position),
             index=transfer.next_index,
             parts=len(transfer.chunks),
@@ -233,7 +240,7 @@
         now: float,
     ) -> None:
         """Send; ``on_answer`` returns whether to go on at once, else the next tick does."""
-        view = self._led_view
+        view = self.led_view
         follower.sending = True
         if follower.owing_since is None:
             follower.owing_since = now
--- a/rooklug/distribution/node_lease.py
+++ b/rooklug/distribution/node_lease.py
@@ -104,8 +104,3 @@
         if active is not None and is_newer(active.grant.token, grant.token):
             return active
         return ActiveGrant(grant, until)
-
-    def shortest_left(self, now: float) -> float | None:
-        """Return the time left of the grant that ends first, or None without grants."""
-        end = self.next_end()
-        return None if end is None else end - now
--- a/rooklug/front/balancer.py
+++ b/rooklug/front/balancer.py
@@ -7,7 +7,7 @@
 import attrs
 from xxhash import xxh3_64_intdigest
 
-from rooklug.config.document import Limits, Route
+from rooklug.config.document import Route
 from rooklug.front.affinity import AffinityTable, rendezvous_rank
 from rooklug.front.attempt import AttemptOutcome, AttemptReport
 from rooklug.front.regions import RegionStep, region_order
@@ -39,7 +39,6 @@
     request: PlacementRequest
     route: Route
     view: RoutingView
-    limits: Limits
     now: float
 
     @property
@@ -91,8 +90,7 @@
             for region, inside in regions.items()
         }
         steps = region_order(levels, shares, source, draw)
-        limits = view.configuration.limits if view.configuration else Limits()
-        placement = _Placement(request, route, view, limits, now)
+        placement = _Placement(request, route, view, now)
         return self._first_free(placement, steps, regions)
 
     def has_free_replica(
@@ -239,7 +237,7 @@
             return free[0] if free else None
         total = sum(self.states[entry].recent_load(now) for entry in replicas) + tokens
         capacity = sum(entry.concurrency for entry in replicas)
-        bound = placement.limits.affinity_bound * total / capacity
+        bound = placement.view.limits.affinity_bound * total / capacity
         for entry in free:
             if self.states[entry].recent_load(now) <= bound * entry.concurrency:
                 return entry
--- a/rooklug/front/decision.py
+++ b/rooklug/front/decision.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable
 from random import Random
 
-from rooklug.config.document import Limits, Route
+from rooklug.config.document import Route
 from rooklug.engine.reducer import MetricSample
 from rooklug.front.attempt import AttemptOutcome, AttemptReport
 from rooklug.front.balancer import Balancer, NoChoice
@@ -92,11 +92,11 @@
 
     def queue_capacity(self) -> int:
         """Return how many requests may wait."""
-        return self._limits().queue_length
+        return self._view_component.view.limits.queue_length
 
     def record_first_attempt(self, now: float) -> None:
         """Count a request's first attempt: it earns a share of a retry."""
-        self._budget.record_first_attempt(self._limits().retry_share)
+        self._budget.record_first_attempt(self._view_component.view.limits.retry_share)
 
     def may_retry(self, now: float) -> bool:
         """Spend one retry of the budget, if there is one."""
@@ -157,15 +157,11 @@
                 "front_replica_ejected", ejected, "gauge", "1: gets no requests now.", labels
             )
 
-    def _limits(self) -> Limits:
-        configuration = self._view_component.view.configuration
-        return configuration.limits if configuration else Limits()
-
     def _no_plan(self) -> Refuse:
         return Refuse("no_plan", "no plan has come yet", NO_PLAN_RETRY_AFTER_S)
 
     def _wait_or_refuse(self, head: RequestHead, outlook: QueueOutlook, now: float) -> Verdict:
-        wait_s = min(self._limits().queue_wait_s, head.deadline - now)
+        wait_s = min(self._view_component.view.limits.queue_wait_s, head.deadline - now)
         if not outlook.has_capacity:
             return self.refusal("overloaded", "the queue is full", now)
         if self._overload.expected_wait(outlook.ahead, now) > wait_s:
--- a/rooklug/front/once_only/once_decision.py
+++ b/rooklug/front/once_only/once_decision.py
@@ -59,7 +59,7 @@
 
     def queue_wait_s(self) -> float:
         """Return how long the operators let a request wait in a queue."""
-        return self._configuration().limits.queue_wait_s
+        return self.view.limits.queue_wait_s
 
     def check_head(self, head: OnceHead, active: int) -> HeadVerdict:
         """Decide from the head alone."""
--- a/rooklug/front/requests.py
+++ b/rooklug/front/requests.py
@@ -2,7 +2,7 @@
 
 import json
 from collections.abc import Mapping
-from typing import Any
+from typing import Any, TypeGuard
 
 import attrs
 from expression import Error, Ok, Result
@@ -88,10 +88,10 @@
     if model != route.model:
         return _invalid("model: not the route's model")
     prompt_tokens = document.get("prompt_tokens")
-    if not isinstance(prompt_tokens, int) or not _is_count(prompt_tokens, 0):
+    if not _is_count(prompt_tokens, 0):
         return _invalid("prompt_tokens: must be a whole number, 0 or more")
     max_tokens = document.get("max_tokens")
-    if not isinstance(max_tokens, int) or not _is_count(max_tokens, 1):
+    if not _is_count(max_tokens, 1):
         return _invalid("max_tokens: must be a whole number, 1 or more")
     blocks = read_prefix_blocks(document)
     if blocks is None:
@@ -138,7 +138,7 @@
     return text.isascii() and text.isprintable()
 
 
-def _is_count(value: Any, smallest: int) -> bool:
+def _is_count(value: Any, smallest: int) -> TypeGuard[int]:
     return type(value) is int and smallest <= value <= MAX_TOKENS
 
 
--- a/rooklug/front/routing_view.py
+++ b/rooklug/front/routing_view.py
@@ -16,7 +16,7 @@
 
 import attrs
 
-from rooklug.config.document import Configuration, Route
+from rooklug.config.document import Configuration, Limits, Route
 from rooklug.wire.generated.control.ttypes import (
     ListedReplica,
     NodeRecord,
@@ -106,6 +106,11 @@
         """The configuration served under, or None."""
         return self.sources.configuration
 
+    @property
+    def limits(self) -> Limits:
+        """The limits of the configuration, the defaults before there is one."""
+        return self.configuration.limits if self.configuration else Limits()
+
     @property
     def has_plan(self) -> bool:
         """Whether a plan has come; without one no model counts as loaded."""
--- a/rooklug/gateway/decision.py
+++ b/rooklug/gateway/decision.py
@@ -97,10 +97,6 @@
             return ServeAt(chosen)
         return self._choose_from_all(request, route, service, order, tried, now)
 
-    def senders_to(self, replica: GatewayReplica) -> tuple[str, ...]:
-        """Return the ids of the fronts that take the traffic of the replica's region."""
-        return self.view.send_shares.senders(replica.region)
-
     def _choose_from_candidates(
         self,
         request: InboundRequest,
@@ -233,7 +229,7 @@
     ) -> Allowance:
         rate_per_s = service.slow_start_rate_per_s
         if replica.is_in_slow_start(now):
-            senders = self.senders_to(replica)
+            senders = self.view.send_shares.senders(replica.region)
             limiter = self.traffic.slow_start_limiter
             if not limiter.may_send(replica.replica_id, rate_per_s, senders, now):
                 return Allowance.NONE
--- a/rooklug/gateway/executor.py
+++ b/rooklug/gateway/executor.py
@@ -58,8 +58,6 @@
         budget: RetryBudgetSettings,
         grace_s: float = 8.0,
     ) -> None:
-        self._decision = decision
-        self._names = names
         self._forwarder = RequestForwarder(decision, names, identifiers, budget)
         self._grace_s = grace_s
         self._started_at = 0.0
@@ -83,7 +81,7 @@
     @property
     def decision(self) -> Decision:
         """The decision object that it asks."""
-        return self._decision
+        return self._forwarder.decision
 
     @property
     def forwarder(self) -> RequestForwarder:
@@ -123,16 +121,16 @@
         return []
 
     def _view_changed(self, event: ViewChanged, now: float) -> list[fx.Effect]:
-        self._decision.take_view(event.view)
+        self.decision.take_view(event.view)
         return []
 
     # Requests -------------------------------------------------------------
 
     def _arrived(self, event: ev.HttpRequestArrived, now: float) -> list[fx.Effect]:
         self.figures.arrived += 1
-        request = read_request(event, self._names)
-        configuration = self._decision.view.configuration
-        if configuration is None or not self._decision.view.is_listed:
+        request = read_request(event, self._forwarder.names)
+        configuration = self.decision.view.configuration
+        if configuration is None or not self.decision.view.is_listed:
             ready_at = self._started_at + TYPICAL_START_S + START_SPREAD_S * request.draw
             return self._forwarder.refuse(request, GatewayError.NOT_READY, ready_at - now)
         route = configuration.find(request.host, request.path)
@@ -159,7 +157,7 @@
         timeout_s = route.timeout_s
         if request.deadline_s is not None:
             timeout_s = min(timeout_s, request.deadline_s)
-        service = self._decision.service_for(request, route)
+        service = self.decision.service_for(request, route)
         return ProxiedRequest(request, route, service, now, now + timeout_s)
 
     def _client_left(self, event: ev.HttpRequestClosed, now: float) -> list[fx.Effect]:
@@ -193,7 +191,7 @@
             return False
         if proxied.response_state is ResponseState.STREAMING:
             return now - proxied.last_response_at > STALL_TIMEOUT_S
-        return self._decision.traffic.is_unresponsive(proxied.sent_to, now)
+        return self.decision.traffic.is_unresponsive(proxied.sent_to, now)
 
     def _move(self, proxied: ProxiedRequest, now: float) -> list[fx.Effect]:
         if not self._forwarder.may_retry(proxied, now):
--- a/rooklug/gateway/operator_api.py
+++ b/rooklug/gateway/operator_api.py
@@ -48,7 +48,6 @@
     """One operator's call until its answer."""
 
     http_id: int
-    operator_call: OperatorCall
     message: object
     deadline: float
     call_id: int = 0
@@ -96,7 +95,7 @@
         if isinstance(call, BadCall):
             return [_respond(event.request_id, call.status, {"error": call.message})]
         timeout_s = ANSWER_TIMEOUT_S + len(event.body) / BYTES_PER_S
-        forward = _ForwardedCall(event.request_id, call, self._message(call), now + timeout_s)
+        forward = _ForwardedCall(event.request_id, self._message(call), now + timeout_s)
         self._by_http[event.request_id] = forward
         return self._attempt(forward, now)
 
--- a/rooklug/gateway/peer_exchange.py
+++ b/rooklug/gateway/peer_exchange.py
@@ -198,7 +198,7 @@
 
     def _record_prompts(self, prompts: list[SentPrompt], now: float) -> None:
         for prompt in prompts:
-            self._decision.traffic.record_peer_prompt(
+            self._decision.traffic.prefixes.record_use(
                 prompt.replica_id, _blocks_of(prompt), prompt.memory_tokens, now
             )
 
--- a/rooklug/gateway/request_forwarder.py
+++ b/rooklug/gateway/request_forwarder.py
@@ -84,7 +84,7 @@
             proxied.request,
             replica,
             proxied.service,
-            self.decision.senders_to(replica),
+            self.decision.view.send_shares,
             now,
         )
         return [replica_call(proxied, replica, self.names, now)]
--- a/rooklug/gateway/traffic_record.py
+++ b/rooklug/gateway/traffic_record.py
@@ -15,10 +15,11 @@
 from rooklug.gateway.prefix_cache_table import PrefixCacheTable
 from rooklug.gateway.replica_load import ReplicaLoad
 from rooklug.gateway.replica_rate_limiter import ReplicaRateLimiter
-from rooklug.gateway.requests import InboundRequest, PrefixBlock
+from rooklug.gateway.requests import InboundRequest
 from rooklug.gateway.slow_start_limiter import SlowStartLimiter
 from rooklug.gateway.stale_endpoint_detector import StaleEndpointDetector
 from rooklug.routing.peer_loads import PeerLoads, ReplicaUsage
+from rooklug.routing.send_shares import SendShares
 from rooklug.wire.generated.peers.ttypes import SentPrompt
 
 PREFILL_SHARE_WEIGHT = 0.01
@@ -87,10 +88,10 @@
         request: InboundRequest,
         replica: GatewayReplica,
         service: Service,
-        senders: tuple[str, ...],
+        send_shares: SendShares,
         now: float,
     ) -> None:
-        """Count a request that goes out; ``senders`` are the fronts of the replica's region."""
+        """Count a request that goes out; ``send_shares`` say which fronts send to the replica."""
         missing = self.prefixes.missing_tokens(replica.replica_id, request.prefix_blocks, now)
         load = self.load_of(replica)
         queued_before = load.queued_prefill_tokens
@@ -103,6 +104,7 @@
         if rate_per_s > 0:
             self.rate_limiter.record_send(replica.replica_id, now)
         if replica.is_in_slow_start(now):
+            senders = send_shares.senders(replica.region)
             self.slow_start_limiter.record_send(replica.replica_id, rate_per_s, senders, now)
 
     def record_response(self, call_id: int, replica: GatewayReplica, now: float) -> None:
@@ -128,12 +130,6 @@
         """Note that a replica's address has answered as another replica."""
         self.stale_endpoints.record_mismatch(replica.replica_id, replica.zone)
 
-    def record_peer_prompt(
-        self, replica_id: str, blocks: tuple[PrefixBlock, ...], memory_tokens: int, now: float
-    ) -> None:
-        """Note that a peer has sent a prompt with these blocks to a replica."""
-        self.prefixes.record_use(replica_id, blocks, memory_tokens, now)
-
     def take_unreported_prompts(self) -> list[SentPrompt]:
         """Return the prompts sent since the last call, for a report to peers."""
         taken, self._unreported_prompts = self._unreported_prompts, []
--- a/rooklug/placement/fleet_state.py
+++ b/rooklug/placement/fleet_state.py
@@ -40,8 +40,12 @@
         for slot, model in list(self.withdrawn):
             known = self.reports.get(slot)
             report = reports.get(slot)
-            same_process = report and known and report.incarnation == known.incarnation
-            if not (report and same_process and model in (*report.loaded, *report.loading)):
+            if (
+                report is None
+                or known is None
+                or report.incarnation != known.incarnation
+                or model not in (*report.loaded, *report.loading)
+            ):
                 del self.withdrawn[slot, model]
         self.reports = dict(sorted(reports.items()))
         self._loaded = _slots_by_model(self.reports)
--- a/rooklug/placement/moves.py
+++ b/rooklug/placement/moves.py
@@ -111,10 +111,6 @@
         present = set(report.loaded) | self._loads.on_slot(slot)
         return tuple(sorted(present - self._fleet.withdrawn_on(slot)))
 
-    def loading_count(self) -> int:
-        """Return how many loads are in flight."""
-        return len(self._loads.pending)
-
     # Loads -----------------------------------------------------------------------------
 
     def _give_up(self, now: float) -> list[Order]:
--- a/rooklug_lab/policy/decision_cost.py
+++ b/rooklug_lab/policy/decision_cost.py
@@ -73,8 +73,9 @@
         began = time.process_time()
         verdict = decision.choose(request, _ROUTE, _SERVICE, frozenset(), now)
         if isinstance(verdict, ServeAt):
-            senders = decision.senders_to(verdict.replica)
-            decision.traffic.record_send(number, request, verdict.replica, _SERVICE, senders, now)
+            decision.traffic.record_send(
+                number, request, verdict.replica, _SERVICE, decision.view.send_shares, now
+            )
         spent_s += time.process_time() - began
         if isinstance(verdict, ServeAt):
             running.append((now + REQUEST_DURATION_S, number, verdict.replica))
