--- a/tests/test_gateway_view.py
+++ b/tests/test_gateway_view.py
@@ -4,7 +4,7 @@
 from rooklug.model.internal_events import TopicChanged
 from rooklug.model.topics import REPLICAS, ZONES
 from rooklug.wire.generated.control.ttypes import ReplicasBody, VersionMark, ZonesBody
-from tests.test_gateway_control import listed
+from tests.gateway_control_support import listed
 
 MARK = VersionMark(3, 1)
 
