--- a/tests/test_gateway_site.py
+++ b/tests/test_gateway_site.py
@@ -118,7 +118,7 @@
 
 
 def _decision_of(site: GatewaySite, name: str) -> Decision:
-    return site.process(name).reducer.components[GatewayExecutor.name]._decision
+    return site.process(name).reducer.components[GatewayExecutor.name].decision
 
 
 def _end_as_if_complete(forwarder: RequestForwarder, proxied: ProxiedRequest) -> list[fx.Effect]:
