--- a/rooklug/distribution/core_finder.py
+++ b/rooklug/distribution/core_finder.py
@@ -1,4 +1,4 @@
-"""Which core to call: the primary if known, else the seeds in turn."""
+"""Selects the core to call: the primary if it is known, else the seeds in turn."""
 
 from random import Random
 
@@ -6,18 +6,19 @@
 
 from rooklug.distribution.timing import (
     BACKOFF_FACTOR,
-    BACKOFF_FIRST_S,
-    BACKOFF_LIMIT_S,
-    START_BACKOFF_LIMIT_S,
+    INITIAL_BACKOFF_S,
+    MAX_BACKOFF_S,
+    MAX_STARTING_BACKOFF_S,
 )
 
 
 @attrs.define
 class CoreFinder:
-    """Follows redirects to the primary, moves on when a core fails, and spaces the attempts.
+    """Follows redirects to the primary, fails over to the next core, and computes the backoff.
 
-    ``address`` is the core to call now. ``confirmed``: it has answered as the primary.
-    ``starting``: this node has no topic from any core yet.
+    ``address`` is the core to call now; ``confirmed`` says whether it has answered as the
+    primary. ``starting`` is true until this node has its first topic from a core. Outcomes of
+    calls to another address than the present one don't change ``address``.
     """
 
     seeds: tuple[str, ...]
@@ -31,48 +32,48 @@
     def __attrs_post_init__(self) -> None:
         self.address = self.seeds[self.random.randrange(len(self.seeds))]
 
-    def learn(self, addresses: tuple[str, ...]) -> None:
-        """Use the present cores in place of the seeds of the settings."""
+    def update_seeds(self, addresses: tuple[str, ...]) -> None:
+        """Replace the seeds by the addresses of the present cores, unless none are given."""
         if addresses:
             self.seeds = addresses
 
-    def answered_as_primary(self, address: str) -> None:
-        """The core at ``address`` has answered as the primary."""
+    def record_primary_answer(self, address: str) -> None:
+        """Confirm the core at ``address`` as the primary, and reset the backoff."""
         if address != self.address:
             return
         self.confirmed = True
         self._failures = 0
         self._redirects = 0
 
-    def redirected(self, address: str, primary_address: str) -> float:
-        """The core at ``address`` isn't the primary; return the backoff in seconds."""
+    def record_redirect(self, address: str, primary_address: str) -> float:
+        """Follow the redirect of a core that isn't the primary; return the backoff in seconds."""
         if address != self.address:
             return self._short_backoff_s()
         if not primary_address or primary_address == address:
-            return self.failed(address)
+            return self.record_failure(address)
         self.address = primary_address
         self.confirmed = False
         self._redirects += 1
-        # Two cores that name each other must not be called in a hot loop.
+        # Without backoff, two cores that redirect to each other would be called in a hot loop.
         return self._short_backoff_s() if self._redirects == 1 else self._backoff_s()
 
-    def failed(self, address: str) -> float:
-        """The core at ``address`` failed or has lost the primary; return the backoff in seconds."""
+    def record_failure(self, address: str) -> float:
+        """Move on from a core that failed or knows no primary; return the backoff in seconds."""
         if address == self.address:
-            self.address = self._after(address)
+            self.address = self._next_seed(address)
             self.confirmed = False
         return self._backoff_s()
 
-    def _after(self, address: str) -> str:
+    def _next_seed(self, address: str) -> str:
         if address not in self.seeds:
             return self.seeds[self.random.randrange(len(self.seeds))]
         return self.seeds[(self.seeds.index(address) + 1) % len(self.seeds)]
 
     def _short_backoff_s(self) -> float:
-        return self.random.uniform(0.0, BACKOFF_FIRST_S)
+        return self.random.uniform(0.0, INITIAL_BACKOFF_S)
 
     def _backoff_s(self) -> float:
-        limit_s = START_BACKOFF_LIMIT_S if self.starting else BACKOFF_LIMIT_S
-        backoff_s = min(BACKOFF_FIRST_S * BACKOFF_FACTOR**self._failures, limit_s)
+        limit_s = MAX_STARTING_BACKOFF_S if self.starting else MAX_BACKOFF_S
+        backoff_s = min(INITIAL_BACKOFF_S * BACKOFF_FACTOR**self._failures, limit_s)
         self._failures = min(self._failures + 1, 16)
         return backoff_s * self.random.uniform(0.5, 1.0)
--- a/rooklug/distribution/link_events.py
+++ b/rooklug/distribution/link_events.py
@@ -1,4 +1,4 @@
-"""Internal events from and to the core link."""
+"""Internal events that the core link emits, or that its methods emit to it."""
 
 import attrs
 
@@ -7,19 +7,19 @@
 
 @attrs.frozen
 class LeaseReleased(InternalEvent):
-    """After ``StopRequested``: the lease and all grants are released, or no core answers.
+    """The stopping node has released its lease and grants, or has given up trying.
 
-    ``confirmed``: the primary has acknowledged it; else they end with the lease.
+    ``confirmed``: the primary has acknowledged the release; otherwise they end by expiry.
     """
 
     confirmed: bool
 
 
 @attrs.frozen
-class RenewSoon(InternalEvent):
-    """The node's record has changed; the core link renews its lease immediately."""
+class RenewalRequested(InternalEvent):
+    """A flag of the node has changed or a role can move; the lease is renewed immediately."""
 
 
 @attrs.frozen
 class PublicationQueued(InternalEvent):
-    """A publication is queued in the core link's outbox."""
+    """The outbox has a new publication, which the core link sends."""
--- a/rooklug/distribution/link_state.py
+++ b/rooklug/distribution/link_state.py
@@ -1,4 +1,4 @@
-"""The state that the modules of the core link share."""
+"""The state that renewal, polling and publishing of the core link share."""
 
 from typing import Any
 
@@ -20,7 +20,7 @@
 
 @attrs.frozen
 class SentCall:
-    """A call in flight. ``epoch`` is the highest that was known when it was sent."""
+    """A call in flight. ``epoch`` is the highest known epoch at the time of sending."""
 
     call_id: int
     address: str
@@ -30,25 +30,25 @@
 
 
 class NoCallInFlightError(Exception):
-    """An answer was handled by a module that has no call in flight."""
+    """An answer or failure was handled while no call was in flight: a bug in the core link."""
 
 
-def ended(sent: SentCall | None) -> SentCall:
-    """Return the call that has ended.
+def require_in_flight(sent: SentCall | None) -> SentCall:
+    """Return the call in flight.
 
     Raises
     ------
     NoCallInFlightError
-        There was none: a broken invariant of the core link.
+        If there is none.
     """
     if sent is None:
-        raise NoCallInFlightError("an answer without a call")
+        raise NoCallInFlightError("call completed although none is in flight")
     return sent
 
 
 @attrs.define
 class LinkState:
-    """What the node knows of the core and has from it; ``stopping``: it releases its lease."""
+    """The node's lease, topics and choice of core. ``stopping``: it is releasing its lease."""
 
     settings: NodeSettings
     context: ProcessContext
@@ -60,11 +60,14 @@
     def call(
         self, request: Any, deadline_s: float, now: float, not_after: float | None = None
     ) -> tuple[SentCall, fx.Effect]:
-        """Return a call to the present core, and the record of it."""
+        """Return the record of a new call to the present core, and the effect that sends it.
+
+        The call isn't sent after the monotonic time ``not_after``.
+        """
         call_id = self.context.identifiers.next()
         sent = SentCall(call_id, self.finder.address, request, now, self.lease.epoch)
         return sent, fx.Call(call_id, sent.address, request, deadline_s, not_after)
 
     def jittered_delay_s(self) -> float:
-        """Return a short, jittered delay in seconds."""
+        """Return ``RENEW_SOON_S`` with jitter."""
         return RENEW_SOON_S * self.context.random.uniform(0.5, 1.5)
--- a/rooklug/distribution/members_delta.py
+++ b/rooklug/distribution/members_delta.py
@@ -1,4 +1,4 @@
-"""Deltas of the members topic: only the nodes and role owners that have changed."""
+"""Deltas of the members topic: the nodes and role owners that have changed."""
 
 from rooklug.wire.generated.control.ttypes import (
     MembersBody,
@@ -9,7 +9,10 @@
 
 
 def published_fields(node: NodeRecord) -> tuple:
-    """Return the fields of a record whose change is published to all nodes."""
+    """Return the fields of a record whose change makes a new version of the members topic.
+
+    The configuration version isn't among them: each commit would publish every node again.
+    """
     return (
         node.node_id,
         node.incarnation,
@@ -24,13 +27,13 @@
 
 
 def owner_fields(owner: RoleOwner) -> tuple:
-    """Return a role owner as a value to compare."""
+    """Return the fields of a role owner as a comparable tuple."""
     token = owner.token
     return (owner.role_key, owner.node_id, owner.internal_address, token.epoch, token.counter)
 
 
 def make_members_delta(old: MembersBody, new: MembersBody) -> MembersDelta:
-    """Return what turns ``old`` into ``new``, but for fields that are not published at once."""
+    """Return the delta from ``old`` to ``new``; it ignores fields beside ``published_fields``."""
     old_nodes = {node.node_id: published_fields(node) for node in old.nodes}
     old_owners = {owner.role_key: owner_fields(owner) for owner in old.role_owners}
     new_ids = {node.node_id for node in new.nodes}
@@ -49,7 +52,7 @@
 
 
 def apply_members_delta(body: MembersBody, delta: MembersDelta) -> MembersBody:
-    """Return the newer body, with nodes and owners in order of their keys."""
+    """Return the newer body, with nodes and owners sorted by key as the primary sends them."""
     nodes = {node.node_id: node for node in body.nodes}
     owners = {owner.role_key: owner for owner in body.role_owners}
     nodes |= {node.node_id: node for node in delta.changed_nodes}
--- a/rooklug/distribution/publication_outbox.py
+++ b/rooklug/distribution/publication_outbox.py
@@ -1,7 +1,7 @@
-"""What this node publishes as a role owner, until the primary has accepted it.
+"""Publications of this node as a role owner, retained until its grant ends.
 
-Per topic the newest body is retained, also after it was accepted: a new primary knows nothing,
-so it is published again there, with the recent decisions.
+The newest body of each topic is retained also after it was accepted: a new primary has none, so
+the node publishes it again there, with the recent decisions.
 """
 
 from collections import deque
@@ -16,11 +16,16 @@
 )
 
 RECENT_DECISIONS = 512
+"""Decisions retained for each topic; a new primary can't learn older ones."""
 
 
 @attrs.define
 class Publication:
-    """The newest publication of one topic. ``accepted_epoch``: of the primary that has it, or 0."""
+    """The newest publication of one topic.
+
+    ``accepted_epoch`` is the epoch of the primary that last accepted one, or 0. The other
+    ``accepted_...`` fields are the highest sequences that were accepted.
+    """
 
     topic: str
     role_key: str
@@ -34,7 +39,10 @@
     accepted_sequence: int = 0
 
     def add_decision(self, record: DecisionRecord) -> None:
-        """Add a decision; it is numbered here unless its role has done so, in order."""
+        """Add a decision.
+
+        It gets the token and the next sequence unless its role has already numbered it in order.
+        """
         numbered = record.token == self.token and (record.sequence or 0) > self.last_decision
         if not numbered:
             record.token = self.token
@@ -43,7 +51,10 @@
         self.decisions.append(record)
 
     def request(self, epoch: int) -> PublishRequest:
-        """Return the request for the primary of ``epoch``."""
+        """Return the request for the primary of ``epoch``.
+
+        A primary that has accepted earlier decisions gets only those after them.
+        """
         first = self.accepted_decision + 1 if epoch == self.accepted_epoch else 0
         decisions = [record for record in self.decisions if record.sequence >= first]
         return PublishRequest(
@@ -58,7 +69,7 @@
 
 @attrs.define
 class PublicationOutbox:
-    """The publications of all topics."""
+    """The publications of this node, by topic."""
 
     _publications: dict[str, Publication] = attrs.field(factory=dict)
     _changed: set[str] = attrs.field(factory=set)
@@ -66,7 +77,10 @@
     def put(
         self, topic: str, grant: RoleGrant, body: bytes, decisions: list[DecisionRecord]
     ) -> None:
-        """Replace the topic's publication by a newer one, and number its decisions."""
+        """Queue a body in place of the topic's earlier one, and number its decisions.
+
+        A grant with a new token starts the sequences again.
+        """
         publication = self._publications.get(topic)
         if publication is None or publication.token != grant.token:
             publication = Publication(topic, grant.role_key, grant.token, 0, body)
@@ -78,7 +92,7 @@
         self._changed.add(topic)
 
     def unsent(self, epoch: int) -> list[Publication]:
-        """Return the publications that the primary of ``epoch`` doesn't have yet."""
+        """Return the publications that the primary of ``epoch`` hasn't accepted, by topic."""
         return [
             self._publications[topic]
             for topic in sorted(self._publications)
@@ -86,7 +100,7 @@
         ]
 
     def record_accepted(self, request: PublishRequest, epoch: int) -> None:
-        """The primary of ``epoch`` has accepted ``request``."""
+        """Record that the primary of ``epoch`` accepted ``request``; ignores an earlier token."""
         publication = self._publications.get(request.topic)
         if publication is None or publication.token != request.token:
             return
@@ -98,16 +112,16 @@
             self._changed.discard(request.topic)
 
     def published_sequence(self, topic: str) -> int:
-        """Return the sequence of a topic's newest publication, 0 without one."""
+        """Return the sequence of the topic's newest publication, or 0 without one."""
         publication = self._publications.get(topic)
         return publication.sequence if publication is not None else 0
 
     def accepted_sequence(self, topic: str) -> int:
-        """Return the highest sequence of a topic's publications that a primary has accepted."""
+        """Return the highest accepted sequence of the topic under the present token, or 0."""
         publication = self._publications.get(topic)
         return publication.accepted_sequence if publication is not None else 0
 
     def drop(self, topic: str) -> None:
-        """Drop a publication whose grant has expired."""
+        """Drop the publication of a topic whose grant has ended."""
         self._publications.pop(topic, None)
         self._changed.discard(topic)
--- a/rooklug/membership/build.py
+++ b/rooklug/membership/build.py
@@ -7,9 +7,9 @@
 
 
 def build_membership_components(settings: CoreSettings, context: ProcessContext) -> list[Component]:
-    """Return the components that keep leases and roles and distribute the topics.
+    """Return the components that manage leases and roles and distribute the topics.
 
-    They run in one ``CompositeReducer`` with the components of replication, and subscribe to
-    the events of these.
+    They run in the same ``CompositeReducer`` as the replication components, whose events they
+    subscribe to.
     """
     return [MembershipComponent(settings, context)]
--- a/rooklug/membership/decisions.py
+++ b/rooklug/membership/decisions.py
@@ -1,7 +1,7 @@
 """The newest decisions of the role owners, as a stream that readers resume by cursor.
 
-Decisions are kept in the order in which they came. After a failover the owners announce
-theirs again; a reader whose cursor is found goes on from there.
+Decisions are kept in order of arrival. A new primary has none: after a failover the role owners
+send their recent decisions again, and a reader resumes once its cursor is among them.
 """
 
 from collections import deque
@@ -11,15 +11,21 @@
 
 from rooklug.wire.generated.control.ttypes import DecisionRecord, ReadDecisionsRequest
 
-RING_LIMIT = 4096
-PAGE_LIMIT = 256
-READERS_LIMIT = 256
-READ_WAIT_LIMIT_S = 10.0
+MAX_DECISIONS = 4096
+"""Decisions in the ring; the oldest are dropped beyond this."""
+
+MAX_PAGE_DECISIONS = 256
+
+MAX_PENDING_READS = 256
+"""Reads beyond this number are answered immediately."""
+
+MAX_READ_WAIT_S = 10.0
+"""Upper limit of the wait that a read may request."""
 
 
 @attrs.frozen(order=True)
 class Cursor:
-    """The identity of a decision: its owner's token, and its number under that token."""
+    """Identifies a decision: the owner's fencing token, and the sequence under that token."""
 
     epoch: int
     counter: int
@@ -27,16 +33,17 @@
 
 
 START = Cursor(0, 0, 0)
+"""The cursor of a reader that has read nothing yet; no decision has it."""
 
 
 def cursor_of(record: DecisionRecord) -> Cursor:
-    """Return the cursor of a decision."""
+    """Return the cursor to read on from after ``record``."""
     return Cursor(record.token.epoch, record.token.counter, record.sequence)
 
 
 @attrs.frozen
 class DecisionPage:
-    """Decisions after a cursor. ``gap``: some before these may be missing."""
+    """Decisions after a cursor. ``gap``: some before the first of them may be missing."""
 
     decisions: list[DecisionRecord]
     gap: bool
@@ -46,14 +53,17 @@
 class _Entry:
     cursor: Cursor
     record: DecisionRecord
-    announced_again: bool
+    reannounced: bool
 
 
 @attrs.define
 class DecisionRing:
-    """A bounded, ordered set of decisions."""
+    """The newest ``limit`` decisions in order of arrival, each of them once.
 
-    limit: int = RING_LIMIT
+    ``_positions`` counts from the first decision of the term, including dropped ones.
+    """
+
+    limit: int = MAX_DECISIONS
     _entries: deque[_Entry] = attrs.field(factory=deque)
     _positions: dict[Cursor, int] = attrs.field(factory=dict)
     _dropped: int = 0
@@ -61,10 +71,11 @@
     def __len__(self) -> int:
         return len(self._entries)
 
-    def append(self, records: Iterable[DecisionRecord], *, announced_again: bool) -> bool:
-        """Add the decisions that are not there yet; return whether there were any.
+    def append(self, records: Iterable[DecisionRecord], *, reannounced: bool) -> bool:
+        """Add the decisions that are not in the ring yet; return whether there were any.
 
-        ``announced_again``: their place among those of other owners is not known.
+        ``reannounced``: they may have been made before this term, so that their order
+        relative to the decisions of other owners is unknown.
         """
         before = self._dropped + len(self._entries)
         for record in records:
@@ -72,109 +83,116 @@
             if cursor in self._positions:
                 continue
             self._positions[cursor] = self._dropped + len(self._entries)
-            self._entries.append(_Entry(cursor, record, announced_again))
+            self._entries.append(_Entry(cursor, record, reannounced))
             if len(self._entries) > self.limit:
                 del self._positions[self._entries.popleft().cursor]
                 self._dropped += 1
         return self._dropped + len(self._entries) > before
 
-    def knows(self, cursor: Cursor) -> bool:
-        """Return whether a reader can go on from ``cursor`` without a gap."""
+    def can_resume_from(self, cursor: Cursor) -> bool:
+        """Return whether no decision after ``cursor`` has been dropped."""
         return cursor in self._positions or (cursor == START and self._dropped == 0)
 
     def after(self, cursor: Cursor) -> DecisionPage:
-        """Return a page of what follows ``cursor``, or from the oldest if it is unknown."""
+        """Return the page after ``cursor``, or the oldest page if the cursor is unknown."""
         position = self._positions.get(cursor)
         first = 0 if position is None else position - self._dropped + 1
-        following = [self._entries[i] for i in range(first, len(self._entries))][:PAGE_LIMIT]
-        gap = not self.knows(cursor) or self._order_unknown(position)
+        following = [self._entries[i] for i in range(first, len(self._entries))][
+            :MAX_PAGE_DECISIONS
+        ]
+        gap = not self.can_resume_from(cursor) or self._order_is_unknown(position)
         return DecisionPage([entry.record for entry in following], gap)
 
-    def _order_unknown(self, position: int | None) -> bool:
-        """Return whether other owners' decisions around this one may have been passed over."""
+    def _order_is_unknown(self, position: int | None) -> bool:
+        """Return whether others' decisions may stand before ``position`` though made after it."""
         if position is None:
             return False
         entry = self._entries[position - self._dropped]
-        if not entry.announced_again:
+        if not entry.reannounced:
             return False
         token = (entry.cursor.epoch, entry.cursor.counter)
         return any(
-            other.announced_again and (other.cursor.epoch, other.cursor.counter) != token
+            other.reannounced and (other.cursor.epoch, other.cursor.counter) != token
             for other in self._entries
         )
 
 
 @attrs.frozen
 class DecisionReply:
-    """The page that ends a read."""
+    """The page that answers the read ``call_id``."""
 
     call_id: int
     page: DecisionPage
 
 
 @attrs.frozen
-class _Reader:
+class _PendingRead:
     call_id: int
     cursor: Cursor
-    until: float
+    expires_at: float
 
 
 @attrs.define
 class DecisionStream:
-    """The ring and the reads that wait for its next decision."""
+    """The ring of decisions, and the reads that are pending until the next one.
+
+    Before ``complete_at`` (monotonic seconds) earlier decisions may still be announced again.
+    """
 
     ring: DecisionRing = attrs.field(factory=DecisionRing)
     complete_at: float = 0.0
-    _readers: deque[_Reader] = attrs.field(factory=deque)
+    _pending_reads: deque[_PendingRead] = attrs.field(factory=deque)
 
     def start(self, complete_at: float) -> None:
-        """Begin a term; until ``complete_at`` the owners announce their decisions again."""
+        """Start a term; until ``complete_at`` the owners announce their decisions again."""
         self.ring = DecisionRing()
         self.complete_at = complete_at
 
     def append(self, records: Iterable[DecisionRecord], now: float) -> list[DecisionReply]:
-        """Add decisions and answer the reads that waited for them."""
-        if not self.ring.append(records, announced_again=now < self.complete_at):
+        """Add decisions, and answer the pending reads that they satisfy."""
+        if not self.ring.append(records, reannounced=now < self.complete_at):
             return []
-        return self._answer(now, lambda reader: self._has_page(reader.cursor, now))
+        return self._answer(now, lambda pending: self._has_page(pending.cursor, now))
 
     def read(self, call_id: int, request: ReadDecisionsRequest, now: float) -> list[DecisionReply]:
-        """Answer a read, or keep it pending."""
+        """Answer a read that has a page or may not wait; else keep it pending."""
         token = request.after_token
         cursor = Cursor(token.epoch, token.counter, request.after_sequence)
-        wait_s = min(max(request.wait_ms, 0) / 1000, READ_WAIT_LIMIT_S)
-        reader = _Reader(call_id, cursor, now + wait_s)
-        full = len(self._readers) >= READERS_LIMIT
+        wait_s = min(max(request.wait_ms, 0) / 1000, MAX_READ_WAIT_S)
+        pending = _PendingRead(call_id, cursor, now + wait_s)
+        full = len(self._pending_reads) >= MAX_PENDING_READS
         if self._has_page(cursor, now) or wait_s == 0 or full:
-            return [self._reply(reader, now)]
-        self._readers.append(reader)
+            return [self._reply(pending, now)]
+        self._pending_reads.append(pending)
         return []
 
     def expire(self, now: float) -> list[DecisionReply]:
-        """Answer the reads whose time is over, or whose gap is certain now."""
+        """Answer the reads that have timed out, or have a page now that ``complete_at`` is past."""
         return self._answer(
-            now, lambda reader: reader.until <= now or self._has_page(reader.cursor, now)
+            now, lambda pending: pending.expires_at <= now or self._has_page(pending.cursor, now)
         )
 
     def release_all(self) -> list[int]:
-        """Return the pending calls, and forget them."""
-        calls = [reader.call_id for reader in self._readers]
-        self._readers.clear()
+        """Remove all pending reads and return their call ids, which the caller answers."""
+        calls = [pending.call_id for pending in self._pending_reads]
+        self._pending_reads.clear()
         return calls
 
-    def _answer(self, now: float, ready: Callable[[_Reader], bool]) -> list[DecisionReply]:
-        answered = [reader for reader in self._readers if ready(reader)]
-        self._readers = deque(reader for reader in self._readers if reader not in answered)
-        return [self._reply(reader, now) for reader in answered]
+    def _answer(self, now: float, ready: Callable[[_PendingRead], bool]) -> list[DecisionReply]:
+        answered = [pending for pending in self._pending_reads if ready(pending)]
+        self._pending_reads = deque(
+            pending for pending in self._pending_reads if pending not in answered
+        )
+        return [self._reply(pending, now) for pending in answered]
 
-    def _reply(self, reader: _Reader, now: float) -> DecisionReply:
-        if self._can_answer(reader.cursor, now):
-            return DecisionReply(reader.call_id, self.ring.after(reader.cursor))
-        return DecisionReply(reader.call_id, DecisionPage([], gap=False))
+    def _reply(self, pending: _PendingRead, now: float) -> DecisionReply:
+        if self._can_answer(pending.cursor, now):
+            return DecisionReply(pending.call_id, self.ring.after(pending.cursor))
+        return DecisionReply(pending.call_id, DecisionPage([], gap=False))
 
     def _has_page(self, cursor: Cursor, now: float) -> bool:
         return self._can_answer(cursor, now) and bool(self.ring.after(cursor).decisions)
 
     def _can_answer(self, cursor: Cursor, now: float) -> bool:
-        """An unknown cursor may still be announced again at the start of a term."""
-        return cursor == START or self.ring.knows(cursor) or now >= self.complete_at
+        """Return False while the decision at ``cursor`` may still be announced again."""
+        return cursor == START or self.ring.can_resume_from(cursor) or now >= self.complete_at
--- a/rooklug/membership/lease_service.py
+++ b/rooklug/membership/lease_service.py
@@ -1,4 +1,4 @@
-"""Answers renewals, and publishes the changes of membership that they bring."""
+"""Answers lease renewals, and publishes the resulting changes of the members topic."""
 
 import attrs
 
@@ -10,86 +10,89 @@
 from rooklug.model.constants import LEASE_S
 from rooklug.wire.generated.control.ttypes import RenewLeaseRequest
 
-PUBLISH_MEMBERS = "publish-members"
-PUBLISH_EARLY = "publish-early-members"
+PUBLISH_MEMBERS_TIMER = "publish-members"
+PUBLISH_PROVISIONAL_MEMBERS_TIMER = "publish-early-members"
 _LEASE_MS = int(LEASE_S * 1000)
 
 
 @attrs.define
 class LeaseService:
-    """Serves renewals on the shared state, only while this core is the primary."""
+    """Serves renewals and lease expiry; does so only while this core is the active primary."""
 
     state: MembershipState
-    _early_is_due: bool = False
+    _provisional_scheduled: bool = False
 
     def renew(self, event: ev.CallArrived, now: float) -> list[fx.Effect]:
-        """Answer a renewal with the complete set of roles that the node may hold."""
+        """Answer a renewal with the complete set of role grants of the node."""
         state, request = self.state, event.request
-        if not state.acts(now):
-            return [fx.Answer(event.call_id, state.renewal_refusal(now))]
+        if not state.is_active_primary(now):
+            return [fx.Answer(event.call_id, state.renewal_rejection(now))]
         if request.leaving:
             return self._leave(event.call_id, request, now)
         outcome = state.leases.renew(request, now)
-        if outcome is RenewalOutcome.LATE:
-            return [fx.Answer(event.call_id, state.renewal_refusal(now))]
-        state.roles.take_renewal(request, now)
+        if outcome is RenewalOutcome.STALE:
+            return [fx.Answer(event.call_id, state.renewal_rejection(now))]
+        state.roles.apply_renewal(request, now)
         if outcome is RenewalOutcome.CHANGED:
             state.roles.plan(state.leases.live(), state.drained_zones, now)
-        grants, owners_changed = state.roles.grants_for(request, now)
+        grants, owners_changed = state.roles.renew_grants(request, now)
         answer = state.renewal_grant(_LEASE_MS, grants, now)
         effects: list[fx.Effect] = [fx.Answer(event.call_id, answer)]
         if outcome is RenewalOutcome.CHANGED or owners_changed:
-            effects += self.members_changed(now)
+            effects += self.schedule_members_publication(now)
         return effects + state.request_renewal(now)
 
     def _leave(self, call_id: int, request: RenewLeaseRequest, now: float) -> list[fx.Effect]:
         state = self.state
-        state.roles.take_leave(request, now)
+        state.roles.apply_leave(request, now)
         state.leases.leave(identity_of(request.node))
         answer = state.renewal_grant(0, [], now)
-        effects = [fx.Answer(call_id, answer), *state.move_roles(now)]
-        return effects + self.members_changed(now)
+        effects = [fx.Answer(call_id, answer), *state.reassign_roles(now)]
+        return effects + self.schedule_members_publication(now)
 
     def expire(self, now: float) -> list[fx.Effect]:
-        """Drop the nodes whose leases are over, and let their roles move."""
-        gone = self.state.leases.expire(now)
-        effects = self.state.move_roles(now)
-        if not gone:
+        """Remove the nodes whose leases have expired, and reassign their roles."""
+        expired = self.state.leases.expire(now)
+        effects = self.state.reassign_roles(now)
+        if not expired:
             return effects
-        fields = {"nodes": [record.node_id for record in gone]}
-        log = fx.Log("warning", "leases expired without renewal", fields)
-        return [*effects, log, *self.members_changed(now)]
+        fields = {"nodes": [record.node_id for record in expired]}
+        log = fx.Log("warning", "leases expired without renewal; nodes removed", fields)
+        return [*effects, log, *self.schedule_members_publication(now)]
 
-    def members_changed(self, now: float) -> list[fx.Effect]:
-        """Publish the members soon; further changes until then go out with this one."""
+    def schedule_members_publication(self, now: float) -> list[fx.Effect]:
+        """Schedule a publication of the members topic, unless one is scheduled already."""
         members = self.state.members
         if not members.published:
-            return self._early_soon()
+            return self._schedule_provisional()
         if members.dirty:
             return []
         members.dirty = True
-        return [fx.StartTimer(PUBLISH_MEMBERS, members.delay(now))]
+        return [fx.StartTimer(PUBLISH_MEMBERS_TIMER, members.delay_s(now))]
 
-    def _early_soon(self) -> list[fx.Effect]:
-        if self._early_is_due:
+    def _schedule_provisional(self) -> list[fx.Effect]:
+        if self._provisional_scheduled:
             return []
-        self._early_is_due = True
-        return [fx.StartTimer(PUBLISH_EARLY, MEMBERS_BATCH_S)]
+        self._provisional_scheduled = True
+        return [fx.StartTimer(PUBLISH_PROVISIONAL_MEMBERS_TIMER, MEMBERS_BATCH_S)]
 
-    def publish_early(self, now: float) -> list[fx.Effect]:
-        """Before a term's first publication: publish to nodes that know nobody."""
-        self._early_is_due = False
+    def publish_provisional(self, now: float) -> list[fx.Effect]:
+        """Publish a provisional members body before a term's first complete one."""
+        self._provisional_scheduled = False
         state = self.state
-        if not state.acts(now) or state.members.published:
+        if not state.is_active_primary(now) or state.members.published:
             return []
-        state.members.publish_early(state.store, state.leases, state.roles)
+        state.members.publish_provisional(state.store, state.leases, state.roles)
         return state.wake(now)
 
     def publish_members(self, now: float) -> list[fx.Effect]:
-        """Publish the members topic if what matters of it has changed."""
+        """Publish the members topic if any of its published fields has changed.
+
+        A primary whose lease has lapsed tries again at the next tick.
+        """
         state = self.state
-        if not state.acts(now):
-            again = fx.StartTimer(PUBLISH_MEMBERS, TICK_S)
+        if not state.is_active_primary(now):
+            again = fx.StartTimer(PUBLISH_MEMBERS_TIMER, TICK_S)
             return [again] if state.primary.is_primary else []
         pending_polls = len(state.polls)
         published = state.members.publish(
--- a/rooklug/membership/leases.py
+++ b/rooklug/membership/leases.py
@@ -1,4 +1,4 @@
-"""The nodes' leases at the primary: soft state, rebuilt from renewals after a failover."""
+"""Node leases at the primary: soft state that renewals rebuild after a failover."""
 
 from collections import OrderedDict
 from enum import Enum
@@ -10,11 +10,12 @@
 from rooklug.wire.generated.control.ttypes import NodeRecord, RenewLeaseRequest
 
 _MAX_RETIRED_INCARNATIONS = 4096
+"""Incarnations whose delayed renewals are rejected; the oldest are dropped beyond this."""
 
 
 @attrs.frozen
 class NodeIdentity:
-    """One process of a node."""
+    """One process of a node; a restarted process has a new incarnation."""
 
     node_id: str
     incarnation: str
@@ -26,11 +27,11 @@
 
 
 class RenewalOutcome(Enum):
-    """The outcome of a renewal."""
+    """What a renewal did to the lease; the value describes the case."""
 
     RENEWED = "renewed"
     CHANGED = "renewed, and what others see of the node has changed"
-    LATE = "overtaken by a later renewal, or from a process that has ended"
+    STALE = "overtaken by a later renewal, or from a process that has ended"
 
 
 @attrs.define
@@ -42,31 +43,34 @@
 
 @attrs.define
 class LeaseTable:
-    """Leases by node. Before ``grace_until`` (monotonic seconds) no node is declared dead."""
+    """Leases by node id. No lease expires before ``grace_until`` (monotonic seconds).
+
+    Incarnations that were replaced or have left are retired: they can't renew any more.
+    """
 
     grace_until: float = 0.0
     _leases: dict[str, _NodeLease] = attrs.field(factory=dict)
     _retired: OrderedDict[NodeIdentity, None] = attrs.field(factory=OrderedDict)
 
     def start(self, now: float) -> None:
-        """Begin with no leases; nodes get one lease period to announce themselves."""
+        """Start a term without leases; nodes have one lease period to renew at this primary."""
         self._leases.clear()
         self._retired.clear()
         self.extend_grace(now)
 
     def extend_grace(self, now: float) -> None:
-        """Declare nobody dead for one lease period from ``now``."""
+        """Let no lease expire for one lease period from ``now``."""
         self.grace_until = now + NODE_LEASE_EXPIRY_S
 
     def renew(self, request: RenewLeaseRequest, now: float) -> RenewalOutcome:
-        """Take a renewal that is not a leave."""
+        """Apply a renewal; a request to leave goes to ``leave`` instead."""
         identity = identity_of(request.node)
         current = self._leases.get(identity.node_id)
         if identity in self._retired:
-            return RenewalOutcome.LATE
+            return RenewalOutcome.STALE
         if current is not None and current.record.incarnation == identity.incarnation:
             if request.sequence <= current.sequence:
-                return RenewalOutcome.LATE
+                return RenewalOutcome.STALE
         elif current is not None:
             self._retire(identity_of(current.record))
         self._leases[identity.node_id] = _NodeLease(
@@ -77,7 +81,7 @@
         return RenewalOutcome.RENEWED
 
     def leave(self, identity: NodeIdentity) -> bool:
-        """End the lease of a process that releases it; return whether there was one."""
+        """Remove the lease of a process that shuts down; return whether it had one."""
         self._retire(identity)
         current = self._leases.get(identity.node_id)
         if current is None or current.record.incarnation != identity.incarnation:
@@ -86,21 +90,21 @@
         return True
 
     def expire(self, now: float) -> list[NodeRecord]:
-        """Drop expired leases and return their records; none expire during the grace period."""
+        """Remove expired leases and return their records; there are none in the grace period."""
         if now < self.grace_until:
             return []
-        gone = [lease.record for lease in self._leases.values() if lease.expires_at <= now]
-        for record in gone:
+        expired = [lease.record for lease in self._leases.values() if lease.expires_at <= now]
+        for record in expired:
             del self._leases[record.node_id]
-        return gone
+        return expired
 
     def is_live(self, identity: NodeIdentity) -> bool:
-        """Return whether exactly this process has a lease."""
+        """Return whether this incarnation, and not only its node, has a lease."""
         current = self._leases.get(identity.node_id)
         return current is not None and current.record.incarnation == identity.incarnation
 
     def live(self) -> list[NodeRecord]:
-        """Return the records of all nodes with a lease, by node id."""
+        """Return the records of all nodes with a lease, sorted by node id."""
         return [self._leases[node_id].record for node_id in sorted(self._leases)]
 
     def __len__(self) -> int:
--- a/rooklug/membership/long_poll_registry.py
+++ b/rooklug/membership/long_poll_registry.py
@@ -1,4 +1,4 @@
-"""Long polls that are pending at the primary until something newer than the node knows is there."""
+"""Long polls that are pending at the primary until a topic has a newer version."""
 
 import attrs
 
@@ -12,17 +12,17 @@
 
 @attrs.frozen
 class PendingPoll:
-    """One poll; it is answered at monotonic time ``until`` at the latest."""
+    """A poll that has no answer yet; it ends without updates at ``expires_at`` (monotonic)."""
 
     call_id: int
     node_id: str
     known_versions: tuple[TopicMark, ...]
-    until: float
+    expires_at: float
 
 
 @attrs.frozen
 class PollReply:
-    """The updates that end a poll."""
+    """The answer to a poll; without updates if the poll ended for another reason."""
 
     call_id: int
     updates: list[TopicUpdate]
@@ -30,7 +30,7 @@
 
 @attrs.define
 class LongPollRegistry:
-    """At most one pending poll a node."""
+    """The pending polls, at most one for each node."""
 
     store: TopicStore
     _pending: dict[str, PendingPoll] = attrs.field(factory=dict)
@@ -39,7 +39,7 @@
         return len(self._pending)
 
     def poll(self, call_id: int, request: PollRequest, now: float) -> list[PollReply]:
-        """Answer a poll or keep it pending; an earlier one of the node ends without updates."""
+        """Answer a poll or keep it pending; an earlier poll of the node ends without updates."""
         replies = self._end_earlier(request.node_id)
         known_versions = tuple(request.held)
         updates = self.store.newer_than(known_versions)
@@ -52,7 +52,10 @@
         return replies
 
     def wake(self) -> list[PollReply]:
-        """Answer all polls for which something newer is there now."""
+        """Answer all polls for which the store has newer versions.
+
+        Polls with the same known versions share one list of updates.
+        """
         replies: list[PollReply] = []
         shared: dict[tuple, list[TopicUpdate]] = {}
         for poll in list(self._pending.values()):
@@ -68,13 +71,13 @@
         return replies
 
     def request_renewal(self, node_ids: list[str]) -> list[PollReply]:
-        """End the polls of these nodes without updates, which makes them renew their leases."""
+        """End the polls of these nodes without updates, so that they renew their leases now."""
         polls = [self._pending[node_id] for node_id in node_ids if node_id in self._pending]
         return [self._end(poll) for poll in polls]
 
     def expire(self, now: float) -> list[PollReply]:
-        """End the polls whose time is over without updates."""
-        overdue = [poll for poll in self._pending.values() if poll.until <= now]
+        """End the polls that have timed out, without updates."""
+        overdue = [poll for poll in self._pending.values() if poll.expires_at <= now]
         return [self._end(poll) for poll in overdue]
 
     def release_all(self) -> list[PollReply]:
--- a/rooklug/membership/members_topic.py
+++ b/rooklug/membership/members_topic.py
@@ -1,4 +1,4 @@
-"""When and how the members topic is published: in batches, as deltas, under a rate limit."""
+"""Publishes the members topic: batched, as deltas, and under a rate limit."""
 
 from collections import deque
 
@@ -24,13 +24,13 @@
 from rooklug.wire.packing import encode_packed
 
 DELTA_BASES = 4
-"""Nodes that have one of this number of previous publications get a delta."""
+"""Number of previous publications that deltas are made from; other nodes get the full body."""
 
 
 def members_body(
     leases: LeaseTable, roles: RoleTable, core_addresses: tuple[str, ...] = ()
 ) -> MembersBody:
-    """Return the live nodes, the roles that are granted to them, and where the cores are."""
+    """Return the body of the members topic: live nodes, owners of roles among them, and cores."""
     nodes = leases.live()
     addresses = {node.node_id: node.internal_address for node in nodes}
     owners = [
@@ -62,47 +62,57 @@
 
 @attrs.define
 class MembersTopic:
-    """Decides about publications of the members topic. The counter only grows in a process.
+    """Decides when the members topic is published, and builds its versions and deltas.
 
-    ``dirty``: a publication is due, and will look at everything that has changed by then.
+    ``dirty``: a publication is scheduled; it covers all changes until it happens. The version
+    counter grows for the lifetime of the process, also across terms.
     """
 
     dirty: bool = False
     core_addresses: tuple[str, ...] = ()
     _counter: int = 0
-    _next_at: float = 0.0
+    _next_publication_at: float = 0.0
     _published: deque[_Publication] = attrs.field(factory=lambda: deque(maxlen=DELTA_BASES))
 
     def start(self) -> None:
-        """Begin a term with nothing published."""
+        """Start a term: deltas of earlier terms are dropped, the first publication is due."""
         self._published.clear()
         self.dirty = True
 
     @property
     def published(self) -> bool:
-        """Whether anything has been published in this term."""
+        """Whether a complete body has been published in this term."""
         return bool(self._published)
 
-    def delay(self, now: float) -> float:
-        """Return how long a change waits for others to go out with it, in seconds."""
-        return max(MEMBERS_BATCH_S, self._next_at - now)
+    def delay_s(self, now: float) -> float:
+        """Return in how many seconds a change may be published, by batching and rate limit."""
+        return max(MEMBERS_BATCH_S, self._next_publication_at - now)
 
-    def publish_early(self, store: TopicStore, leases: LeaseTable, roles: RoleTable) -> None:
-        """Publish an incomplete list for nodes that know no member at all.
+    def publish_provisional(self, store: TopicStore, leases: LeaseTable, roles: RoleTable) -> None:
+        """Offer an incomplete body to nodes that have no members body at all.
 
-        A term's first publication waits until every live node has had time to announce itself:
-        nodes that have an earlier list must not take the others for dead. Nodes that have just
-        started have none, and without their peers they don't know their rate limits.
+        A term's first publication waits until every live node has had time to renew its lease:
+        otherwise nodes with a body of an earlier term would take the missing nodes for dead. A
+        node that has just started has no body; it can't compute its rate limits without the
+        number of its peers, so an incomplete list is better than none.
         """
         self._counter += 1
         version = VersionMark(epoch=roles.epoch, counter=self._counter)
         body = members_body(leases, roles, self.core_addresses)
-        store.offer_early(MEMBERS, version, encode_packed(body))
+        store.offer_provisional(MEMBERS, version, encode_packed(body))
 
     def publish(
-        self, store: TopicStore, leases: LeaseTable, roles: RoleTable, polls: int, now: float
+        self,
+        store: TopicStore,
+        leases: LeaseTable,
+        roles: RoleTable,
+        pending_polls: int,
+        now: float,
     ) -> bool:
-        """Put the members into the store if anything that matters has changed."""
+        """Store a new version if any published field has changed; return whether it did.
+
+        The size of the update and the number of pending polls set when the next one may follow.
+        """
         self.dirty = False
         body = members_body(leases, roles, self.core_addresses)
         fields = _fields(body)
@@ -114,9 +124,9 @@
         deltas = tuple(_delta(base, version, body) for base in self._published)
         store.offer(MEMBERS, version, full, deltas)
         self._published.append(_Publication(version, body, fields))
-        usual = deltas[-1].body if deltas else full
-        delay_s = len(usual) * polls / MEMBERS_BYTES_PER_S
-        self._next_at = now + min(delay_s, MEMBERS_MAX_DELAY_S)
+        typical = deltas[-1].body if deltas else full
+        delay_s = len(typical) * pending_polls / MEMBERS_BYTES_PER_S
+        self._next_publication_at = now + min(delay_s, MEMBERS_MAX_DELAY_S)
         return True
 
 
--- a/rooklug/membership/membership_state.py
+++ b/rooklug/membership/membership_state.py
@@ -1,4 +1,4 @@
-"""The state of membership at a core, and the answers that are made from it."""
+"""The state that the membership services share, and the answers built from it."""
 
 import attrs
 
@@ -15,7 +15,7 @@
 
 @attrs.define
 class MembershipState:
-    """The state that the services of the membership component share. All of it is in memory."""
+    """The tables and pending requests of one core. All of it is in memory."""
 
     primary: PrimaryTracker
     leases: LeaseTable = attrs.field(factory=LeaseTable)
@@ -29,28 +29,28 @@
     def __attrs_post_init__(self) -> None:
         self.polls = LongPollRegistry(self.store)
 
-    def acts(self, now: float) -> bool:
-        """Return whether this core may answer as the primary."""
-        return self.primary.acts(now)
+    def is_active_primary(self, now: float) -> bool:
+        """Return whether this core may answer as the primary at ``now``; see ``PrimaryTracker``."""
+        return self.primary.is_active_primary(now)
 
-    def move_roles(self, now: float) -> list[fx.Effect]:
-        """Choose nodes for the roles that need one, and request their renewals."""
+    def reassign_roles(self, now: float) -> list[fx.Effect]:
+        """Plan the owners of all roles, and request the renewals that let roles move."""
         self.roles.plan(self.leases.live(), self.drained_zones, now)
         return self.request_renewal(now)
 
     def request_renewal(self, now: float) -> list[fx.Effect]:
-        """Request renewals of the nodes whose roles can move on."""
+        """End the polls of nodes whose next renewal lets a role move, so that they renew now."""
         nodes = self.roles.nodes_to_renew(now)
         return self.poll_answers(self.polls.request_renewal(nodes), now) if nodes else []
 
-    def renewal_refusal(self, now: float) -> ttypes.RenewLeaseAnswer:
-        """Return the answer to a renewal that brings no lease."""
+    def renewal_rejection(self, now: float) -> ttypes.RenewLeaseAnswer:
+        """Return the answer to a renewal that is rejected."""
         return self._renewal_answer(0, [], now, granted=False)
 
     def renewal_grant(
         self, lease_ms: int, grants: list[ttypes.RoleGrant], now: float
     ) -> ttypes.RenewLeaseAnswer:
-        """Return the answer to a renewal with its lease, and the roles that the node owns."""
+        """Return the answer that grants a lease, with all role grants of the node."""
         return self._renewal_answer(lease_ms, grants, now, granted=True)
 
     def _renewal_answer(
@@ -66,8 +66,8 @@
         )
 
     def poll_answers(self, replies: list[PollReply], now: float) -> list[fx.Effect]:
-        """Return the answers that end polls."""
-        reachable = self.acts(now)
+        """Return the effects that answer polls."""
+        reachable = self.is_active_primary(now)
         address = self.primary.address(now)
         return [
             fx.Answer(
@@ -78,11 +78,11 @@
         ]
 
     def wake(self, now: float) -> list[fx.Effect]:
-        """Answer the polls for which something newer is there."""
-        return self.poll_answers(self.polls.wake(), now) if self.acts(now) else []
+        """Answer the polls for which the store has newer versions, if this core is the primary."""
+        return self.poll_answers(self.polls.wake(), now) if self.is_active_primary(now) else []
 
     def decision_answers(self, replies: list[DecisionReply], now: float) -> list[fx.Effect]:
-        """Return the answers that end reads of decisions."""
+        """Return the effects that answer reads of decisions."""
         address = self.primary.address(now)
         return [
             fx.Answer(
@@ -97,15 +97,15 @@
             for reply in replies
         ]
 
-    def decisions_refused(self, call_id: int, now: float) -> fx.Effect:
-        """Return the answer to a read of decisions where there are none."""
+    def decisions_rejection(self, call_id: int, now: float) -> fx.Effect:
+        """Return the answer to a read of decisions that isn't served by this core."""
         answer = ttypes.ReadDecisionsAnswer(
             decisions=[], primary_address=self.primary.address(now), ok=False, gap=False
         )
         return fx.Answer(call_id, answer)
 
     def release_all(self, now: float) -> list[fx.Effect]:
-        """End all pending polls and reads: this core can't confirm any more that it is current."""
+        """End all pending polls and reads: this core can't prove that its data is current."""
         poll_answers = self.poll_answers(self.polls.release_all(), now)
-        refusals = [self.decisions_refused(call, now) for call in self.decisions.release_all()]
-        return poll_answers + refusals
+        rejections = [self.decisions_rejection(call, now) for call in self.decisions.release_all()]
+        return poll_answers + rejections
--- a/rooklug/membership/primary_tracker.py
+++ b/rooklug/membership/primary_tracker.py
@@ -11,51 +11,56 @@
 
 @attrs.define
 class PrimaryTracker:
-    """Who is primary as far as this core knows, from the events of replication.
+    """Which core is the primary, as far as this core knows from replication's events.
 
-    ``epoch`` is that of this core's own term, and stays so until its next one: nodes take
-    it as the proof that a core answered within that term. ``until`` is the monotonic time
-    at which this core's own lease as the primary ends.
+    ``epoch`` is the epoch of this core's latest term as the primary. A ``PrimaryKnown`` of
+    another core doesn't change it: nodes take the epoch of an answer as proof that it was given
+    in that term. ``lease_expires_at`` is the monotonic time at which this core's own lease as
+    the primary ends. ``known_epoch`` and ``known_address`` are those of the latest primary that
+    replication reported.
     """
 
     own_address: str
     epoch: int = 0
     is_primary: bool = False
-    until: float = 0.0
+    lease_expires_at: float = 0.0
     known_epoch: int = 0
     known_address: str = ""
 
-    def acts(self, now: float) -> bool:
-        """Return whether this core may answer as the primary at ``now``."""
-        return self.is_primary and now < self.until
+    def is_active_primary(self, now: float) -> bool:
+        """Return whether this core is the primary and its lease is valid at ``now``."""
+        return self.is_primary and now < self.lease_expires_at
 
     def address(self, now: float) -> str:
-        """Return where callers should go: the primary's address, or "" while unknown."""
+        """Return the primary's address for redirects, or "" while it is unknown."""
         if self.is_primary:
-            return self.own_address if self.acts(now) else ""
+            return self.own_address if self.is_active_primary(now) else ""
         return "" if self.known_address == self.own_address else self.known_address
 
     def start(self, event: PrimaryStarted) -> None:
-        """Begin a term, which may act once its lease is announced, or go on in a new view."""
+        """Start a term, or continue it in a new view.
+
+        A new term is inactive until its first ``PrimaryLeaseExtended``.
+        """
         if not self.is_primary:
-            self.until = 0.0
+            self.lease_expires_at = 0.0
         self.epoch = event.epoch
         self.is_primary = True
 
     def extend(self, event: PrimaryLeaseExtended) -> None:
-        """Take a longer lease of the present term; one of another epoch is ignored."""
+        """Extend the lease of the present term; an extension of another epoch is ignored."""
         if self.is_primary and event.epoch == self.epoch:
-            self.until = max(self.until, event.until)
+            self.lease_expires_at = max(self.lease_expires_at, event.until)
 
     def stop(self) -> None:
-        """End the term; what was learned of a later primary stays."""
+        """End the term; the address of a later primary stays known."""
         self.is_primary = False
-        self.until = 0.0
+        self.lease_expires_at = 0.0
         if self.known_epoch < self.epoch:
             self.known_address = ""
 
-    def learn(self, event: PrimaryKnown) -> None:
-        """Remember where the primary is; an update of an older epoch is ignored."""
+    def record_primary(self, event: PrimaryKnown) -> None:
+        """Record the primary's address; a report of an older epoch is ignored."""
         if event.epoch < max(self.epoch, self.known_epoch):
             return
         self.known_epoch = event.epoch
--- a/rooklug/membership/publications.py
+++ b/rooklug/membership/publications.py
@@ -1,4 +1,4 @@
-"""Publications of role owners: who may publish which topic, and under which version."""
+"""Publications of role owners: checks of the fencing token, and versions of their bodies."""
 
 from enum import Enum
 
@@ -13,16 +13,18 @@
 SEQUENCE_BITS = 32
 """A publication's version is (token epoch, token counter << 32 | sequence).
 
-It is the same at every primary, so a body that is announced again after a failover wakes
-no node that has it, and a late older one never passes for a newer one.
+It doesn't depend on the primary. A body that its owner publishes again after a failover keeps
+its version, so nodes that have it aren't updated again, and a delayed older publication can't
+replace a newer one.
 """
 
 _SEQUENCE_LIMIT = 1 << SEQUENCE_BITS
 _TOKEN_COUNTER_LIMIT = 1 << 30
+"""Keeps the version's counter, ``counter << SEQUENCE_BITS``, within a signed 64-bit field."""
 
 
-class PublishRefusal(Enum):
-    """Why a publication is rejected; the value goes into the answer."""
+class PublishRejection(Enum):
+    """Why a publication is rejected; the value is the ``reason`` of the answer."""
 
     NOT_PRIMARY = "this core is not the primary"
     WRONG_ROLE = "this role does not publish this topic"
@@ -32,35 +34,38 @@
 
 
 def publication_version(token: VersionMark, sequence: int) -> VersionMark:
-    """Return the version of a publication."""
+    """Return the topic version of a publication; see ``SEQUENCE_BITS``."""
     return VersionMark(epoch=token.epoch, counter=(token.counter << SEQUENCE_BITS) | sequence)
 
 
 @attrs.define
 class Publications:
-    """Checks publications and puts them into the store."""
+    """Validates publications and stores their bodies."""
 
     store: TopicStore
     roles: RoleTable
 
-    def publish(self, request: PublishRequest, now: float) -> PublishRefusal | None:
-        """Take a publication, or say why not. A repeat is taken again without effect."""
-        refusal = self._check(request, now)
-        if refusal is not None:
-            return refusal
+    def publish(self, request: PublishRequest, now: float) -> PublishRejection | None:
+        """Store a publication and return None, or return why it is rejected.
+
+        A repeat of the stored one is accepted without effect, so that owners can retry.
+        """
+        rejection = self._check(request, now)
+        if rejection is not None:
+            return rejection
         version = publication_version(request.token, request.sequence)
         current = self.store.version(request.topic)
         if version_key(version) < version_key(current):
-            return PublishRefusal.OLD_SEQUENCE
+            return PublishRejection.OLD_SEQUENCE
         self.store.offer(request.topic, version, request.body)
         return None
 
-    def _check(self, request: PublishRequest, now: float) -> PublishRefusal | None:
+    def _check(self, request: PublishRequest, now: float) -> PublishRejection | None:
         if PUBLISHERS.get(request.topic) != request.role_key:
-            return PublishRefusal.WRONG_ROLE
-        if not self.roles.current(request.role_key, request.token, now):
-            return PublishRefusal.STALE_TOKEN
+            return PublishRejection.WRONG_ROLE
+        if not self.roles.is_current(request.role_key, request.token, now):
+            return PublishRejection.STALE_TOKEN
         in_range = 0 < request.sequence < _SEQUENCE_LIMIT
         if not in_range or request.token.counter >= _TOKEN_COUNTER_LIMIT:
-            return PublishRefusal.BAD_SEQUENCE
+            return PublishRejection.BAD_SEQUENCE
         return None
--- a/rooklug/membership/role_planning.py
+++ b/rooklug/membership/role_planning.py
@@ -1,4 +1,4 @@
-"""Which singleton roles have to move, and where to. A role stays unless it has to move."""
+"""Plans the owners of singleton roles. A role stays with its owner unless it has to move."""
 
 from collections.abc import Sequence
 
@@ -8,28 +8,29 @@
 from rooklug.membership.selection import Load, choose_node, is_draining
 from rooklug.wire.generated.control.ttypes import NodeRecord, VersionMark
 
-_UNEVEN_BY = 2
+_MIN_IMBALANCE = 2
+"""Difference of owned roles from which rebalancing moves one; it needs as many candidates."""
 
 
 @attrs.define
 class RoleState:
-    """One singleton role, as the primary knows it.
+    """One singleton role, as the primary sees it.
 
     Attributes
     ----------
     free_at
-        From this monotonic time on no earlier owner can believe that it owns the role.
+        Monotonic time from which no earlier owner can still hold a valid grant.
     owner, token
-        Whom the role is granted to, under which fencing token.
+        The process that the role is granted to, and the fencing token of the grant.
     confirmed
-        Whether ``token`` is known to be the newest; an announced one is so only once its owner
-        announced it again after this primary's first answer.
+        Whether ``token`` is known to be the newest. A grant of an earlier primary is so only once
+        its owner has announced it after an answer of this primary's term.
     revoked
-        The grant is not extended any more, so that the role can move.
+        Whether the grant is no longer extended, so that the role can move.
     next_owner
-        The node that gets the role next, "" for none.
+        Id of the node that gets the role next, or "".
     renewal_requested_from
-        The node whose renewal was last requested for this role.
+        Id of the node whose renewal was last requested for this role, or "".
     """
 
     key: str
@@ -42,15 +43,22 @@
     renewal_requested_from: str = ""
 
     def vacate(self, now: float) -> None:
-        """The owner certainly has released it; an unconfirmed one may have a successor."""
+        """Remove the owner, which has released the role.
+
+        The role is free at once only if its token was confirmed; otherwise a later grant of the
+        earlier primary may still be valid.
+        """
         if self.confirmed:
             self.free_at = now
         self.owner = None
         self.revoked = False
         self.renewal_requested_from = ""
 
-    def node_to_renew(self, now: float) -> str:
-        """Return the node whose renewal would move the role now, once for each node; else ""."""
+    def next_node_to_renew(self, now: float) -> str:
+        """Return the node whose renewal would let the role move now, or "".
+
+        Each node is returned once, and recorded in ``renewal_requested_from``.
+        """
         node_id = ""
         if self.revoked and self.owner is not None:
             node_id = self.owner.node_id
@@ -63,7 +71,7 @@
 
     @property
     def planned_owner(self) -> str:
-        """Return the node that is to have it: the next owner, else an owner that stays."""
+        """The node that is to own the role: the next owner, else an owner whose grant stays."""
         if self.next_owner:
             return self.next_owner
         return self.owner.node_id if self.owner and not self.revoked else ""
@@ -76,13 +84,14 @@
     *,
     rebalance: bool,
 ) -> None:
-    """Choose nodes for the roles of one group among its live ``members``.
+    """Choose owners for the roles of one group among its live ``members``.
 
-    ``rebalance``: one role may move although its owner could go on.
+    Draining nodes are avoided as long as any other node is ready. With ``rebalance`` one role
+    may move from an owner that could keep it.
     """
     ready = [node for node in members if node.ready]
-    staying = [node for node in ready if not is_draining(node, drained_zones)]
-    candidates = staying or ready
+    not_draining = [node for node in ready if not is_draining(node, drained_zones)]
+    candidates = not_draining or ready
     live = {identity_of(node): node for node in members}
     candidate_ids = {node.node_id for node in candidates}
     for state in states:
@@ -90,36 +99,36 @@
             state.next_owner = ""
         owner = live.get(state.owner) if state.owner else None
         if owner is not None:
-            drains = bool(staying) and is_draining(owner, drained_zones)
+            drains = bool(not_draining) and is_draining(owner, drained_zones)
             state.revoked = drains or (state.revoked and state.next_owner != "")
-    _choose_for_vacant(states, candidates, live)
+    _assign_vacant_roles(states, candidates, live)
     if rebalance:
-        _move_one(states, candidates)
+        _rebalance_one_role(states, candidates)
 
 
-def _choose_for_vacant(
+def _assign_vacant_roles(
     states: Sequence[RoleState],
     candidates: Sequence[NodeRecord],
     live: dict[NodeIdentity, NodeRecord],
 ) -> None:
     for state in states:
-        stays = state.owner in live and not state.revoked
-        if stays or state.next_owner:
+        keeps_owner = state.owner in live and not state.revoked
+        if keeps_owner or state.next_owner:
             continue
         owners = [other.planned_owner for other in states if other is not state]
         load = Load.of(owners, candidates)
         state.next_owner = choose_node(state.key, candidates, load, len(states))
 
 
-def _move_one(states: Sequence[RoleState], candidates: Sequence[NodeRecord]) -> None:
-    """Move one role from the node with most to the one with fewest, if they are uneven."""
-    if len(candidates) < _UNEVEN_BY or any(state.next_owner for state in states):
+def _rebalance_one_role(states: Sequence[RoleState], candidates: Sequence[NodeRecord]) -> None:
+    """Move one role from the most to the least loaded node, if no other move is planned."""
+    if len(candidates) < _MIN_IMBALANCE or any(state.next_owner for state in states):
         return
     load = Load.of((state.planned_owner for state in states), candidates).by_node
     ordered = sorted(candidates, key=lambda node: (load[node.node_id], node.node_id))
-    fewest, most = ordered[0].node_id, ordered[-1].node_id
-    if load[most] - load[fewest] < _UNEVEN_BY:
+    least_loaded, most_loaded = ordered[0].node_id, ordered[-1].node_id
+    if load[most_loaded] - load[least_loaded] < _MIN_IMBALANCE:
         return
-    moved = next(state for state in states if state.planned_owner == most)
-    moved.revoked = True
-    moved.next_owner = fewest
+    moving = next(state for state in states if state.planned_owner == most_loaded)
+    moving.revoked = True
+    moving.next_owner = least_loaded
--- a/rooklug/membership/roles.py
+++ b/rooklug/membership/roles.py
@@ -1,8 +1,8 @@
 """Singleton roles at the primary: the owner, the fencing token and the lease of each.
 
-The table is soft state of one primary. A role is granted only to the node that was chosen
-for it, in the answer to that node's renewal, and only once the previous owner's lease has
-surely ended by this core's clock or was given back.
+The table is soft state of one primary's term. A role is granted only to the node that planning
+chose for it, in the answer to that node's renewal, and only once the previous owner's grant has
+expired by this core's clock, with a margin for clock drift, or was released.
 """
 
 from collections.abc import Sequence
@@ -13,7 +13,7 @@
     REBALANCE_INTERVAL_S,
     ROLE_LEASE_EXPIRY_S,
     UNANNOUNCED_GRANTS_EXPIRY_S,
-    longest_by_any_clock,
+    with_clock_drift_margin,
 )
 from rooklug.model.constants import ROLE_LEASE_S
 from rooklug.model.topics import (
@@ -44,43 +44,47 @@
     ),
     FRONT: tuple(f"{ROLE_CLAIMS_PREFIX}{shard}" for shard in range(CLAIM_SHARDS)),
 }
-"""The role keys by the node role that may hold them."""
+"""Role keys by the role of the nodes that may own them."""
 
 
 class RoleTable:
-    """All singleton roles of one primary's term."""
+    """All singleton roles of one primary's term.
+
+    Until ``announcement_deadline`` (monotonic seconds) owners announce grants of earlier terms,
+    and no role is granted anew: such a grant may still be valid.
+    """
 
     def __init__(self) -> None:
         self.epoch = 0
-        self._first_epoch = 0
-        self.announced_until = 0.0
+        self._term_start_epoch = 0
+        self.announcement_deadline = 0.0
         self._counter = 0
-        self._next_rebalance = 0.0
+        self._next_rebalance_at = 0.0
         self._states: dict[str, RoleState] = {}
         self._groups: dict[str, list[RoleState]] = {}
 
     def start(self, epoch: int, now: float) -> None:
-        """Begin a term: nothing is known, nothing is granted until earlier grants have expired."""
+        """Start a term without owners; no role is granted before earlier grants have expired."""
         self.epoch = epoch
-        self._first_epoch = epoch
-        self.announced_until = now + UNANNOUNCED_GRANTS_EXPIRY_S
-        self._next_rebalance = self.announced_until + REBALANCE_INTERVAL_S
+        self._term_start_epoch = epoch
+        self.announcement_deadline = now + UNANNOUNCED_GRANTS_EXPIRY_S
+        self._next_rebalance_at = self.announcement_deadline + REBALANCE_INTERVAL_S
         self._groups = {
-            group: [RoleState(key, self.announced_until) for key in keys]
+            group: [RoleState(key, self.announcement_deadline) for key in keys]
             for group, keys in ROLE_GROUPS.items()
         }
         self._states = {state.key: state for states in self._groups.values() for state in states}
 
     def raise_epoch(self, epoch: int) -> None:
-        """Go on in a new view of the same primary: new tokens carry the new epoch."""
+        """Continue in a new view of the same primary; new tokens carry its epoch."""
         self.epoch = epoch
 
     def states(self) -> list[RoleState]:
-        """Return all roles by key."""
+        """Return the states of all roles, sorted by key."""
         return [self._states[key] for key in sorted(self._states)]
 
-    def current(self, role_key: str, token: VersionMark, now: float) -> bool:
-        """Return whether ``token`` is the grant of ``role_key`` that is valid now."""
+    def is_current(self, role_key: str, token: VersionMark, now: float) -> bool:
+        """Return whether ``role_key`` is granted under ``token`` at ``now`` and confirmed."""
         state = self._states.get(role_key)
         return (
             state is not None
@@ -90,26 +94,26 @@
             and now < state.free_at
         )
 
-    def take_renewal(self, request: RenewLeaseRequest, now: float) -> None:
-        """Learn from the grants that a process announces, and from those it no longer mentions."""
+    def apply_renewal(self, request: RenewLeaseRequest, now: float) -> None:
+        """Record the grants that a process announces; release those that it no longer holds."""
         identity = identity_of(request.node)
         announced = {grant.role_key: grant for grant in request.held_grants}
         for state in self._states.values():
             grant = announced.get(state.key)
             if grant is not None:
-                self._take_announced(state, identity, grant, request.seen_epoch, now)
+                self._apply_announced_grant(state, identity, grant, request.seen_epoch, now)
             elif state.owner == identity:
                 state.vacate(now)
 
-    def take_leave(self, request: RenewLeaseRequest, now: float) -> None:
-        """Free the roles of a process that releases its lease."""
-        self.take_renewal(request, now)
+    def apply_leave(self, request: RenewLeaseRequest, now: float) -> None:
+        """Release all roles of a process that gives up its lease."""
+        self.apply_renewal(request, now)
         identity = identity_of(request.node)
         for state in self._states.values():
             if state.owner == identity:
                 state.vacate(now)
 
-    def _take_announced(
+    def _apply_announced_grant(
         self,
         state: RoleState,
         identity: NodeIdentity,
@@ -118,26 +122,32 @@
         now: float,
     ) -> None:
         if state.owner == identity and state.token == grant.token:
-            # Sent after this term began, while the old grant was valid and not extended by
-            # us: the previous primary can't have given the role to anybody else.
-            state.confirmed = state.confirmed or seen_epoch >= self._first_epoch
+            # A renewal that was sent after this term began announces a grant that was still
+            # valid then and that this primary hasn't extended, so the previous primary can't
+            # have granted the role to another node.
+            state.confirmed = state.confirmed or seen_epoch >= self._term_start_epoch
             return
-        announced_in_time = now < self.announced_until and grant.token.epoch < self._first_epoch
+        announced_in_time = (
+            now < self.announcement_deadline and grant.token.epoch < self._term_start_epoch
+        )
         known = state.token
         if not announced_in_time or (known is not None and not is_newer(grant.token, known)):
             return
         state.owner = identity
         state.token = grant.token
-        state.confirmed = seen_epoch >= self._first_epoch
+        state.confirmed = seen_epoch >= self._term_start_epoch
         state.revoked = False
         state.next_owner = ""
         remaining_s = min(grant.lease_ms / 1000, ROLE_LEASE_S)
-        state.free_at = max(self.announced_until, now + longest_by_any_clock(remaining_s))
+        state.free_at = max(self.announcement_deadline, now + with_clock_drift_margin(remaining_s))
 
-    def grants_for(self, request: RenewLeaseRequest, now: float) -> tuple[list[RoleGrant], bool]:
-        """Return the complete set of grants for this process, and whether an owner changed."""
+    def renew_grants(self, request: RenewLeaseRequest, now: float) -> tuple[list[RoleGrant], bool]:
+        """Grant and extend the roles of this process.
+
+        Returns the complete set of its grants, and whether the owner of any role changed.
+        """
         identity = identity_of(request.node)
-        left_ms = {grant.role_key: grant.lease_ms for grant in request.held_grants}
+        remaining_ms = {grant.role_key: grant.lease_ms for grant in request.held_grants}
         grants: list[RoleGrant] = []
         changed = False
         for state in self._states.values():
@@ -145,7 +155,7 @@
                 changed = self._grant_new(state, identity, now) or changed
             if state.owner != identity or state.revoked:
                 continue
-            grants.append(self._extend(state, left_ms.get(state.key, 0), now))
+            grants.append(self._extend(state, remaining_ms.get(state.key, 0), now))
         return grants, changed
 
     def _grant_new(self, state: RoleState, identity: NodeIdentity, now: float) -> bool:
@@ -160,25 +170,29 @@
         state.renewal_requested_from = ""
         return True
 
-    def _extend(self, state: RoleState, left_ms: int, now: float) -> RoleGrant:
+    def _extend(self, state: RoleState, remaining_ms: int, now: float) -> RoleGrant:
         if not state.confirmed:
-            lease_ms = min(left_ms, ROLE_LEASE_MS)
+            lease_ms = min(remaining_ms, ROLE_LEASE_MS)
             return RoleGrant(role_key=state.key, token=state.token, lease_ms=lease_ms)
         state.free_at = now + ROLE_LEASE_EXPIRY_S
         return RoleGrant(role_key=state.key, token=state.token, lease_ms=ROLE_LEASE_MS)
 
     def nodes_to_renew(self, now: float) -> list[str]:
-        """Return the nodes whose renewal lets a role move without delay."""
-        nodes = {state.node_to_renew(now) for state in self._states.values()}
+        """Return the ids of the nodes whose renewals would let roles move now, each once."""
+        nodes = {state.next_node_to_renew(now) for state in self._states.values()}
         return sorted(nodes - {""})
 
     def plan(self, nodes: Sequence[NodeRecord], drained_zones: frozenset[str], now: float) -> None:
-        """Choose a node for each role without one, and let roles of draining nodes move."""
-        if now < self.announced_until:
+        """Plan the owners of all roles among the live ``nodes``.
+
+        Does nothing before ``announcement_deadline``; every ``REBALANCE_INTERVAL_S`` it may also
+        move a role of each group for balance.
+        """
+        if now < self.announcement_deadline:
             return
-        rebalance = now >= self._next_rebalance
+        rebalance = now >= self._next_rebalance_at
         if rebalance:
-            self._next_rebalance = now + REBALANCE_INTERVAL_S
+            self._next_rebalance_at = now + REBALANCE_INTERVAL_S
         for group, states in self._groups.items():
             members = [node for node in nodes if node.role == group]
             plan_group(states, members, drained_zones, rebalance=rebalance)
--- a/rooklug/membership/timing.py
+++ b/rooklug/membership/timing.py
@@ -1,44 +1,48 @@
-"""Timing of the core's side of membership, in seconds; a node counts from its own sends."""
+"""Timing of membership at the core, in seconds.
+
+A node counts the validity of its lease and grants from the time at which it sent the renewal;
+the core counts from the receipt, which is later, and adds a margin for clock drift.
+"""
 
 from rooklug.model.constants import LEASE_S, ROLE_LEASE_S
 
-CLOCK_DRIFT = 0.02
-"""Largest relative difference between the rates of two machines' clocks that is allowed for."""
+MAX_CLOCK_DRIFT = 0.02
+"""Largest relative difference between the clock rates of two machines that leases tolerate."""
 
 TICK_S = 0.25
-"""How often expired leases, free roles and overdue polls are looked for."""
+"""Interval of the checks for expired leases, roles that can move, and polls that time out."""
 
 MEMBERS_BATCH_S = 0.1
-"""Changes of membership within this time go out as one body."""
+"""Changes of membership within this time are published as one version."""
 
 MEMBERS_BYTES_PER_S = 20_000_000
-"""Rate limit of publications of the members topic: bytes to all pending polls together."""
+"""Rate limit of members publications: bytes sent to all pending polls together."""
 
 MEMBERS_MAX_DELAY_S = 0.8
-"""The rate limit never delays a change of membership for longer."""
+"""Longest time for which the rate limit delays a change of membership."""
 
 CONFIGURATION_BATCH_S = 0.1
-"""Configurations committed within this time of one another go out as one update."""
+"""Minimum interval between configuration updates; only the newest is published after it."""
 
 REBALANCE_INTERVAL_S = 10.0
-"""At most one role is moved for balance in this time."""
+"""At most one role of each group is moved for balance in this time."""
 
 
-def longest_by_any_clock(duration_s: float) -> float:
-    """Return how long to wait by this clock until ``duration_s`` is over by any other."""
-    return duration_s * (1.0 + CLOCK_DRIFT)
+def with_clock_drift_margin(duration_s: float) -> float:
+    """Return the wait by this machine's clock after which ``duration_s`` is over by any other."""
+    return duration_s * (1.0 + MAX_CLOCK_DRIFT)
 
 
-NODE_LEASE_EXPIRY_S = longest_by_any_clock(LEASE_S)
-"""From the receipt of a renewal until the node counts as dead."""
+NODE_LEASE_EXPIRY_S = with_clock_drift_margin(LEASE_S)
+"""Time from the receipt of a renewal until the node's lease expires at the primary."""
 
-ROLE_LEASE_EXPIRY_S = longest_by_any_clock(ROLE_LEASE_S)
-"""From the receipt of a renewal until its role grants have certainly expired."""
+ROLE_LEASE_EXPIRY_S = with_clock_drift_margin(ROLE_LEASE_S)
+"""Time from the receipt of a renewal until its role grants have expired at the node."""
 
 UNANNOUNCED_GRANTS_EXPIRY_S = ROLE_LEASE_EXPIRY_S
-"""From the start of a primary until no grant of an earlier primary can still be valid.
+"""Time from the start of a primary until no grant of an earlier primary can still be valid.
 
-Replication starts a primary only after the lease of any earlier one is certainly over: its
-witnesses stay quiet for as long before they promise. An earlier primary granted nothing
-after that, so only the length of a grant is left to wait for.
+Replication starts a primary only after the lease of any earlier primary has expired: its
+witnesses wait that long before they promise their votes. An earlier primary grants nothing after
+its lease, so only the length of one role grant is left to wait for.
 """
--- a/rooklug/membership/topic_store.py
+++ b/rooklug/membership/topic_store.py
@@ -1,4 +1,4 @@
-"""The newest body of each topic at the primary, and what a poll gets of it: full or delta."""
+"""The newest body of each topic at the primary, and the choice of full body or delta."""
 
 import attrs
 
@@ -9,7 +9,7 @@
 
 @attrs.frozen
 class StoredTopic:
-    """One topic: its full body, and deltas by the key of the version that they start from."""
+    """The full body of a topic, and its deltas by the key of their base version."""
 
     full: TopicUpdate
     deltas: dict[tuple[int, int], TopicUpdate] = attrs.field(factory=dict)
@@ -17,14 +17,14 @@
 
 @attrs.define
 class TopicStore:
-    """Bodies by topic; an older version never replaces a newer one."""
+    """Bodies by topic. An older version never replaces a newer one."""
 
     _topics: dict[str, StoredTopic] = attrs.field(factory=dict)
-    _early: dict[str, TopicUpdate] = attrs.field(factory=dict)
+    _provisional: dict[str, TopicUpdate] = attrs.field(factory=dict)
 
-    def offer_early(self, topic: str, version: VersionMark, body: bytes) -> None:
-        """Keep an incomplete body for nodes that know nothing of the topic, until ``offer``."""
-        self._early[topic] = TopicUpdate(topic=topic, version=version, body=body)
+    def offer_provisional(self, topic: str, version: VersionMark, body: bytes) -> None:
+        """Store an incomplete body for nodes without any body of the topic, until ``offer``."""
+        self._provisional[topic] = TopicUpdate(topic=topic, version=version, body=body)
 
     def offer(
         self,
@@ -33,27 +33,27 @@
         body: bytes,
         deltas: tuple[TopicUpdate, ...] = (),
     ) -> bool:
-        """Store a body if its version is newer than the stored one; return whether it was."""
+        """Store a body if its version is newer than the stored one; return whether it is."""
         if not is_newer(version, self.version(topic)):
             return False
         full = TopicUpdate(topic=topic, version=version, body=body)
         by_base = {version_key(delta.patch_base): delta for delta in deltas}
         self._topics[topic] = StoredTopic(full, by_base)
-        self._early.pop(topic, None)
+        self._provisional.pop(topic, None)
         return True
 
     def forget(self, topic: str) -> None:
-        """Drop a topic's body."""
+        """Drop the bodies of a topic, also a provisional one."""
         self._topics.pop(topic, None)
-        self._early.pop(topic, None)
+        self._provisional.pop(topic, None)
 
     def version(self, topic: str) -> VersionMark:
-        """Return the newest version of a topic, or the zero version."""
+        """Return the version of the stored body, or the zero version without one."""
         stored = self._topics.get(topic)
         return stored.full.version if stored else ZERO_VERSION
 
     def versions(self) -> list[TopicMark]:
-        """Return the newest versions of the topics that have a body."""
+        """Return the stored versions, in the order of ``ALL_TOPICS``."""
         return [
             TopicMark(topic=topic, version=self._topics[topic].full.version)
             for topic in ALL_TOPICS
@@ -61,22 +61,25 @@
         ]
 
     def newer_than(self, known: tuple[TopicMark, ...]) -> list[TopicUpdate]:
-        """Return the updates of exactly those topics that are newer than ``known``."""
+        """Return an update for each topic of ``known`` whose stored version is newer.
+
+        Topics that ``known`` doesn't list are left out: the node doesn't subscribe to them.
+        """
         newer = [
             self._update_for(entry)
             for entry in known
             if entry.topic in self._topics and is_newer(self.version(entry.topic), entry.version)
         ]
         return newer + [
-            self._early[entry.topic] for entry in known if self._takes_early_body(entry)
+            self._provisional[entry.topic] for entry in known if self._needs_provisional_body(entry)
         ]
 
-    def _takes_early_body(self, known: TopicMark) -> bool:
-        """Return whether a node has nothing better than the early body of a topic."""
-        early = self._early.get(known.topic)
-        if early is None or not is_newer(early.version, known.version):
+    def _needs_provisional_body(self, known: TopicMark) -> bool:
+        """Return whether the node has no body of the topic, or an older one of the same epoch."""
+        provisional = self._provisional.get(known.topic)
+        if provisional is None or not is_newer(provisional.version, known.version):
             return False
-        return known.version.epoch in (ZERO_VERSION.epoch, early.version.epoch)
+        return known.version.epoch in (ZERO_VERSION.epoch, provisional.version.epoch)
 
     def _update_for(self, known: TopicMark) -> TopicUpdate:
         stored = self._topics[known.topic]
--- a/scripts/trace_behaviour.py
+++ b/scripts/trace_behaviour.py
@@ -27,6 +27,7 @@
     "HttpBodyPiece": "HttpBodyChunk",
     "HttpResponseEnded": "HttpResponseCompleted",
     "HttpStreamPiece": "HttpStreamChunk",
+    "RenewSoon": "RenewalRequested",
 }
 """Earlier class name to present one, for each class that a trace prints."""
 
@@ -41,11 +42,14 @@
     "drops members that are late": "removing late members from the in-sync set",
     "leads a view": "became primary of a view",
     "leads no more": "lost leadership",
+    "leases expired without renewal": "leases expired without renewal; nodes removed",
     "leases have ended without a renewal": "leases expired without renewal",
     "nothing published: no grant": "publication dropped: no valid grant",
+    "publication rejected": "publication rejected by the primary; retrying",
     "the witness votes again": "witness may vote again",
     "this core takes part no more": "stopped participating",
     "this disk begins a new life": "disk starts a new incarnation",
+    "topic update rejected": "topic update rejected; polling again",
 }
 """Earlier log message to present one."""
 
--- a/tests/test_distribution_core_link.py
+++ b/tests/test_distribution_core_link.py
@@ -9,8 +9,8 @@
 from rooklug.distribution.core_finder import CoreFinder
 from rooklug.distribution.core_link import CoreLink
 from rooklug.distribution.document_delta import apply_delta
-from rooklug.distribution.link_events import LeaseReleased, RenewSoon
-from rooklug.distribution.timing import BACKOFF_LIMIT_S, START_BACKOFF_LIMIT_S
+from rooklug.distribution.link_events import LeaseReleased, RenewalRequested
+from rooklug.distribution.timing import MAX_BACKOFF_S, MAX_STARTING_BACKOFF_S
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
 from rooklug.engine.component import EmitEvent
@@ -108,7 +108,7 @@
     def test_a_leaving_process_follows_the_topics_to_its_end(self) -> None:
         poll = self.poll(9.0)
         self.link.handle(ev.StopRequested(), 10.0)
-        self.assertEqual(self.link.handle(RenewSoon(), 10.1), [])
+        self.assertEqual(self.link.handle(RenewalRequested(), 10.1), [])
         zones = TopicUpdate(ZONES, VersionMark(3, 1), None, encode(ttypes.ZonesBody(["z"])))
         effects = self.updates(poll, 10.2, zones)
         self.assertEqual(len(told(effects, TopicChanged)), 1)
@@ -195,7 +195,7 @@
 
     def test_an_early_empty_answer_asks_for_a_renewal_and_is_paced(self) -> None:
         effects = self.updates(self.poll(1.0), 1.1)
-        self.assertEqual(len(told(effects, RenewSoon)), 1)
+        self.assertEqual(len(told(effects, RenewalRequested)), 1)
         self.assertEqual(calls(effects, ttypes.PollRequest), [])
         effects = self.updates(self.poll(2.0), 12.0)
         self.assertEqual(len(calls(effects, ttypes.PollRequest)), 1)
@@ -263,9 +263,9 @@
         tried = set()
         for _ in SEEDS:
             tried.add(finder.address)
-            finder.failed(finder.address)
+            finder.record_failure(finder.address)
         self.assertEqual(tried, set(SEEDS))
-        finder.redirected(finder.address, "core-x:1")
+        finder.record_redirect(finder.address, "core-x:1")
         self.assertEqual(finder.address, "core-x:1")
 
     def test_two_cores_that_name_each_other_are_not_asked_in_a_hot_loop(self) -> None:
@@ -273,17 +273,17 @@
         pauses = []
         for _ in range(10):
             other = SEEDS[(SEEDS.index(finder.address) + 1) % 3]
-            pauses.append(finder.redirected(finder.address, other))
-        self.assertGreaterEqual(min(pauses[5:]), BACKOFF_LIMIT_S / 2)
+            pauses.append(finder.record_redirect(finder.address, other))
+        self.assertGreaterEqual(min(pauses[5:]), MAX_BACKOFF_S / 2)
 
     def test_a_node_that_holds_nothing_yet_asks_more_often(self) -> None:
         finder = CoreFinder(SEEDS, Random(3), starting=True)
-        pauses = [finder.failed(finder.address) for _ in range(10)]
-        self.assertLessEqual(max(pauses), START_BACKOFF_LIMIT_S)
-        self.assertGreaterEqual(min(pauses), START_BACKOFF_LIMIT_S / 3)
+        pauses = [finder.record_failure(finder.address) for _ in range(10)]
+        self.assertLessEqual(max(pauses), MAX_STARTING_BACKOFF_S)
+        self.assertGreaterEqual(min(pauses), MAX_STARTING_BACKOFF_S / 3)
         finder.starting = False
-        self.assertGreater(max(finder.failed(finder.address) for _ in range(10)), 0.2)
+        self.assertGreater(max(finder.record_failure(finder.address) for _ in range(10)), 0.2)
 
     def test_pauses_differ_from_node_to_node(self) -> None:
-        pauses = {CoreFinder(SEEDS, Random(seed)).failed(SEEDS[0]) for seed in range(20)}
+        pauses = {CoreFinder(SEEDS, Random(seed)).record_failure(SEEDS[0]) for seed in range(20)}
         self.assertEqual(len(pauses), 20)
--- a/tests/test_distribution_delta.py
+++ b/tests/test_distribution_delta.py
@@ -13,9 +13,9 @@
     ApplyTask,
     DeltaTask,
     apply_delta,
-    difference,
     make_deltas,
-    merged,
+    make_merge_patch,
+    merge_patch,
 )
 from rooklug.distribution.members_delta import apply_members_delta, make_members_delta
 from rooklug.wire.generated.control import ttypes
@@ -75,7 +75,9 @@
     def test_changes_without_nulls_always_have_a_delta(self, old: dict, changes: list) -> None:
         old = {key: value for key, value in old.items() if b"null" not in canonical_bytes(value)}
         new = old | dict(changes)
-        self.assertEqual(canonical_bytes(merged(old, difference(old, new))), canonical_bytes(new))
+        self.assertEqual(
+            canonical_bytes(merge_patch(old, make_merge_patch(old, new))), canonical_bytes(new)
+        )
 
     @settings(derandomize=True, deadline=None)
     @given(st.binary(max_size=60), st.binary(max_size=60))
@@ -83,8 +85,8 @@
         self.assertIsNone(apply_delta(ApplyTask(base, patch, "0" * 64)))
 
     def test_one_and_true_and_one_point_five_are_different(self) -> None:
-        self.assertEqual(difference({"a": 1, "b": [1]}, {"a": True, "b": [True]})["a"], True)
-        self.assertEqual(difference({"a": [1]}, {"a": [True]}), {"a": [True]})
+        self.assertEqual(make_merge_patch({"a": 1, "b": [1]}, {"a": True, "b": [True]})["a"], True)
+        self.assertEqual(make_merge_patch({"a": [1]}, {"a": [True]}), {"a": [True]})
 
     def test_a_document_in_the_operators_own_layout_goes_whole(self) -> None:
         base = canonical_bytes(FILLING)
--- a/tests/test_membership_faults.py
+++ b/tests/test_membership_faults.py
@@ -160,13 +160,13 @@
             self.assert_caught(lambda world: world.violations)
 
     def test_counting_the_grant_from_the_answer(self) -> None:
-        take = NodeLease.take
+        apply_answer = NodeLease.apply_answer
 
         def from_the_answer(self: NodeLease, answer: object, now: float) -> bool:
             self._sent_at = now
-            return take(self, answer, now)
+            return apply_answer(self, answer, now)
 
-        with mock.patch.object(NodeLease, "take", from_the_answer):
+        with mock.patch.object(NodeLease, "apply_answer", from_the_answer):
             self.assert_caught(lambda world: world.violations, frozen_with_a_renewal_under_way)
 
     def test_taking_any_mark_from_a_core_that_sends_any(self) -> None:
--- a/tests/test_membership_tables.py
+++ b/tests/test_membership_tables.py
@@ -6,7 +6,7 @@
 from rooklug.membership.leases import LeaseTable, RenewalOutcome, identity_of
 from rooklug.membership.members_topic import MembersTopic
 from rooklug.membership.primary_tracker import PrimaryTracker
-from rooklug.membership.publications import Publications, PublishRefusal, publication_version
+from rooklug.membership.publications import Publications, PublishRejection, publication_version
 from rooklug.membership.roles import ROLE_LEASE_MS, RoleTable
 from rooklug.membership.selection import Load, choose_node
 from rooklug.membership.timing import (
@@ -51,20 +51,20 @@
     def test_a_late_renewal_is_ignored(self) -> None:
         self.leases.renew(renewal(record("a"), 2), START_AT)
         outcome = self.leases.renew(renewal(record("a", ready=False), 1), START_AT)
-        self.assertIs(outcome, RenewalOutcome.LATE)
+        self.assertIs(outcome, RenewalOutcome.STALE)
         self.assertTrue(self.leases.live()[0].ready)
 
     def test_a_process_that_was_replaced_does_not_come_back(self) -> None:
         old, new = record("a"), record("a", incarnation="2")
         self.leases.renew(renewal(old, 7), START_AT)
         self.assertIs(self.leases.renew(renewal(new, 1), START_AT), RenewalOutcome.CHANGED)
-        self.assertIs(self.leases.renew(renewal(old, 8), START_AT), RenewalOutcome.LATE)
+        self.assertIs(self.leases.renew(renewal(old, 8), START_AT), RenewalOutcome.STALE)
         self.assertTrue(self.leases.is_live(identity_of(new)))
 
     def test_a_process_that_left_does_not_come_back(self) -> None:
         self.leases.renew(renewal(record("a"), 1), START_AT)
         self.assertTrue(self.leases.leave(identity_of(record("a"))))
-        self.assertIs(self.leases.renew(renewal(record("a"), 2), START_AT), RenewalOutcome.LATE)
+        self.assertIs(self.leases.renew(renewal(record("a"), 2), START_AT), RenewalOutcome.STALE)
 
     def test_members_go_out_only_for_what_matters(self) -> None:
         topic, roles, store = MembersTopic(), RoleTable(), TopicStore()
@@ -80,11 +80,11 @@
         primacy = PrimaryTracker("own:1")
         primacy.start(internal.PrimaryStarted(5))
         primacy.extend(internal.PrimaryLeaseExtended(5, 10.0))
-        primacy.learn(internal.PrimaryKnown(8, "other:1"))
+        primacy.record_primary(internal.PrimaryKnown(8, "other:1"))
         self.assertEqual((primacy.epoch, primacy.address(9.0)), (5, "own:1"))
         self.assertEqual(primacy.address(10.0), "")
         primacy.stop()
-        primacy.learn(internal.PrimaryKnown(6, "older:1"))
+        primacy.record_primary(internal.PrimaryKnown(6, "older:1"))
         self.assertEqual(primacy.address(11.0), "other:1")
 
 
@@ -98,8 +98,8 @@
         self, name: str, now: float, held: tuple[RoleGrant, ...] = (), seen_epoch: int = 5
     ) -> dict[str, RoleGrant]:
         request = renewal(next(n for n in self.nodes if n.node_id == name), 1, held, seen_epoch)
-        self.roles.take_renewal(request, now)
-        return {grant.role_key: grant for grant in self.roles.grants_for(request, now)[0]}
+        self.roles.apply_renewal(request, now)
+        return {grant.role_key: grant for grant in self.roles.renew_grants(request, now)[0]}
 
     def plan(self, now: float, emptied: tuple[str, ...] = ()) -> None:
         self.roles.plan(self.nodes, frozenset(emptied), now)
@@ -138,7 +138,7 @@
         self.plan(READY_AT)
         holder, grant = self.placer(READY_AT)
         node = next(n for n in self.nodes if n.node_id == holder)
-        self.roles.take_leave(renewal(node, 2), READY_AT)
+        self.roles.apply_leave(renewal(node, 2), READY_AT)
         self.nodes.remove(node)
         self.plan(READY_AT)
         _, taken = self.placer(READY_AT)
@@ -205,7 +205,7 @@
         self.roles.start(5, START_AT)
         node = record("a")
         self.roles.plan([node], frozenset(), READY_AT)
-        grants, _ = self.roles.grants_for(renewal(node, 1), READY_AT)
+        grants, _ = self.roles.renew_grants(renewal(node, 1), READY_AT)
         self.token = next(g.token for g in grants if g.role_key == ROLE_PLACER)
         self.store = TopicStore()
         self.publications = Publications(self.store, self.roles)
@@ -217,16 +217,16 @@
 
     def test_under_the_current_token_only(self) -> None:
         self.assertIsNone(self.publish(1))
-        self.assertIs(self.publish(2, topic=REPLICAS), PublishRefusal.WRONG_ROLE)
-        self.assertIs(self.publish(2, token=VersionMark(4, 99)), PublishRefusal.STALE_TOKEN)
+        self.assertIs(self.publish(2, topic=REPLICAS), PublishRejection.WRONG_ROLE)
+        self.assertIs(self.publish(2, token=VersionMark(4, 99)), PublishRejection.STALE_TOKEN)
         late = READY_AT + ROLE_LEASE_EXPIRY_S
-        self.assertIs(self.publish(2, now=late), PublishRefusal.STALE_TOKEN)
+        self.assertIs(self.publish(2, now=late), PublishRejection.STALE_TOKEN)
 
     def test_the_sequence_grows_and_a_repeat_is_taken_again(self) -> None:
         self.assertIsNone(self.publish(2))
         self.assertIsNone(self.publish(2))
-        self.assertIs(self.publish(1), PublishRefusal.OLD_SEQUENCE)
-        self.assertIs(self.publish(0), PublishRefusal.BAD_SEQUENCE)
+        self.assertIs(self.publish(1), PublishRejection.OLD_SEQUENCE)
+        self.assertIs(self.publish(0), PublishRejection.BAD_SEQUENCE)
         self.assertEqual(self.store.version(PLAN), publication_version(self.token, 2))
 
 
@@ -242,11 +242,11 @@
 class DecisionTest(unittest.TestCase):
     def test_a_reader_goes_on_from_its_cursor_without_repeats(self) -> None:
         ring = DecisionRing(limit=4)
-        ring.append([decision(1, n) for n in (1, 2, 2, 3)], announced_again=False)
+        ring.append([decision(1, n) for n in (1, 2, 2, 3)], reannounced=False)
         page = ring.after(Cursor(1, 1, 1))
         self.assertEqual([r.sequence for r in page.decisions], [2, 3])
         self.assertFalse(page.gap)
-        ring.append([decision(2, n) for n in (1, 2, 3)], announced_again=False)
+        ring.append([decision(2, n) for n in (1, 2, 3)], reannounced=False)
         self.assertTrue(ring.after(Cursor(1, 1, 1)).gap)
         self.assertTrue(ring.after(START).gap)
         self.assertFalse(ring.after(Cursor(1, 2, 1)).gap)
