--- a/rooklug/core/__init__.py
+++ b/rooklug/core/__init__.py
@@ -1,12 +1,13 @@
-"""The replicated control state: one of three or more cores with disks.
+"""The replicated control state, kept by a group of three or more cores with their own disks.
 
-Owns the configuration, the identities of all changes, and the drained zones: a primary with a
-lease replicates a log to the disks in sync, and witnesses elect it (docs/replication.md).
+Owns the configuration, the identity of every accepted change, and the set of drained zones. A
+primary that holds a lease replicates a log to the in-sync disks; the cores' witnesses elect the
+primary (see docs/replication.md).
 
-Begin with ``control_state_component.py``, which wires the modules. Then ``witness_rules.py``
-(what a witness may promise and accept), ``view_change.py`` (elections), ``primary.py`` and
-``replicator.py`` (the primary's side), ``backup.py`` (the other side), ``store.py`` (the log on
-disk) and ``changes.py`` (operators' requests).
+Entry point: ``control_state_component.py``, which wires the modules. Read next:
+``witness_rules.py`` (what a witness may promise and accept), ``view_change.py`` (elections),
+``primary.py`` and ``replicator.py`` (the primary's side of replication), ``backup.py`` (the
+backup's side), ``store.py`` (the log on disk) and ``changes.py`` (operators' requests).
 
-May import ``engine``, ``model`` and ``wire``; ``build.py`` alone imports ``config``.
+May import ``engine``, ``model`` and ``wire``; only ``build.py`` imports ``config``.
 """
--- a/rooklug/core/announcer.py
+++ b/rooklug/core/announcer.py
@@ -1,4 +1,4 @@
-"""Announces to the core's other components what is committed, who leads, and its status."""
+"""Publishes internal events about the committed state, the primary and this core's status."""
 
 from rooklug.core.outbox import Outbox
 from rooklug.core.store import ReplicaStore
@@ -15,7 +15,11 @@
 
 
 class Announcer:
-    """Emits an internal event for each change, never an older state after a newer one."""
+    """Emits an internal event for each change to the other components of this process.
+
+    It never emits an older version after a newer one. ``primary_id`` and ``primary_address``
+    are "" while the primary of ``primary_epoch`` is unknown.
+    """
 
     def __init__(self, outbox: Outbox, store: ReplicaStore) -> None:
         self._outbox = outbox
@@ -29,7 +33,7 @@
         self.primary_address = ""
 
     def committed(self) -> None:
-        """Announce the committed configuration and zones, where they are newer."""
+        """Announce the committed configuration and zones if newer than those last announced."""
         state = self._store.state
         version = state.configuration_version()
         if is_newer(version, self._configuration):
@@ -41,7 +45,10 @@
             self._outbox.emit(ZonesCommitted(zones_version, state.zones_body()))
 
     def primary(self, epoch: int, core_id: str, address: str) -> None:
-        """Announce where the primary is, "" while that is unknown."""
+        """Announce the primary of ``epoch``; ``core_id`` and ``address`` are "" if it is unknown.
+
+        Does nothing for an outdated epoch or for the primary that was announced last.
+        """
         if epoch < self.primary_epoch or (epoch, core_id) == (self.primary_epoch, self.primary_id):
             return
         self.primary_epoch = epoch
@@ -50,13 +57,13 @@
         self._outbox.emit(PrimaryKnown(epoch, address))
 
     def cores(self, addresses: tuple[str, ...]) -> None:
-        """Announce where the voting cores are, when that has changed."""
+        """Announce the internal addresses of the voting cores if they have changed."""
         if addresses and addresses != self._addresses:
             self._addresses = addresses
             self._outbox.emit(CoresChanged(addresses))
 
     def status(self, status: CoreStatus) -> None:
-        """Announce this core's status when it has changed."""
+        """Announce this core's status if it has changed."""
         if status != self._status:
             self._status = status
             self._outbox.emit(CoreStatusChanged(status))
--- a/rooklug/core/backup.py
+++ b/rooklug/core/backup.py
@@ -1,4 +1,4 @@
-"""The backup's side of replication: what a core answers to a primary."""
+"""The backup's side of replication: handles the primary's requests."""
 
 from collections.abc import Callable
 
@@ -21,7 +21,7 @@
 
 @attrs.define(eq=False)
 class IncomingSnapshot:
-    """Chunks received so far of the snapshot that ``epoch``'s primary sends."""
+    """The chunks received so far of a snapshot that the primary of ``epoch`` is sending."""
 
     epoch: int
     position: Position | None = None
@@ -31,9 +31,16 @@
 class Backup:
     """Follows one primary at a time.
 
-    ``verified_epoch``: the epoch whose primary has compared this log with its own; only
-    its entries and commits are taken. ``on_primary_seen(epoch, primary_id, now)`` follows each
-    message of a primary that isn't outdated, ``on_diverged(reason, now)`` a broken invariant.
+    Attributes
+    ----------
+    latest_primary_epoch
+        The highest epoch of a primary that has sent a request.
+    verified_epoch
+        The epoch whose primary has compared this log with its own. Only that primary's entries
+        and commits are applied.
+
+    ``on_primary_seen(epoch, primary_id, now)`` is called for each request of a primary that
+    isn't outdated, ``on_diverged(reason, now)`` when an invariant of replication is broken.
     """
 
     def __init__(
@@ -58,7 +65,7 @@
         return self._witness.state.promised_epoch
 
     def on_heartbeat(self, call_id: int, request: wire.HeartbeatRequest, now: float) -> None:
-        """Support the primary: its lease is guarded for another ``LEASE_GUARD_S``."""
+        """Support the primary, which restarts the guard of its lease (``LEASE_GUARD_S``)."""
         ok = request.epoch >= max(self._promised_epoch, self.latest_primary_epoch)
         if ok:
             primary = disk_from_wire(request.primary)
@@ -70,13 +77,14 @@
             promised_epoch=self._promised_epoch,
             member=disk_to_wire(self._witness.state.own),
             voting=self._witness.state.voting,
-            # Support that a restart would forget doesn't count: see ``Witness.load``.
+            # After a restart a witness guards only the lease of the accepted view's primary (see
+            # ``Witness.load``), so support under any other view doesn't count.
             supports=self._witness.state.accepted_epoch >= request.epoch,
         )
         self._outbox.answer(call_id, answer)
 
     def on_start_view(self, call_id: int, request: wire.StartViewRequest, now: float) -> None:
-        """Compare this log with the primary's, and truncate what that doesn't have."""
+        """Compare this log with the primary's and truncate the entries that the primary lacks."""
         view = view_from_wire(request.view)
         state = witness_rules.learn_view(self._witness.state, view)
         if state is None:
@@ -88,7 +96,7 @@
         self._witness.save(state, now, lambda now: self._outbox.answer(call_id, answer))
 
     def on_append(self, call_id: int, request: wire.AppendRequest, now: float) -> None:
-        """Append what this log lacks; answer once it is synced."""
+        """Append the entries that this log lacks; answer once they are synced to disk."""
         outdated = request.epoch < self._promised_epoch or request.epoch != self.verified_epoch
         if outdated or not self._follows(request.previous):
             self._outbox.answer(call_id, self._append_answer(ok=False))
@@ -106,7 +114,7 @@
     def on_snapshot_chunk(
         self, call_id: int, request: wire.SnapshotPartRequest, now: float
     ) -> None:
-        """Collect a snapshot's chunks; install it with the last one."""
+        """Collect a snapshot's chunks; install the snapshot when the last one has arrived."""
         incoming = self._incoming
         if incoming is None or not self._is_wanted(incoming, request):
             self._outbox.answer(call_id, self._chunk_answer(ok=False))
@@ -126,7 +134,7 @@
         )
 
     def _is_wanted(self, incoming: IncomingSnapshot, request: wire.SnapshotPartRequest) -> bool:
-        """Add the request's chunk to the snapshot; return whether it is the next one."""
+        """Return whether the request has the next chunk of the snapshot, and if so append it."""
         wanted = request.epoch == incoming.epoch >= self._promised_epoch
         return wanted and _take_chunk(incoming, request)
 
@@ -139,10 +147,10 @@
             self._store.commit_to(committed)
 
     def _match(self, epoch: int, request: wire.StartViewRequest, now: float) -> bool:
-        """Make this log a prefix of the primary's; return False when it needs a snapshot.
+        """Make this log a prefix of the primary's; return False if it needs a snapshot.
 
-        Entries of the view's own epoch come from its primary: they are never truncated, not
-        even by a request that was late.
+        Entries of the view's own epoch come from its primary, so they are never truncated, not
+        even by a delayed request.
         """
         if self.verified_epoch == epoch or self._store.last.epoch == epoch:
             self.verified_epoch = epoch
--- a/rooklug/core/build.py
+++ b/rooklug/core/build.py
@@ -1,4 +1,4 @@
-"""Builds the components of the core role that keep the control state."""
+"""Builds the core role's components that maintain the control state."""
 
 from rooklug.core.control_state_component import ControlStateComponent
 from rooklug.core.documents import DocumentChecker
@@ -10,12 +10,12 @@
 def build_core_components(
     settings: CoreSettings, context: ProcessContext, checker: DocumentChecker | None = None
 ) -> list[Component]:
-    """Return the components; ``checker`` replaces the functions of ``rooklug.config`` in tests."""
+    """Return the components; tests pass a ``checker`` that replaces ``rooklug.config``."""
     return [ControlStateComponent(settings, context, checker or _default_checker())]
 
 
 def _default_checker() -> DocumentChecker:
-    # Imported here: only cores need the checks of whole documents and what they import.
+    # Imported lazily: only cores check whole documents, so other roles needn't load these modules.
     from rooklug.config.document_reader import read_configuration
     from rooklug.config.patching import apply_merge_patch
 
--- a/rooklug/core/call_handlers.py
+++ b/rooklug/core/call_handlers.py
@@ -1,4 +1,4 @@
-"""How a core answers operators' requests and requests of cores that come and go."""
+"""Handles operators' requests, and requests of cores that join or are being stopped."""
 
 from rooklug.core.announcer import Announcer
 from rooklug.core.changes import ChangeIntake, Outcome
@@ -11,7 +11,7 @@
 
 
 class CallHandlers:
-    """Answers as the primary, or names the primary's address ("" while it is unknown)."""
+    """Handles requests as the primary, else answers with its address ("" while unknown)."""
 
     def __init__(
         self,
@@ -28,7 +28,7 @@
         self._announcer = announcer
 
     def on_join(self, call_id: int, request: wire.JoinRequest, now: float) -> None:
-        """Take the request of a core that wants to become a member."""
+        """Record the request of a core that wants to become a voting member."""
         serves = self._primary.may_serve(now)
         if serves:
             member = member_from_wire(request.member)
@@ -37,14 +37,14 @@
         self._outbox.answer(call_id, wire.JoinAnswer(noted=serves, primary_address=address))
 
     def on_leave(self, call_id: int, request: wire.LeaveRequest, now: float) -> None:
-        """Handle the notification that a core is being stopped."""
+        """Record that a core is being stopped, so that it can be replaced at once."""
         self._primary.record_draining(request.core_id, now)
         self._outbox.answer(call_id, wire.LeaveAnswer(noted=True))
 
     def on_submit_change(
         self, call_id: int, request: control.SubmitChangeRequest, now: float
     ) -> None:
-        """Take a change of the configuration."""
+        """Submit a change of the configuration."""
         if self._primary.is_active(now):
             self._changes.submit(call_id, request, now)
             return
@@ -59,7 +59,7 @@
         self._outbox.answer(call_id, answer)
 
     def on_set_zone(self, call_id: int, request: control.SetZoneRequest, now: float) -> None:
-        """Take the order to drain or restore a zone."""
+        """Submit an order to drain or restore a zone."""
         if self._primary.is_active(now):
             self._changes.submit(call_id, request, now)
             return
@@ -68,7 +68,7 @@
         self._outbox.answer(call_id, answer)
 
     def on_read(self, call_id: int, request: control.ReadConfigurationRequest, now: float) -> None:
-        """Answer with the committed configuration; a linearizable read needs the lease."""
+        """Answer with the committed configuration; a linearizable read requires the lease."""
         ok = self._primary.may_serve(now) or not request.linearizable
         body = self._store.state.configuration_body()
         if not ok:
--- a/rooklug/core/candidacy.py
+++ b/rooklug/core/candidacy.py
@@ -1,4 +1,4 @@
-"""When this core may propose itself as the primary."""
+"""Decides when this core may propose itself as the primary."""
 
 from random import Random
 
@@ -18,15 +18,15 @@
 
 
 class Candidacy:
-    """Decides about elections; the caller begins the view change.
+    """Decides when an election is due; the caller starts the view change.
 
-    A core waits until the lease of the primary that its witness supports is surely over. Then
-    the members in sync go in the order of their ids, ``FAILOVER_STEP_S`` apart and with jitter,
-    so that two candidates rarely refuse each other's proposals.
+    A core waits until the lease of the primary that its witness supports has certainly expired.
+    Then the in-sync members propose themselves in the order of their ids, ``FAILOVER_STEP_S``
+    apart and with jitter, so that competing proposals are rare.
 
-    A primary that was restarted may propose itself at once (``may_resume_until``): no lease but
-    its own can stand in its way, and that one ended with its process. It retries for a while,
-    since the other cores may be starting too.
+    A primary that was restarted may propose itself at once (``_may_resume_until``): the only
+    lease that could prevent it is its own, which ended with its process. It retries for
+    ``RESUME_S``, since the other cores may be starting too.
     """
 
     def __init__(self, witness: Witness, disk: Disk, random: Random) -> None:
@@ -38,19 +38,19 @@
         self._jitter_s = random.uniform(0.0, FAILOVER_JITTER_S)
 
     def resume(self, now: float) -> None:
-        """The witness' newest view names this core, restarted, as its primary."""
+        """Allow immediate proposals: this core restarted, and its newest view names it primary."""
         self._may_resume_until = now + RESUME_S
 
     def primary_seen(self) -> None:
-        """Some primary is at work: there is nothing to resume."""
+        """Stop resuming: some primary is active."""
         self._may_resume_until = NEVER
 
     def stepped_down(self, now: float) -> None:
-        """Let others go first after losing the leadership."""
+        """Wait ``RETRY_S`` after losing leadership, so that other cores can propose first."""
         self._not_before = now + RETRY_S
 
     def proposal_failed(self, now: float) -> None:
-        """Wait before the next proposal."""
+        """Back off before the next proposal, with new jitter."""
         retry_s = RESUME_RETRY_S if now < self._may_resume_until else RETRY_S
         self._not_before = now + retry_s
         self._jitter_s = self._random.uniform(0.0, RETRY_JITTER_S)
--- a/rooklug/core/change_history.py
+++ b/rooklug/core/change_history.py
@@ -1,6 +1,6 @@
-"""Identities of changes that were taken: committed ones, and appended ones that may yet commit.
+"""Identities of accepted changes: committed ones, and appended ones that may still commit.
 
-It makes operators' requests idempotent: the same request again gets the first answer again.
+Makes operators' requests idempotent: a repeated request gets the answer of the first one.
 """
 
 from collections.abc import Iterable
@@ -12,11 +12,11 @@
 from rooklug.wire.generated.core.ttypes import ConfigurationChange, LogEntry, ZoneChange
 
 ALREADY_COMMITTED = 0
-"""The sequence that a classification depends on when no entry is open."""
+"""The sequence that a classification depends on if it needs no uncommitted entry."""
 
 
 class Verdict(Enum):
-    """What is known of a submitted change."""
+    """How a submitted change relates to those accepted before it."""
 
     FRESH = "its identity is new"
     REPEATED = "the same change was taken already"
@@ -33,7 +33,7 @@
 
 @attrs.frozen
 class PendingChange:
-    """An appended change and its sequence."""
+    """A change that is appended but not committed, and the sequence of its log entry."""
 
     change: ConfigurationChange
     sequence: int
@@ -41,14 +41,17 @@
 
 @attrs.frozen
 class PendingZone:
-    """An appended zone order and its sequence."""
+    """A zone order that is appended but not committed, and the sequence of its log entry."""
 
     change: ZoneChange
     sequence: int
 
 
 class ChangeHistory:
-    """Classifies by identity: (version, digest) of a change, the operation id of a zone order."""
+    """Classifies requests by identity.
+
+    The identity of a change is its version and digest, that of a zone order its operation id.
+    """
 
     def __init__(self, state: ControlState, uncommitted: Iterable[LogEntry]) -> None:
         self._state = state
@@ -59,7 +62,7 @@
             self.add(entry)
 
     def add(self, entry: LogEntry) -> None:
-        """Add an appended entry."""
+        """Record an entry that was appended to the log."""
         if entry.configuration is not None:
             self._newest = PendingChange(entry.configuration, entry.sequence)
             self._changes[entry.configuration.version] = self._newest
@@ -67,7 +70,7 @@
             self._zones[entry.zone.operation_id] = PendingZone(entry.zone, entry.sequence)
 
     def forget_committed(self, committed: int) -> None:
-        """Drop entries that the committed state covers."""
+        """Drop the entries up to ``committed``: the committed state has their identities."""
         self._changes = {v: p for v, p in self._changes.items() if p.sequence > committed}
         self._zones = {i: p for i, p in self._zones.items() if p.sequence > committed}
         if self._newest is not None and self._newest.sequence <= committed:
@@ -75,13 +78,13 @@
 
     @property
     def newest(self) -> ConfigurationChange | None:
-        """The newest change taken, committed or not."""
+        """The newest accepted change, committed or not."""
         return self._newest.change if self._newest else self._state.configuration
 
     def classify_change(
         self, version: int, digest: str, base_version: int | None
     ) -> Classification:
-        """Classify a change; ``base_version`` is None for a complete document."""
+        """Classify a change; ``base_version`` is None if it doesn't depend on the newest one."""
         pending = self._changes.get(version)
         if pending is not None:
             return _repeat_or_conflict(
@@ -100,7 +103,7 @@
         return Classification(Verdict.FRESH)
 
     def classify_zone(self, change: ZoneChange) -> Classification:
-        """Classify a zone order; an id that was used for another order is a conflict."""
+        """Classify a zone order; an operation id that another order has used is a conflict."""
         pending = self._zones.get(change.operation_id)
         if pending is not None:
             return _repeat_or_conflict(
--- a/rooklug/core/changes.py
+++ b/rooklug/core/changes.py
@@ -1,8 +1,8 @@
-"""Takes operators' changes at the primary, and answers each once its outcome is certain.
+"""Processes operators' changes at the primary and answers each once its outcome is certain.
 
-A change that is appended and may yet commit is never answered as refused: if the primary steps
-down meanwhile, its outcome is ``UNKNOWN``. ``UNAVAILABLE`` is said only of a change that this
-request certainly doesn't bring about.
+A change that is appended and may still commit is never answered as rejected: if the primary
+steps down before the commit, the outcome is ``UNKNOWN``. ``UNAVAILABLE`` means that this request
+certainly has no effect, so that the operator may safely send it again.
 """
 
 import hashlib
@@ -30,7 +30,7 @@
 
 
 class Outcome(Enum):
-    """The outcome of a request; the values travel in the answer."""
+    """The outcome of a request; the values are sent in the answer."""
 
     ACCEPTED = "accepted"
     CONFLICT = "conflict"
@@ -42,10 +42,18 @@
 
 @attrs.define(eq=False)
 class Submission:
-    """One operator's request.
-
-    ``sequence`` is the log entry that must be committed before ``outcome`` may be answered;
-    ``repeated``: that entry came with an earlier request of the same identity.
+    """One operator's request that is not answered yet.
+
+    Attributes
+    ----------
+    arrived_at
+        Monotonic time of arrival, in seconds.
+    checked, document
+        Whether the document check is complete, and the document that is to be committed.
+    sequence
+        The log entry that must be committed before ``outcome`` may be answered.
+    repeated
+        Whether an earlier request with the same identity appended that entry.
     """
 
     call_id: int
@@ -59,7 +67,7 @@
 
 
 class ChangeIntake:
-    """Checks, appends in order of arrival, and answers."""
+    """Checks requests, appends them to the log in order of arrival, and answers them."""
 
     def __init__(
         self, outbox: Outbox, store: ReplicaStore, primary: Primary, checker: DocumentChecker
@@ -77,7 +85,7 @@
     def submit(
         self, call_id: int, request: SubmitChangeRequest | SetZoneRequest, now: float
     ) -> None:
-        """Take a request that came to the active primary."""
+        """Process a request; called only while this core is the active primary."""
         submission = Submission(call_id, request, now)
         problems = _request_problems(request)
         if problems:
@@ -95,7 +103,7 @@
                 self.append_ready(now)
 
     def computed(self, ticket: int, outcome: CheckOutcome | None, error: str, now: float) -> None:
-        """Take the result of a check."""
+        """Handle the result of a document check; ``error`` is "" unless the check raised."""
         submission = self._in_check.pop(ticket, None)
         if submission is None:
             return
@@ -111,7 +119,7 @@
         self.append_ready(now)
 
     def append_ready(self, now: float) -> None:
-        """Append what is checked, in order of arrival, when the primary may append."""
+        """Append checked requests in order of arrival, if the primary may append now."""
         if not self._primary.may_append(now):
             return
         while self._queue and self._queue[0].checked:
@@ -121,7 +129,7 @@
         self._primary.replicator.pump(now)
 
     def committed(self, now: float) -> None:
-        """Answer every request whose entry is committed now."""
+        """Answer the requests whose entry has been committed."""
         committed = self._store.committed
         if self._history is not None:
             self._history.forget_committed(committed)
@@ -133,7 +141,7 @@
                 self._uncommitted.append(submission)
 
     def tick(self, now: float) -> None:
-        """Refuse requests that have waited for a quorum longer than ``QUORUM_WAIT_S``."""
+        """Append what is ready; reject requests that have waited ``QUORUM_WAIT_S`` for a quorum."""
         self.append_ready(now)
         while self._queue and self._queue[0].checked:
             if now < self._queue[0].arrived_at + QUORUM_WAIT_S:
@@ -141,7 +149,10 @@
             self._answer(self._queue.popleft(), Outcome.UNAVAILABLE)
 
     def stopped(self, now: float) -> None:
-        """The primary has stepped down: appended changes are unknown, others aren't taken."""
+        """Answer all requests after the primary has stepped down.
+
+        The outcome of appended changes is unknown; the others certainly have no effect.
+        """
         for submission in self._uncommitted:
             conflicts = submission.outcome is Outcome.CONFLICT
             self._answer(submission, Outcome.UNAVAILABLE if conflicts else Outcome.UNKNOWN)
@@ -153,9 +164,9 @@
         self._history = None
 
     def _is_overtaken(self, request: SubmitChangeRequest | SetZoneRequest) -> bool:
-        """Return whether a zone order was delayed on its way while later ones were taken.
+        """Return whether a zone order is committed that the request's sender didn't know of.
 
-        Executed now, it would undo what came after it.
+        Such a request was delayed; applying it now would revert the later orders.
         """
         if not isinstance(request, SetZoneRequest) or request.known_zones is None:
             return False
@@ -171,7 +182,7 @@
         return history.classify_change(request.version, request.digest, base_version)
 
     def _open_history(self) -> ChangeHistory:
-        """Return the history of this term; it begins with the log as it was found."""
+        """Return this term's history; it starts from the log as of the first request."""
         if self._history is None:
             uncommitted = self._store.log.after(self._store.committed)
             self._history = ChangeHistory(self._store.state, uncommitted)
@@ -180,7 +191,10 @@
     def _is_answered_by_history(
         self, submission: Submission, classification: Classification
     ) -> bool:
-        """Answer a repeat or a conflict, once the entry that it depends on is committed."""
+        """Return whether the request is a repeat or a conflict, and if so arrange its answer.
+
+        The answer is sent once the entry that the classification depends on is committed.
+        """
         if classification.verdict is Verdict.FRESH:
             return False
         submission.repeated = classification.verdict is Verdict.REPEATED
@@ -212,7 +226,7 @@
         else:
             entry.zone = _zone_change(request)
         if not self._store.log.append(entry):
-            raise AssertionError("an entry of the primary doesn't follow its own log")
+            raise AssertionError("new entry of the primary doesn't follow the end of its own log")
         self._open_history().add(entry)
         submission.sequence = entry.sequence
         self._uncommitted.append(submission)
--- a/rooklug/core/constants.py
+++ b/rooklug/core/constants.py
@@ -1,4 +1,4 @@
-"""Timing and size constants of the control state; units are in the names."""
+"""Timing and size constants of the control state; the names end with the unit."""
 
 from rooklug.model.constants import FAILOVER_TIMEOUT_S, PRIMARY_HEARTBEAT_S, PRIMARY_LEASE_S
 
@@ -9,11 +9,11 @@
 TICK_S = 0.05
 HEARTBEAT_S = PRIMARY_HEARTBEAT_S
 CLOCK_RATE_MARGIN = 0.95
-"""The rates of two machines' clocks may differ by a twentieth."""
+"""Tolerates a difference of 5 % between the clock rates of two machines."""
 LEASE_S = PRIMARY_LEASE_S * CLOCK_RATE_MARGIN
-"""The primary's lease, counted from its send of a heartbeat."""
+"""Length of the primary's lease, counted from when it sent the heartbeat."""
 LEASE_GUARD_S = FAILOVER_TIMEOUT_S
-"""For so long after the receipt of a heartbeat a witness promises nothing to other cores."""
+"""How long after receiving a heartbeat a witness makes no promise to any other core."""
 
 MESSAGE_DEADLINE_S = 0.5
 REPLICATION_DEADLINE_S = 5.0
@@ -25,30 +25,31 @@
 FAILOVER_JITTER_S = 0.2
 RETRY_S = 0.3
 RESUME_RETRY_S = 0.1
+"""Interval between the proposals of a restarted primary."""
 RESUME_S = 3.0
-"""A primary that was restarted proposes itself so often, and for so long."""
+"""How long after its restart a primary proposes itself without waiting for a lease to expire."""
 RETRY_JITTER_S = 0.5
 READ_WITNESS_S = 0.3
 CATCH_UP_S = 0.25
-"""Appends rest for so long at most, until a learner's log equals the primary's."""
+"""The longest pause of appends during which a learner's log may become equal to the primary's."""
 CATCH_UP_LAG_ENTRIES = 256
-"""Appends rest only for learners that lack no more entries than this."""
+"""Appends pause only for learners that lack at most this many entries."""
 REJOIN_BACKOFF_S = 1.0
 REJOIN_BACKOFF_LIMIT_S = 10.0
 STOP_GRACE_S = 0.5
 FAILED_EXIT_S = 0.5
-"""A core whose disk refuses writes exits so much later; its supervisor starts it again."""
+"""Delay between a failed write and the core's exit; its supervisor restarts it."""
 
 EPOCH_SLOTS = 3
 FIRST_EPOCH = EPOCH_SLOTS
 REPLACE_AFTER_S = 1.6
-"""A member without contact for so long may be replaced by a core that wants to join."""
+"""A joining core may replace a member that has had no contact for this long."""
 DRAINING_VALID_S = 10.0
-"""A member that said it is being stopped may be replaced at once, for so long."""
+"""How long a member that announced its stop may be replaced without waiting."""
 JOIN_INTERVAL_S = 0.3
-"""How often a core that wants to join sends its request."""
+"""Interval between the requests of a core that wants to join."""
 JOIN_VALID_S = 1.0
-"""Requests to join that are older than this are dropped."""
+"""Age from which a join request is dropped."""
 
 MAX_BATCH_BYTES = 1024 * 1024
 ASSUMED_BYTES_PER_S = 4 * 1024 * 1024
--- a/rooklug/core/control_state.py
+++ b/rooklug/core/control_state.py
@@ -1,4 +1,4 @@
-"""The committed control state: configuration, identities of changes, zones, zone orders."""
+"""The committed control state: configuration, change identities, drained zones, zone orders."""
 
 import hashlib
 from collections.abc import Iterable
@@ -24,10 +24,11 @@
 
 
 class ControlState:
-    """What the committed entries up to ``position`` amount to.
+    """The result of applying all committed entries up to ``position``.
 
-    ``changes`` maps each accepted version to the digest of the bytes as submitted, and
-    ``operations`` each zone order's id to the order; both are kept for ever.
+    ``changes`` maps each accepted version to the SHA-256 digest of the bytes as submitted, and
+    ``operations`` maps each zone order's operation id to the order; neither is ever pruned.
+    ``document_digest`` is the digest of the committed document, in hexadecimal.
     """
 
     def __init__(self) -> None:
@@ -42,7 +43,7 @@
 
     @property
     def version(self) -> int:
-        """The newest committed configuration version, 0 if none."""
+        """The newest committed configuration version, 0 if there is none."""
         return self.configuration.version if self.configuration else 0
 
     def apply(self, entry: LogEntry) -> None:
@@ -55,28 +56,28 @@
             self._set_zone(entry.zone)
 
     def configuration_version(self) -> VersionMark:
-        """Return (epoch of the commit, version)."""
+        """Return the epoch of the newest configuration's entry, and its version as the counter."""
         if self.configuration is None:
             return ZERO_VERSION
         return VersionMark(epoch=self.configuration_epoch, counter=self.version)
 
     def configuration_body(self) -> ConfigurationBody:
-        """Return the committed document, or version 0 with an empty one."""
+        """Return the committed document, or version 0 with an empty document if there is none."""
         document = self.configuration.document if self.configuration else b""
         return ConfigurationBody(
             version=self.version, digest=self.document_digest, document=document
         )
 
     def zones_version(self) -> VersionMark:
-        """Return (epoch, sequence) of the newest zone order."""
+        """Return the position of the newest zone order's entry."""
         return VersionMark(epoch=self.zones_position.epoch, counter=self.zones_position.sequence)
 
     def zones_body(self) -> ZonesBody:
-        """Return the drained zones."""
+        """Return the drained zones, sorted."""
         return ZonesBody(emptied_zones=sorted(self.drained_zones))
 
     def snapshot_chunks(self) -> list[LogRecord]:
-        """Return records that rebuild this state, each of bounded size (a snapshot's chunks)."""
+        """Return the chunks of a snapshot of this state, each of bounded size."""
         chunks = [
             SnapshotPart(changes=b"".join(map(_pack_change, group)))
             for group in _groups(self.changes.items(), CHANGES_PER_CHUNK)
@@ -100,7 +101,7 @@
         return [LogRecord(part=chunk) for chunk in chunks]
 
     def load_chunk(self, chunk: SnapshotPart) -> None:
-        """Take one chunk of a snapshot."""
+        """Restore one chunk of a snapshot."""
         self.changes.update(_unpack_changes(chunk.changes or b""))
         for operation in chunk.operations or ():
             self.operations[operation.operation_id] = operation
@@ -125,7 +126,7 @@
 
 
 def document_digest(document: bytes) -> str:
-    """Return the sha256 hex of the bytes."""
+    """Return the SHA-256 digest of a document in hexadecimal."""
     return hashlib.sha256(document).hexdigest()
 
 
--- a/rooklug/core/control_state_component.py
+++ b/rooklug/core/control_state_component.py
@@ -1,7 +1,7 @@
-"""One core's control state as a component: wires its modules and gives each its events.
+"""One core's control state as a component: wires its modules and dispatches events to them.
 
-The modules share an ``Outbox``, which collects the effects of one event. What follows an
-outcome (a chosen view, a commit, a lost leadership) is wired here as callbacks.
+The modules share an ``Outbox``, which collects the effects of one event. The reactions to an
+outcome (a chosen view, a commit, lost leadership) are wired here as callbacks.
 """
 
 from collections.abc import Callable, Iterable
@@ -55,9 +55,9 @@
 
 
 class ControlStateComponent(BaseComponent):
-    """Stores the control state of one core, and elects the primary together with the others.
+    """Replicates the control state on one core and takes part in electing the primary.
 
-    ``failure`` says why this core has stopped participating, "" while it participates.
+    ``failure`` is the reason why this core has stopped participating, "" while it participates.
     """
 
     name = "control-state"
@@ -83,7 +83,7 @@
         self.call_types = tuple(self._handler_by_call)
 
     def _build_replica(self, settings: CoreSettings) -> None:
-        """Build what every core has: its disk, its copy of the log, and its witness."""
+        """Build the modules that store and replicate: disk, log, witness and backup."""
         self.peers = Peers(settings.node.node_id, dict(settings.members))
         self.peers.addresses[settings.node.node_id] = settings.node.internal_address
         self.outbox = Outbox(self._context.identifiers)
@@ -95,7 +95,7 @@
         )
 
     def _build_leadership(self, settings: CoreSettings) -> None:
-        """Build what makes a core the primary, and what the primary does."""
+        """Build the modules that make this core the primary and do the primary's work."""
         self.view_changer = ViewChanger(
             self.peers,
             self.outbox,
@@ -116,7 +116,7 @@
         )
 
     def _build_bootstrap(self, settings: CoreSettings) -> None:
-        """Build how a core gets its vote, becomes a member, or recovers with an operator."""
+        """Build the modules for the first view, joining, and recovery by an operator."""
         self.formation = Formation(
             self.peers,
             self.outbox,
@@ -160,7 +160,7 @@
     # Events ---------------------------------------------------------------
 
     def handle(self, event: ev.Event, now: float) -> list[fx.Effect]:
-        """Take one event; a primary whose lease has ended steps down before anything else."""
+        """Handle one event; a primary whose lease has expired steps down first."""
         if self.primary.view is not None and not self.primary.is_active(now):
             self.primary.step_down("the lease ended", now)
         self._dispatch(event, now)
@@ -305,7 +305,7 @@
         self.outbox.log("error", "stopped participating", reason=reason)
         self.primary.hand_over(reason, now)
 
-    # What others read -----------------------------------------------------
+    # State for other modules and metrics ----------------------------------
 
     def _last_position(self) -> Position:
         return self.store.last
@@ -324,7 +324,7 @@
         return core_status(sources, now)
 
     def metrics(self, now: float) -> Iterable[MetricSample]:
-        """Return the metric samples of this moment."""
+        """Return the current metric samples of replication."""
         promised = self.witness.state.promised_epoch
         accepted = self.changes.accepted_count
         serves = float(self.primary.may_serve(now))
--- a/rooklug/core/disk.py
+++ b/rooklug/core/disk.py
@@ -1,4 +1,4 @@
-"""Writes in flight on this core's disk, and the continuations that wait for them."""
+"""Tracks writes in flight on this core's disk and runs continuations once they are synced."""
 
 from collections.abc import Callable, Sequence
 
@@ -12,14 +12,17 @@
 
 @attrs.define
 class Barrier:
-    """Runs ``then`` when all ``tickets`` are synced."""
+    """Runs ``then`` once the writes of all ``tickets`` are synced."""
 
     tickets: set[int]
     then: Continuation
 
 
 class Disk:
-    """Issues writes and runs continuations once they are synced; broken after a failed write."""
+    """Issues writes, and runs continuations once the writes before them are synced.
+
+    ``broken`` is the reason of the first failed write, "" before; no continuation runs after it.
+    """
 
     def __init__(self, outbox: Outbox) -> None:
         self._outbox = outbox
@@ -30,19 +33,19 @@
     def append(
         self, file: str, records: Sequence[bytes], now: float, then: Continuation | None = None
     ) -> None:
-        """Append records and sync."""
+        """Append records to ``file`` and sync it, then run ``then``."""
         ticket = self._issue(now, then)
         self._outbox.add(fx.WriteRecords(ticket, file, tuple(records)))
 
     def rewrite(
         self, file: str, records: Sequence[bytes], now: float, then: Continuation | None = None
     ) -> None:
-        """Replace a file atomically and sync."""
+        """Replace the content of ``file`` atomically and sync it, then run ``then``."""
         ticket = self._issue(now, then)
         self._outbox.add(fx.RewriteFile(ticket, file, tuple(records)))
 
     def after_sync(self, now: float, then: Continuation) -> None:
-        """Run ``then`` once everything issued so far is synced; at once if nothing waits."""
+        """Run ``then`` once all writes issued so far are synced; at once if none is in flight."""
         if self.broken:
             return
         if self._issued:
@@ -51,7 +54,7 @@
             then(now)
 
     def finished(self, ticket: int, now: float) -> None:
-        """Take the end of a write."""
+        """Handle a completed write; run the continuations that waited only for it."""
         if self._issued.pop(ticket, None) is None or self.broken:
             return
         ready = []
@@ -64,12 +67,12 @@
             barrier.then(now)
 
     def failed(self, reason: str) -> None:
-        """Take the failure of a write: what the disk has is uncertain from here on."""
+        """Handle a failed write: from now on the content of the disk is uncertain."""
         self.broken = reason
         self._barriers.clear()
 
     def oldest_age(self, now: float) -> float:
-        """Return for how many seconds the oldest write is in flight, 0 without one."""
+        """Return the age of the oldest write in flight in seconds, 0 if there is none."""
         return now - min(self._issued.values()) if self._issued else 0.0
 
     def _issue(self, now: float, then: Continuation | None) -> int:
--- a/rooklug/core/disk_identity.py
+++ b/rooklug/core/disk_identity.py
@@ -1,4 +1,4 @@
-"""Whether a core may trust its disk at the start; a disk that it can't trust is a new one."""
+"""Checks at startup whether a core may trust its disk; else the disk counts as a new one."""
 
 import attrs
 
@@ -12,14 +12,14 @@
 
 @attrs.frozen
 class DiskCheck:
-    """The witness state found on disk, or None with the reason why it can't be trusted."""
+    """The witness state found on disk, or None and the reason why it can't be trusted."""
 
     witness: WitnessState | None
     reason: str
 
 
 def check_disk(event: Started, core_id: str) -> DiskCheck:
-    """Return the last witness record, if the disk is intact and this core's own."""
+    """Return the last witness record if the disk is intact and belongs to this core."""
     records = event.records.get(WITNESS_FILE, ())
     if not records:
         return DiskCheck(None, "the disk is blank")
@@ -37,5 +37,8 @@
 
 
 def new_incarnation(core_id: str, event: Started, incarnation: str) -> MemberDisk:
-    """Return the identity of a disk's new incarnation; no other process start has the same."""
+    """Return the identity of a disk's new incarnation.
+
+    It contains ``incarnation``, the id of this process start, so that it is never reused.
+    """
     return MemberDisk(core_id, f"{event.disk_identity}:{incarnation}")
--- a/rooklug/core/documents.py
+++ b/rooklug/core/documents.py
@@ -1,4 +1,4 @@
-"""Checks submitted documents, outside the event loop and without state."""
+"""Checks submitted documents; stateless, since it runs outside the event loop."""
 
 from collections.abc import Callable
 from typing import Any
@@ -14,7 +14,7 @@
 
 @attrs.frozen
 class CheckTask:
-    """A submitted body; a patch comes with the document it is based on."""
+    """A submitted body; ``base_document`` is set if the body is a patch of that document."""
 
     body: bytes
     base_document: bytes | None
@@ -22,7 +22,7 @@
 
 @attrs.frozen
 class CheckOutcome:
-    """The resulting document, or every problem with its path."""
+    """The document to commit, or all problems found, each with its path in the document."""
 
     document: bytes = b""
     problems: tuple[str, ...] = ()
@@ -30,13 +30,13 @@
 
 @attrs.frozen
 class DocumentChecker:
-    """Checks by the functions of ``rooklug.config``, given so that tests can replace them."""
+    """Checks documents with functions of ``rooklug.config``, injected so tests can replace them."""
 
     read_configuration: ReadConfiguration
     apply_merge_patch: ApplyMergePatch
 
     def check(self, task: CheckTask) -> CheckOutcome:
-        """Apply a patch if it is one, and check the resulting document."""
+        """Apply the body to its base if it is a patch, and check the resulting document."""
         if len(task.body) > MAX_DOCUMENT_BYTES:
             return _too_large()
         document = task.body
--- a/rooklug/core/follower.py
+++ b/rooklug/core/follower.py
@@ -1,4 +1,4 @@
-"""What the primary knows of each other member during one view."""
+"""The primary's record of each other member during one view."""
 
 import attrs
 
@@ -10,7 +10,7 @@
 
 @attrs.define(eq=False)
 class SnapshotTransfer:
-    """A snapshot on its way to a learner, chunk by chunk; ``next_index`` is sent next."""
+    """A snapshot that is being sent to a learner; ``next_index`` is the next chunk to send."""
 
     position: Position
     chunks: list[bytes]
@@ -24,23 +24,24 @@
     Attributes
     ----------
     in_sync
-        Whether its disk counts for a commit; else it is a learner.
+        Whether its disk must have an entry before the entry commits; else it is a learner.
     reachable
-        Whether it has answered the last heartbeat.
+        Whether it answered the last heartbeat.
     started
         Whether it has compared its log with the primary's in this view.
     acknowledged
-        The last sequence that is synced to its disk.
+        The last sequence that it has synced to its disk.
     sending
-        Whether a message to it is in flight; the next one waits for its end.
+        Whether a replication message to it is in flight; at most one is at a time.
     owing_since, allowed_s
-        Since when it owes an answer, and how long that may take.
+        Since when it has owed an answer (None if it owes none), and how many seconds the
+        answer may take before the follower is overdue.
     last_contact_at
-        When it last answered anything.
+        When its last answer arrived.
     supported_at
         When the newest heartbeat was sent that its witness supports.
     transfer
-        The snapshot that it receives, if any.
+        The snapshot that is being sent to it, if any.
     """
 
     core_id: str
--- a/rooklug/core/formation.py
+++ b/rooklug/core/formation.py
@@ -1,4 +1,4 @@
-"""How a core without a vote gets one: at the first start, after a lost disk, or by joining."""
+"""How a core without a vote obtains one: at the first start, or after it has lost its disk."""
 
 from collections.abc import Callable
 
@@ -22,7 +22,11 @@
 
 
 class Formation:
-    """Reads the other witnesses until this one may vote; ``waits_for`` is shown in the status."""
+    """Reads the other cores' witnesses until this core's witness may vote.
+
+    ``waits_for`` is the reason why it may not vote yet, as shown in the status.
+    ``on_formed(view, sent_at, now)`` is called when all cores have accepted the first view.
+    """
 
     def __init__(
         self,
@@ -46,7 +50,7 @@
         self.waits_for = WAITING
 
     def tick(self, now: float) -> None:
-        """Read every ``READ_WITNESS_S``, while this witness doesn't vote."""
+        """Read the other witnesses every ``READ_WITNESS_S`` while this one may not vote."""
         if self._witness.state.voting or now < self._read_at:
             return
         self._read_at = now + READ_WITNESS_S
@@ -82,7 +86,7 @@
         self._decide(now)
 
     def is_member(self) -> bool:
-        """Return whether the newest view that was read names this core as a member."""
+        """Return whether the newest view read so far has this core as a voting member."""
         return self._peers.own_id in self._peers.members_of(self._newest_view())
 
     def _newest_view(self) -> View | None:
@@ -110,7 +114,7 @@
         self._join_first_view(states, now)
 
     def _join_first_view(self, states: list[WitnessState], now: float) -> None:
-        """One core has accepted the first view and this one is named in it: accept it too."""
+        """Accept the first view, which another core has accepted, if this core is in it."""
         views = [state.view for state in states if state.voting and state.view is not None]
         formed = witness_rules.form(self._witness.state, views[0]) if views else None
         if formed is None:
--- a/rooklug/core/http_interface.py
+++ b/rooklug/core/http_interface.py
@@ -1,8 +1,8 @@
-"""The operators' HTTP interface of a core itself, for the time when there is no primary.
+"""The HTTP interface of a single core for operators, usable while there is no primary.
 
-- ``GET /v1/core/status``: this core's replication status, as ``CoreStatus``.
-- ``POST /v1/core/recover``: body ``{"plan": ""}`` asks for a plan; the plan sent back is the
-  confirmation. Answer ``{"outcome", "plan", "may_be_lost", "message"}``.
+- ``GET /v1/core/status``: this core's replication status, the fields of ``CoreStatus``.
+- ``POST /v1/core/recover``: the body ``{"plan": ""}`` requests a recovery plan; sending that
+  plan back confirms it. Answer: ``{"outcome", "plan", "may_be_lost", "message"}``.
 """
 
 import json
@@ -30,7 +30,7 @@
 
 
 class HttpInterface:
-    """Answers the requests under ``PREFIX``."""
+    """Handles the HTTP requests whose path begins with ``PREFIX``."""
 
     def __init__(
         self, outbox: Outbox, recovery: Recovery, status: Callable[[float], CoreStatus]
@@ -40,7 +40,7 @@
         self._status = status
 
     def on_request(self, event: ev.HttpRequestArrived, now: float) -> None:
-        """Answer one request, at once or when the other cores have answered."""
+        """Handle one request; a recovery is answered once the other cores have answered."""
         if (event.method, event.path) == ("GET", STATUS_PATH):
             self._respond(event.request_id, HTTP_OK, _fields(self._status(now)))
         elif (event.method, event.path) == ("POST", RECOVER_PATH):
--- a/rooklug/core/in_sync_set.py
+++ b/rooklug/core/in_sync_set.py
@@ -1,8 +1,8 @@
-"""Which members the next view has in sync: late ones leave it, caught-up ones enter it.
+"""Decides which members the next view has in sync: removes late ones, admits caught-up ones.
 
-A change is acknowledged only once every member in sync has it on disk, so one slow disk holds
-up all operators. A member that is late is therefore removed by a view change, copies what it
-lacks, and is admitted again once its log equals the primary's.
+A change is acknowledged only once every in-sync member has it on disk, so one slow disk delays
+all operators. A late member is therefore removed by a view change, receives the entries that it
+lacks as a learner, and is admitted again once its log equals the primary's.
 """
 
 from collections.abc import Iterable
@@ -23,10 +23,10 @@
 
 
 class InSyncSet:
-    """Decides about view changes that alter the in-sync set; the primary carries them out.
+    """Decides on view changes that alter the in-sync set; the primary executes them.
 
-    While ``is_waiting_for_learner`` the primary appends nothing new, for ``CATCH_UP_S`` at
-    most, so that a member that is nearly there gets a log equal to its own.
+    While ``is_waiting_for_learner`` the primary appends nothing, for at most ``CATCH_UP_S``, so
+    that the log of a learner that lacks few entries can become equal to the primary's.
     """
 
     def __init__(self, outbox: Outbox, store: ReplicaStore, replicator: Replicator) -> None:
@@ -39,19 +39,19 @@
 
     @property
     def is_waiting_for_learner(self) -> bool:
-        """Whether appends rest until a learner has caught up."""
+        """Whether appends are paused until a learner has caught up."""
         return self._catching_up_since is not None
 
     def reset(self) -> None:
-        """Forget the learner that was waited for: a view begins or ends."""
+        """Stop waiting for a learner; called when a view begins or ends."""
         self._catching_up_since = None
 
     def excluded_from_next_view(
         self, view: View, required_acks: int, now: float
     ) -> frozenset[str] | None:
-        """Return whom a view change that is due now leaves out, None if none is due.
+        """Return the members to remove by a view change now, None if no view change is due.
 
-        ``EVERYONE_STAYS``: the view change only admits members that have caught up.
+        ``EVERYONE_STAYS``: the view change only admits learners that have caught up.
         """
         late = self._late(view, required_acks, now)
         if late:
@@ -62,10 +62,10 @@
         return self._admission(now)
 
     def _late(self, view: View, required_acks: int, now: float) -> frozenset[str]:
-        """Return the members that hold commits up.
+        """Return the in-sync members to remove because they delay commits.
 
-        One that is merely silent leaves only while enough others stay: it costs no commit as
-        long as nothing is appended.
+        A member that is only silent is removed only while ``required_acks`` others remain: it
+        delays no commit as long as nothing is appended.
         """
         overdue = self._replicator.overdue(now)
         unresponsive = self._replicator.unresponsive(now) | overdue
@@ -91,7 +91,7 @@
         return follower.started and follower.reachable and rested and lag <= CATCH_UP_LAG_ENTRIES
 
     def _postpone_rejoin(self, core_ids: Iterable[str], now: float) -> None:
-        """Double the time until a member may be admitted again; it is short after a long calm."""
+        """Double the members' re-admission backoff; restart it after a long time without change."""
         for core_id in core_ids:
             calm = now > self._rejoin_at.get(core_id, NEVER) + REJOIN_BACKOFF_LIMIT_S
             previous_s = REJOIN_BACKOFF_S / 2 if calm else self._backoff_s[core_id]
--- a/rooklug/core/joining.py
+++ b/rooklug/core/joining.py
@@ -1,7 +1,7 @@
-"""How a core that is no member becomes one: it sends requests until a view names it.
+"""How a core becomes a voting member: it sends join requests until a view includes it.
 
-A core comes here when it is new, when the members were changed while it was away, or when it
-is one of more cores than the first view is formed of.
+This applies to a new core, to a core that was replaced while it was down, and, in a cluster of
+more cores than the first view has members, to the cores beyond those.
 """
 
 from rooklug.core.constants import JOIN_INTERVAL_S, MESSAGE_DEADLINE_S
@@ -15,7 +15,7 @@
 
 
 class JoinRequester:
-    """Sends join requests to all known cores; those that don't lead name the primary's address."""
+    """Sends join requests to all known cores; a backup answers with the primary's address."""
 
     def __init__(
         self,
@@ -34,7 +34,7 @@
         self._requested_at = 0.0
 
     def tick(self, now: float, *, has_primary: bool) -> None:
-        """Send requests every ``JOIN_INTERVAL_S``, while no view names this core."""
+        """Send requests every ``JOIN_INTERVAL_S`` while this core may not be a member."""
         if has_primary or now < self._requested_at + JOIN_INTERVAL_S or not self._is_outside():
             return
         self._requested_at = now
@@ -44,7 +44,7 @@
 
     def _is_outside(self) -> bool:
         if self._witness.state.voting:
-            # No primary is in touch: perhaps the members were changed without it.
+            # No primary has contacted this core: it may have been replaced while it was down.
             return True
         return not self._formation.is_member()
 
--- a/rooklug/core/leadership_lease.py
+++ b/rooklug/core/leadership_lease.py
@@ -1,8 +1,8 @@
-"""The primary's lease: heartbeats to the other members, and until when it may act.
+"""The primary's lease: heartbeats to the other members, and how long the primary may act.
 
-A witness that answers a heartbeat supports the primary for ``FAILOVER_TIMEOUT_S`` from its
-receipt. The primary counts ``LEASE_S`` from its own send, which is earlier and shorter, so that
-its lease is over before a majority of witnesses may promise anything to another core.
+A witness that answers a heartbeat supports the primary for ``FAILOVER_TIMEOUT_S`` from when it
+received it. The primary counts the shorter ``LEASE_S`` from when it sent it, so its lease expires
+before a majority of witnesses may make a promise to another core.
 """
 
 from collections.abc import Callable
@@ -20,11 +20,11 @@
 
 
 class LeadershipLease:
-    """Sends heartbeats during the replicator's view and extends the lease by their answers.
+    """Sends heartbeats during the replicator's view, and extends the lease when they are answered.
 
-    ``until`` is the monotonic time at which the lease ends, in seconds. ``on_extended()``
-    follows each extension; ``on_refused(epoch, now)`` the answer of a core that has promised a
-    higher epoch.
+    ``until`` is the monotonic time at which the lease expires, in seconds. ``on_extended()`` is
+    called after each extension, ``on_refused(epoch, now)`` when a core answers that it has
+    promised the higher ``epoch``.
     """
 
     def __init__(
@@ -49,25 +49,25 @@
         self.until = 0.0
 
     def is_valid(self, now: float) -> bool:
-        """Return whether the lease lasts at this very moment."""
+        """Return whether the lease has not expired at ``now``."""
         return now < self.until
 
     def start(self, accepts_sent_at: float, now: float) -> None:
-        """Begin a view; the accepts of a majority count like answers to a heartbeat."""
+        """Begin a view; a majority's accepts of it count like answers to a heartbeat."""
         self._next_heartbeat_at = now
         self.until = max(self.until, accepts_sent_at + LEASE_S)
 
     def stop(self) -> None:
-        """End the lease."""
+        """Give up the lease at once."""
         self.until = 0.0
 
     def send_heartbeats_if_due(self, now: float) -> None:
-        """Send heartbeats ``HEARTBEAT_S`` after the last ones."""
+        """Send heartbeats if the last ones are ``HEARTBEAT_S`` old."""
         if now >= self._next_heartbeat_at:
             self.send_heartbeats(now)
 
     def send_heartbeats(self, now: float) -> None:
-        """Ask every member for its support, and say what is committed."""
+        """Send heartbeats, which renew support and carry the commit position, to all others."""
         self._next_heartbeat_at = now + HEARTBEAT_S
         own = self._witness.state.own
         self._witness.record_heartbeat(own, self._replicator.led_view.epoch, now)
@@ -112,7 +112,7 @@
         self._replicator.pump(now)
 
     def _extend(self) -> None:
-        """Let the lease run from the newest send that a majority of each electorate supports."""
+        """Count the lease from the newest heartbeat that a majority of each electorate supports."""
         supported_at = {
             follower.core_id: follower.supported_at
             for follower in self._replicator.followers.values()
@@ -126,6 +126,6 @@
 
 
 def _majority_time(electorate: frozenset[str], supported_at: dict[str, float]) -> float:
-    """Return the newest time at which, or after which, a majority has given its support."""
+    """Return the newest send time such that a majority supports a heartbeat sent then or later."""
     times = sorted((supported_at.get(core_id, NEVER) for core_id in electorate), reverse=True)
     return times[majority(len(electorate)) - 1]
--- a/rooklug/core/log.py
+++ b/rooklug/core/log.py
@@ -1,4 +1,4 @@
-"""The log in memory: the entries after the snapshot, and the comparison of two logs."""
+"""The log in memory: the entries after the snapshot, and how it is compared with another log."""
 
 from collections.abc import Iterable, Sequence
 
@@ -7,7 +7,7 @@
 
 
 class ReplicatedLog:
-    """Entries of consecutive sequences after ``base``, which the snapshot represents."""
+    """Entries with consecutive sequences after ``base``, the position of the snapshot."""
 
     def __init__(self, base: Position = START) -> None:
         self.base = base
@@ -15,13 +15,13 @@
 
     @property
     def last(self) -> Position:
-        """The position of the last entry."""
+        """The position of the last entry, or of the snapshot if there are no entries."""
         if not self.entries:
             return self.base
         return Position(self.entries[-1].epoch, self.entries[-1].sequence)
 
     def position_at(self, sequence: int) -> Position | None:
-        """Return the position of an entry, None where the log doesn't reach."""
+        """Return the position of an entry, None if it is compacted or not in the log yet."""
         if sequence == self.base.sequence:
             return self.base
         index = sequence - self.base.sequence - 1
@@ -30,7 +30,7 @@
         return Position(self.entries[index].epoch, sequence)
 
     def after(self, sequence: int) -> list[LogEntry]:
-        """Return the entries of a higher sequence."""
+        """Return the entries with a sequence higher than ``sequence``."""
         return self.entries[max(0, sequence - self.base.sequence) :]
 
     def between(self, after: int, last: int) -> list[LogEntry]:
@@ -38,7 +38,7 @@
         return self.entries[after - self.base.sequence : last - self.base.sequence]
 
     def append(self, entry: LogEntry) -> bool:
-        """Add the next entry; False when it doesn't follow the last one."""
+        """Append an entry; return False, without change, if it doesn't follow the last one."""
         last = self.last
         if entry.sequence != last.sequence + 1 or entry.epoch < last.epoch:
             return False
@@ -46,16 +46,16 @@
         return True
 
     def truncate_after(self, sequence: int) -> None:
-        """Drop the entries of a higher sequence."""
+        """Remove the entries with a sequence higher than ``sequence``."""
         del self.entries[max(0, sequence - self.base.sequence) :]
 
     def compact(self, base: Position) -> None:
-        """Drop the entries up to ``base``, which a snapshot represents now."""
+        """Remove the entries up to ``base``, which the snapshot now includes."""
         del self.entries[: base.sequence - self.base.sequence]
         self.base = base
 
     def runs(self) -> list[EpochRun]:
-        """Return the epochs of the entries, as runs."""
+        """Return the epochs of the entries, run-length encoded."""
         runs: list[EpochRun] = []
         for entry in self.entries:
             if not runs or runs[-1].epoch != entry.epoch:
@@ -65,10 +65,11 @@
     def matched_sequence(
         self, base: Position, runs: Sequence[EpochRun], last: Position
     ) -> int | None:
-        """Return the last sequence up to which this log equals the other one, None if unknown.
+        """Return the last sequence up to which this log equals another one.
 
-        The other log has a snapshot at ``base``, entries of ``runs`` after it, and ends at
-        ``last``. None: it needs a snapshot, since the logs share no position it still has.
+        The other log has its snapshot at ``base``, then entries with the epochs ``runs``, and
+        ends at ``last``. Return None if the logs share no position that both still have: then
+        only a snapshot can make them equal.
         """
         sequence = min(self.last.sequence, last.sequence)
         lowest = max(self.base.sequence, base.sequence)
--- a/rooklug/core/member_changes.py
+++ b/rooklug/core/member_changes.py
@@ -1,4 +1,4 @@
-"""Which core becomes a voting member next, and whose place it takes; one change at a time."""
+"""Decides which core becomes a voting member next, and which member it replaces."""
 
 import attrs
 
@@ -16,7 +16,10 @@
 
 @attrs.frozen
 class PendingJoin:
-    """A core that isn't a member asked to become one at monotonic time ``requested_at``."""
+    """A core's request to become a voting member.
+
+    ``requested_at`` is the monotonic time at which it arrived, in seconds.
+    """
 
     member: CoreMember
     first_start: bool
@@ -24,7 +27,7 @@
 
 
 class MemberChanges:
-    """Keeps the newest request to join, and decides whether it can be granted."""
+    """Keeps the newest join request and decides whether it can be granted; one at a time."""
 
     def __init__(self, replicator: Replicator) -> None:
         self._replicator = replicator
@@ -33,17 +36,17 @@
         self._draining_since: dict[str, float] = {}
 
     def request_join(self, member: CoreMember, now: float, *, first_start: bool) -> None:
-        """Remember a core's request; a newer request replaces it."""
+        """Record a core's request, in the place of an earlier one of any core."""
         self._pending_join = PendingJoin(member, first_start, now)
 
     def record_draining(self, core_id: str, now: float) -> None:
-        """Remember that a core is being stopped on purpose: its place is free at once."""
+        """Record that a core is being stopped on purpose: it may be replaced without waiting."""
         self._draining_since[core_id] = now
 
     def next_change(self, view: View, required_acks: int, now: float) -> MemberChange | None:
-        """Return the change to make now, if any.
+        """Return the change to make now, None if there is none.
 
-        At the first start founders add up; a later core waits until it can replace a member.
+        A core that joins at the first start is added; a later core has to replace a member.
         """
         if now < self._next_change_at:
             return None
@@ -57,7 +60,7 @@
         return MemberChange(pending.member, leaver)
 
     def _replaceable(self, view: View, required_acks: int, now: float) -> str:
-        """Return the member that is gone for longest and whose data isn't needed, or ""."""
+        """Return the member gone for longest whose disk isn't required, "" if there is none."""
         in_sync = {disk.core_id for disk in view.in_sync}
         gone = [
             follower
--- a/rooklug/core/outbox.py
+++ b/rooklug/core/outbox.py
@@ -1,4 +1,4 @@
-"""Collects the effects of one event, and keeps the continuations of calls in flight."""
+"""Collects the effects of one event and tracks calls in flight."""
 
 from collections.abc import Callable
 from typing import Any
@@ -13,14 +13,14 @@
 
 @attrs.frozen
 class PendingCall:
-    """The two continuations of a call in flight."""
+    """The continuations of a call in flight; exactly one of them will run."""
 
     on_answer: Callable[[Any, float], None]
     on_failure: Callable[[float], None]
 
 
 class Outbox:
-    """The effects of one event in order, and the calls in flight."""
+    """Collects effects in order, and runs a call's continuation when the call has ended."""
 
     def __init__(self, identifiers: Identifiers) -> None:
         self.identifiers = identifiers
@@ -28,19 +28,19 @@
         self._calls: dict[int, PendingCall] = {}
 
     def add(self, effect: fx.Effect) -> None:
-        """Append one effect."""
+        """Append an effect to those of the current event."""
         self._effects.append(effect)
 
     def emit(self, event: InternalEvent) -> None:
-        """Deliver an internal event to the other components of this process."""
+        """Emit an internal event to the other components of this process."""
         self.add(EmitEvent(event))
 
     def log(self, level: str, message: str, **fields: Any) -> None:
-        """Write one log line; ``fields`` are JSON values."""
+        """Write a log line; ``fields`` must be JSON values."""
         self.add(fx.Log(level, message, fields))
 
     def answer(self, call_id: int, answer: Any) -> None:
-        """Answer a peer's request."""
+        """Send the answer to a peer's request."""
         self.add(fx.Answer(call_id, answer))
 
     def call(
@@ -52,13 +52,17 @@
         on_failure: Callable[[float], None] = lambda now: None,
         not_after: float | None = None,
     ) -> None:
-        """Send a request to "ip:port"; exactly one of the two continuations follows."""
+        """Send a request to ``address`` ("ip:port").
+
+        Exactly one of the continuations runs later; ``on_failure`` also after ``deadline_s``
+        without an answer. The request is not sent after the monotonic time ``not_after``.
+        """
         call_id = self.identifiers.next()
         self._calls[call_id] = PendingCall(on_answer, on_failure)
         self.add(fx.Call(call_id, address, request, deadline_s, not_after))
 
     def complete_call(self, event: ev.CallAnswered | ev.CallFailed, now: float) -> None:
-        """Run the continuation of a call that has ended."""
+        """Run the continuation of a call that was answered or has failed."""
         pending = self._calls.pop(event.call_id, None)
         if pending is None:
             return
@@ -68,6 +72,6 @@
             pending.on_failure(now)
 
     def take(self) -> list[fx.Effect]:
-        """Return and forget the collected effects."""
+        """Return the collected effects and start a new collection."""
         effects, self._effects = self._effects, []
         return effects
--- a/rooklug/core/peers.py
+++ b/rooklug/core/peers.py
@@ -1,4 +1,4 @@
-"""The cores, as one of them sees them: who votes, and where everybody is."""
+"""One core's knowledge of the group: which cores vote, and the address of each known core."""
 
 import attrs
 
@@ -7,10 +7,17 @@
 
 @attrs.define
 class Peers:
-    """Internal addresses by core id; ``own_id`` is this core.
-
-    ``addresses`` are the cores of the settings (the first members), and grow with every view
-    that is learned. ``view`` is the newest view this core's witness holds.
+    """The known cores, seen from the core ``own_id``.
+
+    Attributes
+    ----------
+    addresses
+        Internal addresses by core id: at first those of the settings, extended by each view
+        that this core learns of.
+    founders
+        The cores of the settings, which are the members of the first view.
+    view
+        The newest view that this core's witness has accepted or learned.
     """
 
     own_id: str
@@ -22,28 +29,28 @@
         self.founders = self.founders or frozenset(self.addresses)
 
     def adopt(self, view: View | None) -> None:
-        """Follow this core's witness to the view that it holds now."""
+        """Set the view that this core's witness now has."""
         self.view = view
         if view is not None:
             self.learn(view.members)
             self.learn(view.previous)
 
     def learn(self, members: tuple[CoreMember, ...]) -> None:
-        """Remember addresses."""
+        """Add the members' addresses."""
         for member in members:
             self.addresses[member.core_id] = member.address
 
     @property
     def members(self) -> frozenset[str]:
-        """The ids of the cores that vote in the newest view known."""
+        """The ids of the cores that vote in ``view``."""
         return self.members_of(self.view)
 
     def members_of(self, view: View | None) -> frozenset[str]:
-        """Return the ids of the cores that vote in ``view``."""
+        """Return the ids of the cores that vote in a view; the founders before the first one."""
         return (view.member_ids if view else frozenset()) or self.founders
 
     def electorates(self, view: View | None) -> list[frozenset[str]]:
-        """Return the sets of cores of which each must agree by a majority."""
+        """Return the sets of cores in each of which a majority must agree."""
         electorates = [self.members_of(view)]
         if view is not None and view.previous:
             electorates.append(view.previous_ids)
@@ -57,12 +64,12 @@
 
     @property
     def known_others(self) -> list[str]:
-        """The ids of all other cores ever known, sorted."""
+        """The ids of all other known cores, members or not, sorted."""
         return sorted(core_id for core_id in self.addresses if core_id != self.own_id)
 
     @property
     def index(self) -> int:
-        """This core's index among the voting ones: it decides which epochs it proposes."""
+        """This core's index among the voting members; it determines which epochs it proposes."""
         return sorted(self.members | {self.own_id}).index(self.own_id)
 
     def address(self, core_id: str) -> str:
@@ -70,12 +77,12 @@
         return self.addresses.get(core_id, "")
 
     def member_addresses(self) -> tuple[str, ...]:
-        """Return the internal addresses of the cores that vote; empty before the first view."""
+        """Return the internal addresses of the voting cores, empty before the first view."""
         members = self.view.members if self.view else ()
         return tuple(member.address for member in members)
 
     def founding_members(self) -> tuple[CoreMember, ...]:
-        """Return the members that the first view has."""
+        """Return the members of the first view, sorted."""
         return tuple(
             CoreMember(core_id, self.addresses[core_id]) for core_id in sorted(self.founders)
         )
--- a/rooklug/core/primary.py
+++ b/rooklug/core/primary.py
@@ -1,7 +1,7 @@
-"""The primary's job: commits what every disk in sync has, and changes the view when needed.
+"""The primary's work: commits what every in-sync disk has, and starts view changes.
 
-The lease (``leadership_lease``), the in-sync set (``in_sync_set``), the voting members
-(``member_changes``) and the shipping of the log (``replicator``) have modules of their own.
+Separate modules handle the lease (``leadership_lease``), the in-sync set (``in_sync_set``), the
+voting members (``member_changes``) and replication of the log (``replicator``).
 """
 
 from collections.abc import Callable
@@ -24,11 +24,11 @@
 
 
 class Primary:
-    """Leads while ``view`` is set; may act only while its lease lasts as well.
+    """Leads while ``view`` is set, but may act only while its lease is valid too.
 
-    ``serving``: everything found at the start of the term is committed, so that reads and
-    leases may be answered. ``on_committed(now)`` follows each advance of the commit,
-    ``on_stopped(now)`` the end of the term.
+    ``serving`` is set once all entries that the log had at the start of the term are committed,
+    so that reads and leases may be answered. ``on_committed(now)`` is called after each advance
+    of the commit position, ``on_stopped(now)`` at the end of the term.
     """
 
     def __init__(
@@ -68,7 +68,7 @@
         self.serving = False
         self._last_at_start = 0
 
-    # What others read -----------------------------------------------------
+    # State for other modules ----------------------------------------------
 
     @property
     def epoch(self) -> int:
@@ -76,15 +76,15 @@
         return self.view.epoch if self.view else 0
 
     def is_active(self, now: float) -> bool:
-        """Return whether this core leads and its lease is valid at this very moment."""
+        """Return whether this core leads a view and its lease is valid at ``now``."""
         return self.view is not None and self.lease.is_valid(now)
 
     def may_serve(self, now: float) -> bool:
-        """Return whether it may answer reads and act as the primary."""
+        """Return whether this core may answer reads and act as the primary at ``now``."""
         return self.serving and self.is_active(now)
 
     def may_append(self, now: float) -> bool:
-        """Return whether a new change may be appended at this moment."""
+        """Return whether a new change may be appended at ``now``."""
         return (
             self.may_serve(now)
             and self._is_newest()
@@ -96,7 +96,7 @@
     # The term -------------------------------------------------------------
 
     def start(self, view: View, accepts_sent_at: float, now: float) -> None:
-        """Lead ``view``, which a majority has accepted, or go on leading in a new view."""
+        """Start to lead ``view``, which a majority has accepted; this core may lead already."""
         leads_already = self.serving
         self.view = view
         self._last_at_start = self._store.last.sequence
@@ -111,7 +111,7 @@
         self.tick(now)
 
     def step_down(self, reason: str, now: float) -> None:
-        """Stop leading, and free this core's own witness to support another primary."""
+        """Stop leading, and allow this core's witness to support another primary at once."""
         if self.view is None:
             return
         epoch, served = self.epoch, self.serving
@@ -129,7 +129,7 @@
         self._on_stopped(now)
 
     def hand_over(self, reason: str, now: float) -> None:
-        """Step down, and let the others elect a successor before the lease would have ended."""
+        """Step down, and allow the others to elect a successor before the lease has expired."""
         if self.view is None:
             return
         own = self._witness.state.own
@@ -140,7 +140,7 @@
             self._outbox.call(address, request, MESSAGE_DEADLINE_S, lambda answer, now: None)
 
     def tick(self, now: float) -> None:
-        """Send heartbeats and what followers lack, and begin view changes that are due."""
+        """Send heartbeats, replicate, and start a view change that is due."""
         if self.view is None or self._view_changer.proposal is not None:
             return
         if not self._is_newest():
@@ -154,12 +154,12 @@
             self._adjust_members(now)
 
     def request_join(self, member: CoreMember, now: float, *, first_start: bool) -> None:
-        """Take the request of a core that wants to become a voting member."""
+        """Record the request of a core to become a voting member, unless it is one."""
         if member.core_id not in self._peers.members_of(self.view):
             self._member_changes.request_join(member, now, first_start=first_start)
 
     def record_draining(self, core_id: str, now: float) -> None:
-        """Handle the notification that a core is being stopped on purpose."""
+        """Record that a core is being stopped on purpose, so that it can be replaced at once."""
         self._member_changes.record_draining(core_id, now)
 
     @property
@@ -175,22 +175,22 @@
         return min(self._min_in_sync_replicas, len(self._peers.members_of(self.view)))
 
     def _is_newest(self) -> bool:
-        """Return whether this core's own witness has promised nothing beyond this view.
+        """Return whether this core's own witness has promised no epoch after this view's.
 
-        After a view change that failed half way, the next view may have been accepted by a
-        majority without this core's knowledge: only another proposal can tell.
+        If a view change failed after some witnesses had accepted, a majority may have accepted
+        the new view without this core's knowledge. Only another proposal can find out.
         """
         return self._witness.state.promised_epoch == self.epoch
 
     def _may_commit(self) -> bool:
-        """Return whether acknowledgements of this view count: it has accepted no later one."""
+        """Return whether acknowledgements count: this core has accepted no later view."""
         return (
             self._witness.state.accepted_epoch == self.epoch
             and len(self._led_view.in_sync) >= self._required_acks()
         )
 
     def _advance(self, now: float) -> None:
-        """Commit what all disks in sync have, then send followers what they lack."""
+        """Commit the entries that all in-sync disks have, then replicate to the followers."""
         if self.view is None:
             return
         acknowledged = self.replicator.acknowledged_by_all()
@@ -198,7 +198,7 @@
             self._store.commit_to(acknowledged)
             self._on_committed(now)
             if self._store.last.sequence == acknowledged and self._view_changer.proposal is None:
-                # Followers learn at once what is committed, not with the next change.
+                # Tells the followers the commit position now instead of with the next change.
                 self.lease.send_heartbeats(now)
         self._start_serving()
         self.replicator.pump(now)
@@ -220,7 +220,7 @@
     # View changes ---------------------------------------------------------
 
     def _on_refused(self, epoch: int, now: float) -> None:
-        """Somebody has promised a higher epoch: propose a higher one, if that is possible."""
+        """Propose a view with a higher epoch: another core has promised ``epoch``."""
         self._view_changer.saw_epoch(epoch)
         if self._view_changer.proposal is None:
             self._change_view(EVERYONE_STAYS, now)
@@ -233,11 +233,11 @@
             self._change_view(excluded, now)
 
     def _adjust_members(self, now: float) -> None:
-        """Take in a core that asks, in the place of one that is gone."""
+        """Start or complete a change of the voting members, if one is due."""
         if not self._led_view.members or not self.serving:
             return
         if self._led_view.previous:
-            # The new members are in force; this view ends the vote of the old ones.
+            # The joint view is chosen; the next view ends the votes of the previous members.
             self._change_view(EVERYONE_STAYS, now)
             return
         change = self._member_changes.next_change(self._led_view, self._required_acks(), now)
--- a/rooklug/core/quorum.py
+++ b/rooklug/core/quorum.py
@@ -1,10 +1,10 @@
-"""Quorums: how many votes are enough."""
+"""Quorums: how many votes a decision requires."""
 
 from collections.abc import Iterable, Set
 
 
 def majority(count: int) -> int:
-    """Return the least number that is more than half of ``count``."""
+    """Return the smallest number that is more than half of ``count``."""
     return count // 2 + 1
 
 
@@ -21,7 +21,8 @@
 def readers_needed(count: int) -> int:
     """Return how many other members a member with a lost disk must read before it votes.
 
-    Any majority that its lost disk belonged to has another member among so many others, so
-    nothing that was chosen with the lost vote stays unknown; with three it is both others.
+    Any majority that the lost disk was part of has another member among that many others, so
+    the reader learns of every view that was chosen with the lost vote. With three members it
+    must read both others.
     """
     return count - majority(count) + 1
--- a/rooklug/core/records.py
+++ b/rooklug/core/records.py
@@ -1,4 +1,4 @@
-"""Conversion between the protocol's values and thrift structs."""
+"""Conversion between the values of ``types`` and thrift structs."""
 
 from rooklug.core.types import (
     CoreMember,
@@ -43,7 +43,7 @@
 
 
 def view_to_wire(view: View) -> wire.View:
-    """Encode a view."""
+    """Encode a view; empty ``members`` and ``previous`` are left unset."""
     return wire.View(
         epoch=view.epoch,
         primary_id=view.primary_id,
@@ -62,17 +62,17 @@
 
 
 def runs_to_wire(runs: list[EpochRun]) -> list[wire.EpochRun]:
-    """Encode the epochs of a log's entries."""
+    """Encode the run-length encoded epochs of a log."""
     return [wire.EpochRun(epoch=run.epoch, first_sequence=run.first_sequence) for run in runs]
 
 
 def runs_from_wire(runs: list[wire.EpochRun]) -> list[EpochRun]:
-    """Decode the epochs of a log's entries."""
+    """Decode the run-length encoded epochs of a log."""
     return [EpochRun(run.epoch, run.first_sequence) for run in runs]
 
 
 def witness_to_wire(state: WitnessState) -> wire.WitnessRecord:
-    """Encode a witness' durable state."""
+    """Encode a witness's durable state, for its file or an answer."""
     return wire.WitnessRecord(
         own=disk_to_wire(state.own),
         folder_identity=state.folder_identity,
@@ -86,7 +86,7 @@
 
 
 def witness_from_wire(record: wire.WitnessRecord) -> WitnessState:
-    """Decode a witness' durable state."""
+    """Decode a witness's durable state."""
     return WitnessState(
         own=disk_from_wire(record.own),
         folder_identity=record.folder_identity,
@@ -100,6 +100,6 @@
 
 
 def promise_from_wire(answer: wire.PrepareAnswer) -> Promise:
-    """Decode a granted promise."""
+    """Decode the promise in an answer with ``granted`` set."""
     view = view_from_wire(answer.view) if answer.view else None
     return Promise(disk_from_wire(answer.voter), view, position_from_wire(answer.last))
--- a/rooklug/core/recovery.py
+++ b/rooklug/core/recovery.py
@@ -1,9 +1,9 @@
-"""Executes the runbook "recover": goes on from one replica after a disaster.
+"""Operator-confirmed recovery (runbook "recover"): continues from one replica after a disaster.
 
-Normally a view needs the promises of two witnesses and a disk in sync. When two disks are
-lost, or every disk in sync is, nothing starts by itself. An operator may then order the
-core with the best replica to go on: it first says what may be lost, as a plan; the same plan
-sent back is the confirmation.
+A view normally requires the promises of a majority of witnesses and an in-sync disk. If too many
+disks are lost for that, no core becomes primary by itself. An operator may then order the core
+with the most recent replica to continue. The core first answers with a plan, which states what
+may be lost; the operator confirms by sending the same plan back.
 """
 
 from collections.abc import Callable
@@ -31,7 +31,7 @@
 
 
 class RecoveryOutcome(Enum):
-    """What became of a recover request; the values travel in the answer."""
+    """The outcome of a recover request; the values are sent in the answer."""
 
     PLAN = "plan"
     RECOVERED = "recovered"
@@ -41,7 +41,7 @@
 
 @attrs.frozen
 class Refusal:
-    """Why a recovery isn't planned; ``message`` is for the operator."""
+    """The reason why no recovery is planned; ``message`` is shown to the operator."""
 
     outcome: RecoveryOutcome
     message: str
@@ -49,7 +49,7 @@
 
 @attrs.frozen
 class Survivor:
-    """The state of a core that has answered."""
+    """The witness state and the end of the log of a core that has answered."""
 
     state: WitnessState
     last: Position
@@ -57,7 +57,10 @@
 
 @attrs.define(eq=False)
 class Survey:
-    """The other cores' answers to one recover request."""
+    """The other cores' answers to one recover request.
+
+    ``completed`` counts the calls that have ended, answered or not.
+    """
 
     answer: AnswerTo
     confirmed_plan: str
@@ -66,7 +69,10 @@
 
 
 class Recovery:
-    """Plans and executes a recovery; ``on_recovered(view, sent_at, now)`` follows a success."""
+    """Plans and executes recoveries.
+
+    ``on_recovered(view, sent_at, now)`` is called once another core has adopted the new view.
+    """
 
     def __init__(
         self,
@@ -85,11 +91,11 @@
         self._on_recovered = on_recovered
 
     def on_request(self, call_id: int, request: wire.RecoverRequest, now: float) -> None:
-        """Answer a peer's request."""
+        """Handle a recover request that came as a call."""
         self.begin(request.confirmed_plan, lambda answer: self._outbox.answer(call_id, answer), now)
 
     def begin(self, confirmed_plan: str, answer: AnswerTo, now: float) -> None:
-        """Ask the others what they hold, then plan or act, and ``answer`` once."""
+        """Read the other cores' state, then plan or execute; ``answer`` is called once."""
         survey = Survey(answer, confirmed_plan)
         if self._has_primary(now):
             self._answer(survey, RecoveryOutcome.NOT_NEEDED, "a primary is at work")
@@ -125,7 +131,7 @@
         self._adopt(survey, plan, now)
 
     def _refusal(self, survey: Survey, now: float) -> Refusal | None:
-        """Return why nothing is to be done, if so."""
+        """Return why nothing is to be done, None if a recovery may be planned."""
         own = self._witness.state
         if self._has_primary(now):
             return Refusal(RecoveryOutcome.NOT_NEEDED, "a primary is at work")
--- a/rooklug/core/replicator.py
+++ b/rooklug/core/replicator.py
@@ -1,7 +1,8 @@
-"""The primary's side of replication: brings every follower's log up to its own.
+"""The primary's side of replication: makes every follower's log equal to its own.
 
-Followers in sync and learners get the same messages; only those in sync count for a commit.
-One message a follower is in flight at a time, and takes all that is queued (group commit).
+In-sync followers and learners receive the same messages, but only in-sync followers count for a
+commit. At most one message per follower is in flight; the next one carries all entries queued
+meanwhile (group commit).
 """
 
 from collections.abc import Callable, Iterable
@@ -32,8 +33,9 @@
 class Replicator:
     """Sends the log to the other members during one view.
 
-    ``on_progress(now)`` follows each acknowledgement, ``on_refused(epoch, now)`` the answer of
-    a follower that has promised a higher epoch. Nothing is sent after ``lease_until()``.
+    ``on_progress(now)`` is called after each acknowledgement, ``on_refused(epoch, now)`` when a
+    follower answers that it has promised the higher ``epoch``. Nothing is sent after
+    ``lease_until()``.
     """
 
     def __init__(
@@ -56,7 +58,7 @@
         self.followers: dict[str, Follower] = {}
 
     def start(self, view: View, now: float) -> None:
-        """Begin a view: every follower has to compare its log again."""
+        """Begin a view; every follower has to compare its log again."""
         in_sync = {disk.core_id for disk in view.in_sync}
         before = self.followers
         reachable = {follower.core_id for follower in before.values() if follower.reachable}
@@ -69,12 +71,12 @@
             for core_id in self._peers.others
         }
         for core_id, follower in self.followers.items():
-            # A view change is no contact with those that didn't vote in it.
+            # Followers that didn't take part in the view change have had no contact by it.
             if core_id in before and core_id not in in_sync:
                 follower.last_contact_at = before[core_id].last_contact_at
 
     def stop(self) -> None:
-        """End the view; late answers are ignored."""
+        """End the view; answers that arrive later are ignored."""
         self.view = None
         self.followers = {}
 
@@ -85,14 +87,14 @@
         Raises
         ------
         NotLeadingError
-            It leads none.
+            This core leads no view.
         """
         if self.view is None:
             raise NotLeadingError("this core leads no view")
         return self.view
 
     def pump(self, now: float) -> None:
-        """Send to the disk and to each follower what it lacks."""
+        """Send the entries that are missing there to the own disk and to each follower."""
         if self.view is None:
             return
         self._write_own(now)
@@ -101,20 +103,20 @@
                 self._send_next(follower, now)
 
     def acknowledged_by_all(self) -> int:
-        """Return the last sequence synced on this disk and on all others in sync."""
+        """Return the last sequence that is synced on this disk and on all other in-sync disks."""
         others = [f.acknowledged if f.started else 0 for f in self.in_sync_followers()]
         return min([self._store.synced, *others])
 
     def in_sync_followers(self) -> list[Follower]:
-        """The followers in sync."""
+        """Return the in-sync followers."""
         return [follower for follower in self.followers.values() if follower.in_sync]
 
     def learners(self) -> list[Follower]:
-        """The followers that aren't in sync."""
+        """Return the followers that aren't in sync."""
         return [follower for follower in self.followers.values() if not follower.in_sync]
 
     def overdue(self, now: float) -> frozenset[str]:
-        """Followers in sync that have owed an answer for too long."""
+        """Return the in-sync followers whose answer is later than ``allowed_s``."""
         return frozenset(
             follower.core_id
             for follower in self.in_sync_followers()
@@ -122,7 +124,7 @@
         )
 
     def unresponsive(self, now: float) -> frozenset[str]:
-        """Followers in sync without contact for ``LEASE_GUARD_S``."""
+        """Return the in-sync followers without contact for ``LEASE_GUARD_S``."""
         return frozenset(
             follower.core_id
             for follower in self.in_sync_followers()
@@ -130,7 +132,7 @@
         )
 
     def record_contact(self, follower: Follower, disk: MemberDisk, now: float) -> None:
-        """Record contact; a follower in sync with another disk has lost the old one."""
+        """Record contact; an in-sync follower with a new disk has lost the old one: overdue."""
         follower.last_contact_at = now
         if follower.in_sync and not self.led_view.has(disk):
             follower.owing_since = now
@@ -239,7 +241,10 @@
         on_answer: Callable[[Follower, Any, float], bool],
         now: float,
     ) -> None:
-        """Send; ``on_answer`` returns whether to go on at once, else the next tick does."""
+        """Send a request to a follower, unless the lease has expired when it leaves.
+
+        ``on_answer`` returns whether to send the next message at once; else the next tick does.
+        """
         view = self.led_view
         follower.sending = True
         if follower.owing_since is None:
@@ -269,7 +274,7 @@
 def _take_chunk_answer(
     follower: Follower, transfer: SnapshotTransfer, answer: wire.SnapshotPartAnswer
 ) -> bool:
-    """Go on with the next chunk; return whether the transfer goes on."""
+    """Advance to the next chunk; return False, and end the transfer, if the answer isn't ok."""
     if not answer.ok:
         follower.transfer = None
         return False
@@ -280,7 +285,7 @@
 
 
 def _batch(entries: Iterable[wire.LogEntry]) -> list[wire.LogEntry]:
-    """Return the first entries that fit one message, at least one."""
+    """Return the first entries that fit into ``MAX_BATCH_BYTES``, at least one."""
     batch: list[wire.LogEntry] = []
     size = 0
     for entry in entries:
--- a/rooklug/core/status.py
+++ b/rooklug/core/status.py
@@ -1,4 +1,4 @@
-"""One core's replication status, for ``rooklug ctl status``."""
+"""Builds a core's replication status, as shown by ``rooklug ctl status``."""
 
 import attrs
 
@@ -16,9 +16,9 @@
 
 @attrs.frozen
 class StatusSources:
-    """The modules of a core that its status is read from.
+    """The modules of a core from which its status is built.
 
-    ``failure`` says why the core has stopped participating, "" while it participates.
+    ``failure`` is the reason why the core has stopped participating, "" while it participates.
     """
 
     peers: Peers
@@ -32,7 +32,7 @@
 
 
 def core_status(sources: StatusSources, now: float) -> CoreStatus:
-    """Return the status as this core sees it."""
+    """Return the current status, as far as this core knows."""
     state = sources.witness.state
     in_sync = state.view.in_sync if state.view else ()
     return CoreStatus(
@@ -59,7 +59,7 @@
 
 
 def _explanation(sources: StatusSources) -> str:
-    """Return what an operator should know beside the phase, "" if nothing."""
+    """Return the operator's note: why this core isn't working normally, "" if it is."""
     if sources.failure:
         return sources.failure
     if not sources.witness.state.voting:
--- a/rooklug/core/store.py
+++ b/rooklug/core/store.py
@@ -1,6 +1,7 @@
 """One core's replica: the log on disk and in memory, and the committed state.
 
-The file has a snapshot at its head, then entries and truncations of uncommitted tails.
+The log file starts with a snapshot, followed by records of entries and of truncations of
+uncommitted tails.
 """
 
 from collections.abc import Iterable, Sequence
@@ -24,8 +25,9 @@
 class ReplicaStore:
     """One core's replica of the control state.
 
-    ``written`` is the last sequence given to the disk, ``synced`` the last one that is durable,
-    ``committed`` the last one known to be committed; those are applied to ``state``.
+    ``written`` is the last sequence whose write was issued, ``synced`` the last one that is
+    durable, and ``committed`` the last one known to be committed; ``state`` is the result of the
+    committed entries.
     """
 
     def __init__(self, disk: Disk) -> None:
@@ -45,13 +47,13 @@
 
     @property
     def last(self) -> Position:
-        """The end of the log, synced or not."""
+        """The position of the last entry in memory, synced or not."""
         return self.log.last
 
     def load(self, records: Iterable[bytes]) -> str:
-        """Read the file's records; return what is wrong with them, "" if nothing.
+        """Restore the replica from the file's records; return the problem found, "" if none.
 
-        What precedes the first wrong record is kept.
+        The records before the first invalid one are kept.
         """
         reader = RecordReader()
         problem = ""
@@ -69,7 +71,7 @@
     def write_entries(
         self, entries: Sequence[LogEntry], now: float, then: Continuation | None = None
     ) -> None:
-        """Append entries, which the log in memory has already, to the file and sync."""
+        """Write entries that are already in the log in memory to the file, and sync it."""
         records = [
             encode(LogRecord(entry=EntryRecord(entry=entry, committed=self.committed)))
             for entry in entries
@@ -78,13 +80,13 @@
         self._append(records, now, self._when_synced(last, then))
 
     def after_entries(self, entries: Sequence[LogEntry], now: float, then: Continuation) -> None:
-        """Write ``entries``, if any, and call ``then`` once everything issued so far is synced."""
+        """Write ``entries``, if any, and run ``then`` once all writes issued so far are synced."""
         if entries:
             self.write_entries(entries, now)
         self._disk.after_sync(now, then)
 
     def truncate_after(self, sequence: int, now: float) -> None:
-        """Drop the entries of a higher sequence, in memory and in the file."""
+        """Remove the entries with a higher sequence, in memory and on disk."""
         if sequence >= self.last.sequence:
             return
         self.log.truncate_after(sequence)
@@ -94,11 +96,11 @@
         self._append([encode(LogRecord(cut=CutRecord(after=sequence)))], now, None)
 
     def forget_unwritten(self) -> None:
-        """Drop the entries that were never given to the disk: nobody has acknowledged them."""
+        """Remove the entries whose write was never issued: no core has acknowledged them."""
         self.log.truncate_after(self.written)
 
     def commit_to(self, sequence: int) -> list[LogEntry]:
-        """Apply entries up to ``sequence`` and return them."""
+        """Apply the entries up to ``sequence`` that the log has; return those newly applied."""
         last = min(sequence, self.last.sequence)
         if last <= self.committed:
             return []
@@ -108,7 +110,7 @@
         return entries
 
     def install(self, position: Position, chunks: Sequence[bytes], now: float) -> str:
-        """Replace the replica by a snapshot; return what is wrong with it, "" if nothing."""
+        """Replace the replica by a snapshot; return the problem with the snapshot, "" if none."""
         header = SnapshotHeader(position=position_to_wire(position), parts=len(chunks))
         records = [encode(LogRecord(snapshot=header)), *chunks]
         reader = RecordReader()
@@ -122,17 +124,17 @@
         return ""
 
     def rewrite_all(self, now: float) -> None:
-        """Rewrite the file: the committed state as a snapshot, and the entries after it."""
+        """Rewrite the file as a snapshot of the committed state and the entries after it."""
         self.log.compact(self.state.position)
         self._rewrite([*self.snapshot_records(), *self._entry_records()], now)
 
     def compact_if_long(self, now: float) -> None:
-        """Rewrite the file once it is much longer than the state that it represents."""
+        """Rewrite the file if it is much larger than its snapshot (``REWRITE_BYTES``)."""
         if self._file_bytes > REWRITE_BYTES + 2 * self._snapshot_bytes:
             self.rewrite_all(now)
 
     def snapshot_records(self) -> list[bytes]:
-        """Return the committed state as records: a header, then its chunks."""
+        """Return a snapshot of the committed state: a header record, then the chunks."""
         chunks = [encode(chunk) for chunk in self.state.snapshot_chunks()]
         position = position_to_wire(self.state.position)
         header = SnapshotHeader(position=position, parts=len(chunks))
@@ -168,7 +170,7 @@
 
 
 class RecordReader:
-    """Rebuilds a replica from the records of its file, in order."""
+    """Restores a replica from the records of its file, which are read in order."""
 
     def __init__(self) -> None:
         self.log = ReplicatedLog()
@@ -177,7 +179,7 @@
         self._chunks_missing = 0
 
     def read(self, data: bytes) -> str:
-        """Take one record; return what is wrong with it, "" if nothing."""
+        """Apply one record; return the problem with it, "" if none."""
         decoded = decode(LogRecord, data)
         if decoded.is_error():
             return decoded.error.message
@@ -195,7 +197,10 @@
         return "an empty record"
 
     def unfinished(self) -> str:
-        """Return what is wrong with the end, "" if nothing."""
+        """Check the end of the file; return the problem, "" if none.
+
+        An incomplete snapshot is discarded.
+        """
         if not self._chunks_missing:
             return ""
         self.log, self.state, self.committed = ReplicatedLog(), ControlState(), 0
--- a/rooklug/core/types.py
+++ b/rooklug/core/types.py
@@ -1,15 +1,15 @@
-"""Immutable values of the epoch protocol."""
+"""Immutable values of the view-change protocol."""
 
 import attrs
 
 
 class NotLeadingError(Exception):
-    """A step that only the primary of a view makes was begun by a core that leads none."""
+    """A core that leads no view attempted a step that only the primary of a view may take."""
 
 
 @attrs.frozen(order=True, cache_hash=True)
 class MemberDisk:
-    """One incarnation of one core's disk; a lost or wiped disk comes back with a new id."""
+    """One incarnation of a core's disk; a disk that was lost or wiped gets a new ``disk_id``."""
 
     core_id: str
     disk_id: str
@@ -17,18 +17,19 @@
 
 @attrs.frozen(order=True)
 class Position:
-    """An entry's position in a log. Equal positions mean equal logs up to there."""
+    """An entry's position in a log; logs that share a position are equal up to it."""
 
     epoch: int
     sequence: int
 
 
 START = Position(0, 0)
+"""The position before the first entry."""
 
 
 @attrs.frozen(order=True, cache_hash=True)
 class CoreMember:
-    """A core that votes, and its internal address."""
+    """A voting member and its internal address ("ip:port")."""
 
     core_id: str
     address: str
@@ -36,11 +37,19 @@
 
 @attrs.frozen(cache_hash=True)
 class View:
-    """Who is the primary of ``epoch``, and whose disks have every committed change.
-
-    ``members`` (sorted) are the cores that vote; empty: the ones of the settings.
-    ``previous``: set while the members change; a majority of these is needed as well, until a
-    view without them is chosen.
+    """The configuration of the group during one epoch.
+
+    Attributes
+    ----------
+    primary_id
+        The core that leads.
+    in_sync
+        The disks that have every committed entry, sorted.
+    members
+        The voting cores, sorted; empty stands for the cores of the settings.
+    previous
+        The former voting cores while the members change, else empty. A majority of these is
+        required as well, until a view without them is chosen.
     """
 
     epoch: int
@@ -51,16 +60,16 @@
 
     @property
     def member_ids(self) -> frozenset[str]:
-        """The ids of the cores that vote; empty: the ones of the settings."""
+        """The ids of the voting cores; empty stands for the cores of the settings."""
         return _ids(self.members)
 
     @property
     def previous_ids(self) -> frozenset[str]:
-        """The ids of the cores that must agree as well while the members change."""
+        """The ids of the former voting cores while the members change, else empty."""
         return _ids(self.previous)
 
     def has(self, member: MemberDisk) -> bool:
-        """Return whether this very disk is in sync."""
+        """Return whether this incarnation of the disk is in sync."""
         return member in self.in_sync
 
 
@@ -70,7 +79,26 @@
 
 @attrs.frozen(cache_hash=True)
 class WitnessState:
-    """The durable state of a witness. ``disks`` and ``retired`` are sorted."""
+    """The durable state of a witness.
+
+    Attributes
+    ----------
+    own
+        The disk that this state is on.
+    folder_identity
+        The identity of the data folder that the state was created in.
+    voting
+        Whether the witness may vote. It may not after its disk was lost, until it has read the
+        state of the other witnesses.
+    promised_epoch, promised_to
+        The highest epoch promised, and the proposer it was promised to.
+    view
+        The newest view accepted or learned.
+    disks
+        The known disk of each core, sorted.
+    retired
+        The ids of disks that were replaced by new ones, sorted.
+    """
 
     own: MemberDisk
     folder_identity: str = ""
@@ -89,7 +117,7 @@
 
 @attrs.frozen
 class Promise:
-    """A granted promise: who gave it, the view it had accepted, and the end of its log."""
+    """A granted promise: the voter, the view it had accepted, and the end of its log."""
 
     voter: MemberDisk
     view: View | None
@@ -98,7 +126,7 @@
 
 @attrs.frozen
 class EpochRun:
-    """Log entries from ``first_sequence`` on were created in ``epoch``."""
+    """A run of log entries of the same epoch, which starts at ``first_sequence``."""
 
     epoch: int
     first_sequence: int
--- a/rooklug/core/view_change.py
+++ b/rooklug/core/view_change.py
@@ -1,8 +1,8 @@
-"""A view change: a two-phase proposal (prepare, accept) to the witnesses, as in Paxos.
+"""View changes: two-phase proposals (prepare, accept) to the witnesses, as in Paxos.
 
-The core that wants to lead, or to change the view that it leads, is the proposer. A proposal
-has an epoch, the ballot number of Paxos; a witness that has promised an epoch answers no lower
-one any more.
+The proposer is a core that wants to lead, or that wants to change the view that it leads. The
+epoch of a proposal corresponds to the ballot number of Paxos: a witness that has promised an
+epoch rejects all lower ones.
 """
 
 from collections.abc import Callable
@@ -26,7 +26,7 @@
 
 
 class Phase(Enum):
-    """The phase that a proposal is in."""
+    """The phase of a proposal."""
 
     PREPARE = "prepare"
     ACCEPT = "accept"
@@ -39,15 +39,25 @@
     Attributes
     ----------
     excluded
-        Cores that are left out of the new view, and whose promises are not waited for.
+        Cores that the new view excludes; their promises are not waited for.
     grace_s
-        How long after the first promise the other cores' promises are waited for.
+        How long to wait for the other cores' promises after the first one.
+    started_at
+        Monotonic time of the start, in seconds.
     change
-        A change of the voting members that the view brings, if any.
+        The change of the voting members that the view makes, if any.
     chosen_view
-        The newest view, if it is known that a majority has accepted it.
+        The newest view known, if a majority is known to have accepted it.
+    own, promises
+        The promise of this core's own witness, and those of others by core id.
+    requested, answered
+        The cores that a promise was requested from, and those whose call has ended.
     electorates
-        The sets of members of which each must accept by a majority.
+        The sets of members in each of which a majority must accept.
+    majority_at
+        When the first promise arrived; ``grace_s`` counts from there.
+    accepted
+        The cores that have accepted the view.
     """
 
     epoch: int
@@ -70,10 +80,11 @@
 
 
 class ViewChanger:
-    """Proposer of view changes; at most one proposal is in progress.
+    """The proposer of view changes; at most one proposal is in progress.
 
-    ``on_chosen(view, accepts_sent_at, now)`` follows a success, ``on_failed(reason, now)`` a
-    failure. ``blank_others``: cores whose witness may not vote, as far as known.
+    ``on_chosen(view, accepts_sent_at, now)`` is called after a success, ``on_failed(reason, now)``
+    after a failure. ``highest_seen`` is the highest epoch known to be promised anywhere, and
+    ``blank_others`` the cores whose witness last answered that it may not vote.
     """
 
     def __init__(
@@ -96,7 +107,7 @@
         self.blank_others: set[str] = set()
 
     def saw_epoch(self, epoch: int) -> None:
-        """Remember an epoch that was promised somewhere: the next proposal needs a higher one."""
+        """Record an epoch that some witness has promised: the next proposal needs a higher one."""
         self.highest_seen = max(self.highest_seen, epoch)
 
     def begin(
@@ -107,7 +118,10 @@
         change: MemberChange | None = None,
         chosen_view: View | None = None,
     ) -> None:
-        """Send prepares to the other witnesses; the own promise follows the first of theirs."""
+        """Start a proposal: send prepare requests to the other witnesses.
+
+        This core's own witness promises only after the first other one has.
+        """
         after = max(self.highest_seen, self._witness.state.promised_epoch)
         epoch = next_epoch(after, self._peers.index)
         self.saw_epoch(epoch)
@@ -122,11 +136,11 @@
             self._request_own_promise(current, now)
 
     def abandon(self) -> None:
-        """Give the proposal up; late answers to it are ignored."""
+        """Abandon the proposal; answers to it that arrive later are ignored."""
         self.proposal = None
 
     def tick(self, now: float) -> None:
-        """Propose without cores that don't answer, or give up after ``PROPOSAL_DEADLINE_S``."""
+        """Propose without the cores that don't answer, or fail after ``PROPOSAL_DEADLINE_S``."""
         current = self.proposal
         if current is None:
             return
@@ -169,7 +183,7 @@
         self._on_progress(current, now)
 
     def _prepare_newer_members(self, current: Proposal, view: View | None) -> None:
-        """A promise may come with a view whose members weren't known here."""
+        """Send prepare requests to members that only the view in a promise has."""
         if view is None:
             return
         self._peers.learn(view.members)
--- a/rooklug/core/witness.py
+++ b/rooklug/core/witness.py
@@ -1,7 +1,7 @@
-"""The witness of one core: the durable acceptor of the epoch protocol.
+"""The witness of one core: the durable acceptor of the view-change protocol.
 
-It also guards the primary's lease: for ``LEASE_GUARD_S`` after a heartbeat it promises nothing
-to any other core, so that no successor is chosen before the lease is over.
+It also guards the primary's lease: for ``LEASE_GUARD_S`` after a heartbeat it makes no promise to
+any other core, so that no successor is chosen before the lease has expired.
 """
 
 from collections.abc import Callable
@@ -29,10 +29,10 @@
 
 
 class Witness:
-    """Answers promises, accepts and reads; each answer leaves after its state is synced.
+    """Handles the requests of proposers; sends each answer only after its state is synced.
 
-    ``supported_primary`` is the disk of the primary whose heartbeats it answers, since
-    ``supported_epoch``; the last one came at ``last_heartbeat_at`` (monotonic seconds).
+    ``supported_primary`` and ``supported_epoch`` are the disk and the epoch of the primary whose
+    heartbeats it answers; the last one arrived at ``last_heartbeat_at`` (monotonic seconds).
     """
 
     def __init__(
@@ -49,7 +49,7 @@
         self.last_heartbeat_at = NEVER
 
     def load(self, state: WitnessState, now: float) -> None:
-        """Start from a state that is on disk: before the restart it may have guarded a lease."""
+        """Start from a stored state; guard a lease that it may have guarded before the restart."""
         self.state = state
         self._peers.adopt(state.view)
         self.supported_primary = _primary_disk(state.view)
@@ -57,13 +57,13 @@
         self.last_heartbeat_at = now
 
     def begin_anew(self, state: WitnessState, now: float) -> None:
-        """Start the first incarnation of a disk."""
+        """Start with the state of a new incarnation of the disk, and rewrite the file."""
         self.load(state, now)
         self._file_records = 1
         self._disk.rewrite(WITNESS_FILE, [encode(witness_to_wire(state))], now)
 
     def save(self, state: WitnessState, now: float, then: Continuation) -> None:
-        """Take a new state; go on once it, and all writes before it, are synced."""
+        """Store a new state; run ``then`` once it, and all writes before it, are synced."""
         if state != self.state:
             self.state = state
             self._peers.adopt(state.view)
@@ -71,19 +71,19 @@
         self._disk.after_sync(now, then)
 
     def record_heartbeat(self, supported_primary: MemberDisk, epoch: int, now: float) -> None:
-        """Record a heartbeat of the primary of ``epoch``: the guard of its lease restarts."""
+        """Record a heartbeat of the primary of ``epoch``, which restarts the guard of its lease."""
         self.supported_primary = supported_primary
         self.supported_epoch = epoch
         self.last_heartbeat_at = now
 
     def blocks_promise_to(self, proposer: MemberDisk, now: float) -> bool:
-        """Return whether a promise to ``proposer`` could break another primary's lease."""
+        """Return whether a promise to ``proposer`` could violate another primary's lease."""
         return proposer != self.supported_primary and now < self.last_heartbeat_at + LEASE_GUARD_S
 
     def promise_to_self(
         self, epoch: int, now: float, on_granted: Continuation, on_refused: Continuation
     ) -> None:
-        """Promise to this core's own proposal, by the same rules as to others."""
+        """Promise to this core's own proposal, under the same rules as to another proposer."""
         state = witness_rules.promise(self.state, epoch, self.state.own)
         if state is None or self.blocks_promise_to(self.state.own, now):
             on_refused(now)
@@ -93,14 +93,14 @@
     def accept_from_self(
         self, view: View, promises: list[MemberDisk], now: float, then: Continuation
     ) -> None:
-        """Accept this core's own proposal; nothing follows when it is refused."""
+        """Accept this core's own proposal; ``then`` doesn't run if the rules refuse it."""
         state = witness_rules.accept(self.state, self.state.own, view, promises)
         if state is not None:
             self.record_heartbeat(self.state.own, view.epoch, now)
             self.save(state, now, then)
 
     def on_prepare(self, call_id: int, request: wire.PrepareRequest, now: float) -> None:
-        """Answer a proposer's request for a promise."""
+        """Handle a proposer's request for a promise."""
         proposer = disk_from_wire(request.proposer)
         rule = witness_rules.promise_to_join if request.joining else witness_rules.promise
         state = rule(self.state, request.epoch, proposer)
@@ -110,7 +110,7 @@
         self.save(state, now, lambda now: self._answer_prepare(call_id, request.epoch))
 
     def on_accept(self, call_id: int, request: wire.AcceptRequest, now: float) -> None:
-        """Answer a proposer's request to accept a view."""
+        """Handle a proposer's request to accept a view."""
         proposer = disk_from_wire(request.proposer)
         promises = [disk_from_wire(disk) for disk in request.promises]
         view = view_from_wire(request.view)
@@ -124,7 +124,7 @@
         )
 
     def on_read(self, call_id: int, request: wire.ReadWitnessRequest, now: float) -> None:
-        """Answer a core that lost its disk, after its new disk is registered."""
+        """Handle a read by a core that lost its disk; register its new disk before the answer."""
         state = witness_rules.register(self.state, disk_from_wire(request.reader))
         if state is None:
             self._outbox.answer(call_id, self._read_answer(registered=False))
@@ -135,7 +135,7 @@
         )
 
     def _release_if_replaced(self, reader: MemberDisk, now: float) -> None:
-        """A primary that comes back with another disk has no lease any more."""
+        """End the lease guard if the supported primary has a new disk: its lease is lost too."""
         supported_primary = self.supported_primary
         if (
             supported_primary is not None
@@ -145,7 +145,7 @@
             self.last_heartbeat_at = min(self.last_heartbeat_at, now - LEASE_GUARD_S)
 
     def on_form(self, call_id: int, request: wire.FormViewRequest, now: float) -> None:
-        """Answer the request to accept the very first view."""
+        """Handle the request to accept the first view of the group."""
         state = witness_rules.form(self.state, view_from_wire(request.view))
         if state is None:
             self._outbox.answer(call_id, wire.FormViewAnswer(accepted=False))
@@ -155,7 +155,7 @@
         self.save(state, now, lambda now: self._outbox.answer(call_id, answer))
 
     def on_adopt(self, call_id: int, request: wire.AdoptViewRequest, now: float) -> None:
-        """Answer a core that an operator has ordered to recover."""
+        """Handle the request to adopt the view of an operator-confirmed recovery."""
         proposer = disk_from_wire(request.proposer)
         disks = [disk_from_wire(disk) for disk in request.disks]
         view = view_from_wire(request.view)
@@ -168,14 +168,14 @@
         self.save(state, now, lambda now: self._outbox.answer(call_id, answer))
 
     def on_hand_over(self, call_id: int, request: wire.HandOverRequest, now: float) -> None:
-        """A primary that stepped down ends its lease early."""
+        """Handle the notice of a primary that stepped down: end the guard of its lease."""
         matches = self.supported_primary == disk_from_wire(request.primary)
         if matches and request.epoch == self.supported_epoch:
             self.last_heartbeat_at = now - LEASE_GUARD_S
         self._outbox.answer(call_id, wire.HandOverAnswer(ok=matches))
 
     def release(self, now: float) -> None:
-        """End the guard of this core's own lease."""
+        """End the lease guard if it is for this core's own lease."""
         if self.supported_primary == self.state.own:
             self.last_heartbeat_at = now - LEASE_GUARD_S
 
@@ -215,10 +215,11 @@
 
 
 def _primary_disk(view: View | None) -> MemberDisk | None:
-    """Return the disk of a view's primary.
+    """Return the disk of a view's primary, None without a view.
 
-    A witness counts towards a lease only under a view that it has accepted durably, so after
-    a restart it can only guard that primary's lease, and that core's own proposal ends it.
+    A witness counts for a lease only under a view that it has accepted durably. After a restart
+    it therefore has to guard only the lease of that view's primary, which doesn't block
+    proposals of that primary itself.
     """
     if view is None:
         return None
@@ -226,5 +227,5 @@
 
 
 def blank_state(own: MemberDisk, folder_identity: str) -> WitnessState:
-    """Return the state of a witness that has never voted."""
+    """Return the state of a witness that may not vote yet."""
     return attrs.evolve(WitnessState(own), folder_identity=folder_identity)
--- a/rooklug/core/witness_rules.py
+++ b/rooklug/core/witness_rules.py
@@ -1,6 +1,6 @@
 """The rules of a witness, as pure functions on its durable state.
 
-A caller stores the returned state before it lets anybody know of the answer.
+The caller must store the returned state durably before it sends the answer.
 """
 
 from collections.abc import Iterable
@@ -13,17 +13,17 @@
 
 
 def next_epoch(after: int, core_index: int) -> int:
-    """Return the smallest epoch above ``after`` that is core ``core_index``'s to propose.
+    """Return the smallest epoch above ``after`` that the core ``core_index`` may propose.
 
-    With more cores than slots two may propose the same epoch. A witness promises it to one of
-    them only, so at most one gets a majority.
+    With more than ``EPOCH_SLOTS`` cores, two may propose the same epoch. A witness promises it to
+    only one of them, so at most one obtains a majority.
     """
     epoch = after - after % EPOCH_SLOTS + core_index % EPOCH_SLOTS
     return epoch if epoch > after else epoch + EPOCH_SLOTS
 
 
 def promise(state: WitnessState, epoch: int, proposer: MemberDisk) -> WitnessState | None:
-    """Promise to ignore lower epochs; None when refused."""
+    """Promise an epoch to ``proposer``, and so reject lower ones; None when refused."""
     if not state.voting or proposer.disk_id in state.retired:
         return None
     if epoch > state.promised_epoch:
@@ -33,10 +33,11 @@
 
 
 def promise_to_join(state: WitnessState, epoch: int, proposer: MemberDisk) -> WitnessState | None:
-    """Promise as a core that the proposed view makes a member; None when refused.
+    """Promise as a core that the proposed view would make a member; None when refused.
 
-    A blank witness has no vote to forget: it was in no view before. The primary proposes no
-    core that is a member already (one with a lost disk recovers instead).
+    A witness that may not vote yet can promise here: it was in no view, so it can't have
+    forgotten a vote. The primary never proposes a core that is a member already; such a core
+    regains its vote by ``recover`` after a lost disk.
     """
     if state.voting:
         return promise(state, epoch, proposer)
@@ -48,10 +49,10 @@
 def accept(
     state: WitnessState, proposer: MemberDisk, view: View, promises: Iterable[MemberDisk]
 ) -> WitnessState | None:
-    """Accept a view that was promised; None when refused.
+    """Accept a view whose epoch was promised; None when refused.
 
-    It is refused when it rests on a promise of a disk that was lost since: the new disk
-    has forgotten that promise.
+    ``promises`` are the disks whose promises the proposal is based on. A view is refused if one
+    of them has been lost since, because the new disk doesn't know of that promise.
     """
     if not state.voting or any(voter.disk_id in state.retired for voter in promises):
         return None
@@ -63,7 +64,7 @@
 
 
 def learn_view(state: WitnessState, view: View) -> WitnessState | None:
-    """Take over a view that a majority has accepted; None when it is outdated."""
+    """Adopt a view that a majority has accepted; None when it is outdated."""
     if not state.voting or view.epoch < state.promised_epoch:
         return None
     if view.epoch == state.accepted_epoch:
@@ -73,7 +74,10 @@
 
 
 def register(state: WitnessState, reader: MemberDisk) -> WitnessState | None:
-    """Note the disk of a core that reads the epochs; None when that disk is retired."""
+    """Register the disk of a core that reads this state; None when that disk is retired.
+
+    The disk that the core had before becomes retired.
+    """
     if reader.disk_id in state.retired:
         return None
     known = {disk.core_id: disk for disk in state.disks}
@@ -89,7 +93,10 @@
 
 
 def form(state: WitnessState, view: View) -> WitnessState | None:
-    """Accept the very first view; only a blank witness does, or one that has it already."""
+    """Accept the first view of the group; None when refused.
+
+    Only a witness that may not vote yet accepts it, or one that has accepted it already.
+    """
     if state.voting:
         return state if state.view == view else None
     if view.epoch != FIRST_EPOCH or not view.has(state.own):
@@ -102,10 +109,11 @@
 def recover(
     state: WitnessState, others: Iterable[WitnessState], member_count: int = 3
 ) -> WitnessState | None:
-    """Become a voter again after a lost disk, from the states of other members' witnesses.
+    """Regain the vote after a lost disk, from the states of other members' witnesses.
 
-    They must have registered this disk before they answered. With three members it takes
-    BOTH others, see ``quorum.readers_needed``.
+    The others must have registered this disk before they answered. Return None when too few of
+    them may vote (with three members BOTH others must, see ``quorum.readers_needed``), or when
+    this disk is retired.
     """
     others = [other for other in others if other.voting]
     if len(others) < readers_needed(member_count):
@@ -129,9 +137,10 @@
 def adopt(
     state: WitnessState, proposer: MemberDisk, view: View, disks: Iterable[MemberDisk]
 ) -> WitnessState | None:
-    """Take the view of an operator's recovery, voting or not; None when it is outdated.
+    """Adopt the view of an operator's recovery; None when it is outdated.
 
-    Unlike ``accept`` it needs no promise: an operator has confirmed what may be lost.
+    Unlike ``accept`` it requires no promise and no vote: an operator has confirmed what may be
+    lost. Disks that aren't among ``disks`` become retired.
     """
     known = {disk.core_id: disk for disk in disks}
     if known.get(state.own.core_id) != state.own:
@@ -152,14 +161,14 @@
 
 @attrs.frozen
 class MemberChange:
-    """A change of who votes: at most one core comes, and at most one goes."""
+    """A change of the voting members: at most one core joins, and at most one leaves."""
 
     joiner: CoreMember | None = None
     leaver: str = ""
 
 
 def newest_view(own: Promise, others: Iterable[Promise]) -> View | None:
-    """Return the newest view that any of the promises knows of."""
+    """Return the newest view among the promises, None if none has a view."""
     known = [promise.view for promise in (own, *others) if promise.view is not None]
     return max(known, key=lambda view: view.epoch, default=None)
 
@@ -174,12 +183,13 @@
 ) -> View | None:
     """Return the view to propose, or None when this core may not become the primary.
 
-    Only a disk in sync in the newest accepted view may lead. Other disks stay in sync if
-    they were, or come in if their log is equal to the proposer's; all have promised
-    ``epoch``, so that no earlier primary changes their logs any more.
+    Only a disk that is in sync in the newest accepted view may lead. Another disk stays in sync
+    if it was, or is admitted if its log is equal to the proposer's. All of them have promised
+    ``epoch``, so no earlier primary can change their logs any more.
 
-    Members change in two views: one that both the old and the new members choose, and,
-    once it is ``chosen_view`` (chosen, and nothing newer is known), one without the old ones.
+    Members change in two steps: by a joint view that majorities of both the old and the new
+    members must choose, and then, once that is ``chosen_view`` (chosen, and no newer one is
+    known), by a view without the old members.
     """
     others = list(others)
     latest = newest_view(own, others)
@@ -206,7 +216,10 @@
 def _changed(
     latest: View, change: MemberChange, voters: set[str]
 ) -> tuple[tuple[CoreMember, ...], tuple[CoreMember, ...]]:
-    """Return the members after a change, and those before it; a joiner must have promised."""
+    """Return the members after a change, and those before it (empty if nothing changes).
+
+    A core may join only if it has promised.
+    """
     before = latest.members
     after = [member for member in before if member.core_id != change.leaver]
     if change.joiner is not None:
--- a/rooklug/storage/__init__.py
+++ b/rooklug/storage/__init__.py
@@ -1,6 +1,6 @@
 """Append-only, checksummed record files in a node's data folder.
 
-Begin with ``folder.py`` (identity, lock, appends, atomic rewrites); ``records.py`` is the file
-format. Blocking code: ``rooklug.runtime.disk`` calls it from a thread. May import nothing of
-rooklug.
+Entry point: ``folder.py`` (identity, lock, appends, atomic rewrites); ``records.py`` defines the
+file format. All calls block, so ``rooklug.runtime.disk`` makes them from a thread. May not import
+any other package of rooklug.
 """
--- a/rooklug/storage/folder.py
+++ b/rooklug/storage/folder.py
@@ -1,7 +1,7 @@
 """A node's data folder: its identity, its lock, and its record files.
 
-Blocking; the runtime calls it from a thread of its own. An append is durable only once its
-file is synced.
+All functions block; the runtime calls them from a separate thread. An append is durable only
+once its file has been synced.
 """
 
 import fcntl
@@ -24,35 +24,35 @@
 _FILE_NAME = re.compile(r"[a-z0-9][a-z0-9_.-]*")
 
 PROBLEM_BLANK = "blank"
-"""Begins the problem of a folder that was made just now."""
+"""Prefix of ``FolderContents.problem`` if the folder was created at this start."""
 PROBLEM_DAMAGED = "damaged"
-"""Begins the problem of a folder with damaged files."""
+"""Prefix of ``FolderContents.problem`` if files of the folder are damaged."""
 
 
 @attrs.frozen
 class FolderError:
-    """The folder can't be used: another node's, in use by another process, or no folder."""
+    """The folder can't be used, e.g. it belongs to another node or is in use."""
 
     message: str
 
 
 class BrokenFileError(OSError):
-    """An earlier failure left a file in an unknown state; only a rewrite repairs it."""
+    """An earlier failure left the file in an unknown state; only a rewrite repairs it."""
 
 
 @attrs.frozen
 class FolderContents:
-    """What an opened folder holds.
+    """The contents of an opened folder.
 
     Attributes
     ----------
     disk_identity
-        32 hexadecimal digits, drawn when the folder was made.
+        32 random hexadecimal digits, generated when the folder was created.
     problem
-        Begins with ``PROBLEM_BLANK`` or ``PROBLEM_DAMAGED``; "" if there is none.
+        Starts with ``PROBLEM_BLANK`` or ``PROBLEM_DAMAGED``; "" if there is no problem.
     records
-        Payloads by file name. A damaged file is left out and takes no appends until it is
-        rewritten; its bytes are preserved beside it, with the suffix ``.damaged``.
+        Payloads by file name. A damaged file is omitted and rejects appends until it is
+        rewritten; a copy of its bytes is kept next to it with the suffix ``.damaged``.
     """
 
     disk_identity: str
@@ -68,7 +68,7 @@
 
 
 class DataFolder:
-    """An opened and locked data folder."""
+    """An opened data folder, locked against other processes until ``close``."""
 
     def __init__(self, path: Path, lock: int) -> None:
         self._path = path
@@ -81,7 +81,7 @@
         Raises
         ------
         OSError
-            Nothing was appended, or the file is broken (``BrokenFileError``).
+            Nothing was appended. ``BrokenFileError`` if the file has to be rewritten first.
         """
         file = self._open(name)
         if file.broken:
@@ -106,16 +106,16 @@
         try:
             os.fdatasync(file.descriptor)
         except OSError as problem:
-            file.broken = f"a sync failed: {problem}"
+            file.broken = f"an earlier sync failed: {problem}"
             raise
 
     def rewrite(self, name: str, payloads: Iterable[bytes]) -> None:
-        """Replace a file atomically: temporary file, sync, rename, sync of the folder.
+        """Replace a file atomically: write and sync a temporary file, rename it, sync the folder.
 
         Raises
         ------
         OSError
-            The file has its old or its new content.
+            The file has either its old or its new content.
         """
         target = self._file_path(name)
         _replace_file(target, encode_records(payloads))
@@ -131,7 +131,7 @@
         os.close(self._lock)
 
     def load(self) -> tuple[dict[str, tuple[bytes, ...]], list[str]]:
-        """Read every record file and truncate torn tails; also return what is damaged."""
+        """Read every record file and truncate torn tails; also return a text per damaged file."""
         records = {}
         damages = []
         for path in sorted(self._path.glob(f"*{RECORDS_SUFFIX}")):
@@ -149,7 +149,7 @@
 
     def _file_path(self, name: str) -> Path:
         if not _FILE_NAME.fullmatch(name):
-            raise OSError(f"{name!r} is no name for a record file")
+            raise OSError(f"{name!r} is not a valid name of a record file")
         return self._path / f"{name}{RECORDS_SUFFIX}"
 
     def _open(self, name: str) -> _OpenFile:
@@ -172,11 +172,13 @@
         try:
             os.ftruncate(file.descriptor, file.length)
         except OSError as problem:
-            file.broken = f"an append failed ({cause}) and could not be undone ({problem})"
+            file.broken = (
+                f"an earlier append failed ({cause}) and could not be reverted ({problem})"
+            )
 
 
 def open_folder(path: str, node_id: str) -> Result[tuple[DataFolder, FolderContents], FolderError]:
-    """Open and lock a node's data folder; it is made at first use."""
+    """Open and lock a node's data folder; it is created if it doesn't exist."""
     folder = Path(path)
     try:
         folder.mkdir(parents=True, exist_ok=True)
@@ -202,7 +204,7 @@
     disk_identity, is_new = identity.ok
     data_folder = DataFolder(folder, lock)
     records, damages = data_folder.load()
-    problem = f"{PROBLEM_BLANK}: the data folder was made now" if is_new else ""
+    problem = f"{PROBLEM_BLANK}: the data folder was created at this start" if is_new else ""
     if damages:
         problem = f"{PROBLEM_DAMAGED}: {'; '.join(damages)}"
     return Ok((data_folder, FolderContents(disk_identity, problem, records)))
@@ -213,7 +215,7 @@
     if path.exists():
         return _read_identity(path, node_id).map(lambda identity: (identity, False))
     if any(folder.glob(f"*{RECORDS_SUFFIX}")):
-        return Error(FolderError(f"data folder {folder} has records but no {IDENTITY_FILE}"))
+        return Error(FolderError(f"data folder {folder} has record files but no {IDENTITY_FILE}"))
     identity = os.urandom(_IDENTITY_BYTES).hex()
     content = {"node_id": node_id, "disk_identity": identity}
     _replace_file(path, json.dumps(content).encode())
--- a/rooklug/storage/records.py
+++ b/rooklug/storage/records.py
@@ -1,6 +1,6 @@
 """The format of record files: ``length | crc32c | payload``, both numbers 4 bytes big-endian.
 
-The checksum covers the length and the payload, so that a damaged length is found too.
+The checksum covers the length and the payload, so a damaged length is detected too.
 """
 
 import struct
@@ -20,7 +20,7 @@
 
 @attrs.frozen
 class DamagedRecord:
-    """An invalid record that is no torn write; ``offset`` in bytes from the file's begin."""
+    """An invalid record that isn't a torn write; ``offset`` is in bytes from the file's start."""
 
     offset: int
     message: str
@@ -28,7 +28,7 @@
 
 @attrs.frozen
 class ReadRecords:
-    """The valid records at the head of a file and their size; what follows is a torn tail."""
+    """The valid records at the start of a file; ``torn_bytes`` is the size of the torn tail."""
 
     payloads: tuple[bytes, ...]
     valid_bytes: int
@@ -36,24 +36,25 @@
 
 
 def encode_record(payload: bytes) -> bytes:
-    """Return a record's bytes."""
+    """Return the bytes of a record: header and payload."""
     length = _LENGTH.pack(len(payload))
     checksum = google_crc32c.extend(google_crc32c.value(length), payload)
     return length + _LENGTH.pack(checksum) + payload
 
 
 def encode_records(payloads: Iterable[bytes]) -> bytes:
-    """Return the bytes of several records."""
+    """Return the bytes of several records, to be written in one call."""
     return b"".join(encode_record(payload) for payload in payloads)
 
 
 def read_records(data: bytes) -> Result[ReadRecords, DamagedRecord]:
-    """Read a file's records.
+    """Read the records of a file with the content ``data``.
 
-    What follows the last valid record is a torn tail, to be truncated, when it is shorter
-    than its record or one of its disk sectors was never written (reads as zeros). Any other
-    invalid record, and any invalid record with a valid one after it, is damage. A damaged
-    length of the very last record can't be distinguished from a torn tail.
+    The bytes after the last valid record are a torn tail, which the caller truncates, if they
+    are shorter than the record that they start or if one of its disk sectors was never written
+    (reads as zeros). Any other invalid record is damage, and so is any invalid record that is
+    followed by a valid one. A damaged length of the very last record can't be distinguished from
+    a torn tail.
     """
     payloads = []
     offset = 0
@@ -77,7 +78,9 @@
     following = _next_valid_record(data, offset + 1)
     if following is None:
         return None
-    return DamagedRecord(offset, f"wrong record at byte {offset}, a whole one at {following}")
+    return DamagedRecord(
+        offset, f"invalid record at byte {offset} before a valid one at byte {following}"
+    )
 
 
 def _looks_torn(data: bytes, offset: int) -> bool:
