--- a/rooklug/gateway/answers.py
+++ b/rooklug/gateway/answers.py
@@ -1,4 +1,4 @@
-"""The gateway's own answers to clients."""
+"""Responses that a gateway front gives clients by itself, without a replica's."""
 
 import json
 from enum import Enum
@@ -7,7 +7,7 @@
 
 
 class GatewayError(Enum):
-    """Why a client gets no replica's answer: code, HTTP status."""
+    """Why a client gets no replica's response. Each value is the error code and HTTP status."""
 
     NOT_READY = ("not_ready", 503)
     NO_ROUTE = ("no_route", 404)
@@ -18,24 +18,27 @@
 
     @property
     def code(self) -> str:
-        """The name that the answer's body gives."""
+        """The error code in the response body."""
         return self.value[0]
 
     @property
     def status(self) -> int:
-        """The HTTP status."""
+        """The HTTP status of the response."""
         return self.value[1]
 
     @property
     def says_not_run(self) -> bool:
-        """Whether the client may rely on it that the request has not run and never will."""
+        """Whether the response guarantees that the request has not run and never will."""
         return self.status == 503
 
 
 def error_answer(
     http_id: int, error: GatewayError, headers: dict[str, str], retry_after_s: float = 0.0
 ) -> fx.HttpRespond:
-    """Return the answer; ``retry_after_s`` above 0 becomes ``Retry-After``, fractions too."""
+    """Return the error response.
+
+    A ``retry_after_s`` above 0 becomes ``Retry-After``, in seconds with two decimals.
+    """
     lines = dict(headers)
     if retry_after_s > 0:
         lines["retry-after"] = f"{retry_after_s:.2f}"
--- a/rooklug/gateway/build.py
+++ b/rooklug/gateway/build.py
@@ -1,6 +1,6 @@
 """Composes the components of a gateway front and a gateway core.
 
-Imports are inside the functions: a front doesn't load a core's modules, which saves memory.
+Imports are inside the functions so that a front doesn't load a core's modules, to save memory.
 """
 
 from random import Random
@@ -21,7 +21,11 @@
 
 @attrs.frozen
 class GatewayLimits:
-    """The deployment's bounds on the gateway."""
+    """Limits that the deployment sets for its gateway fronts.
+
+    ``grace_s`` is the time from the request to stop until the process exits. ``directory_ttl_s`` is
+    the TTL of stable directory answers.
+    """
 
     grace_s: float = 8.0
     directory_ttl_s: float = 2.0
@@ -38,7 +42,7 @@
     names: HeaderNames,
     limits: GatewayLimits,
 ) -> "GatewayExecutor":
-    """Return a front's executor with its decision object."""
+    """Return a front's executor, with a new decision object and an empty traffic record."""
     from rooklug.gateway.decision import Decision
     from rooklug.gateway.executor import GatewayExecutor
     from rooklug.gateway.replica_rate_limiter import ReplicaRateLimiter
@@ -56,7 +60,7 @@
 def compose_gateway_front(
     settings: NodeSettings, context: ProcessContext, protocol: ClientProtocol, limits: GatewayLimits
 ) -> CompositeReducer:
-    """Return the reducer of a front that passes requests through."""
+    """Return the reducer of a front that forwards requests unchanged."""
     from rooklug.distribution.core_link import CoreLink
     from rooklug.gateway.demand import DemandReporter
     from rooklug.gateway.directory import Directory
@@ -94,7 +98,7 @@
 def compose_gateway_core(
     settings: CoreSettings, context: ProcessContext, protocol: OperatorProtocol
 ) -> CompositeReducer:
-    """Return the reducer of a core that keeps a gateway's configuration."""
+    """Return the reducer of a core that manages a gateway's configuration."""
     from rooklug.core.build import build_core_components
     from rooklug.core.documents import DocumentChecker
     from rooklug.gateway.document_reader import read_gateway_configuration
--- a/rooklug/gateway/decision.py
+++ b/rooklug/gateway/decision.py
@@ -1,9 +1,10 @@
-"""The decision object of the gateway: it is asked where a request goes, and sends nothing itself.
+"""Chooses the replica for each request. The decision object sends nothing itself.
 
-A choice has up to two steps. In a large pool the best of a few candidates is taken, if one of
-them is healthy and within its rate. Otherwise all usable replicas are compared, and the healthy
-ones with room in the nearest region come first. Which region is nearest comes from the plan's
-matrix (``region_choice``); which replica of it is best, from the cost model (``replica_cost``).
+A choice has up to two steps. In a large pool, a few candidates are compared first; the cheapest
+one that is healthy and within its rate limit is chosen. If there is none, or if the pool is small,
+all usable replicas are compared: healthy replicas with spare rate in the preferred region come
+first. The plan's matrix determines the preferred region (``region_choice``), the cost model the
+replica within it (``replica_cost``).
 """
 
 from random import Random
@@ -24,7 +25,7 @@
 RETRY_AFTER_SLOW_START_S = 0.5
 RETRY_AFTER_NO_REPLICA_S = 1.0
 RETRY_AFTER_STALE_LIST_S = 1.0
-"""The list of replicas is read about as often."""
+"""The primary polls the list of replicas at about this interval."""
 
 
 @attrs.frozen
@@ -36,7 +37,7 @@
 
 @attrs.frozen
 class Refuse:
-    """Not run and never will be: the client should come back after ``retry_after_s``."""
+    """Reject the request unexecuted; the client should retry after ``retry_after_s`` seconds."""
 
     reason: str
     retry_after_s: float
@@ -52,9 +53,9 @@
     Attributes:
         region: The front's own region.
         zone: The front's own zone.
-        random: Draws candidates and breaks ties.
-        traffic: What this front has observed of the replicas.
-        view: The newest snapshot of configuration, replicas, fronts and plan.
+        random: Samples candidates and breaks ties.
+        traffic: This front's observations of the replicas.
+        view: The latest snapshot of configuration, replicas, fronts and plan.
     """
 
     region: str
@@ -64,13 +65,13 @@
     view: GatewayView = attrs.field(factory=GatewayView)
 
     def take_view(self, view: GatewayView) -> None:
-        """Decide by a newer snapshot from now on."""
+        """Replace the snapshot and drop the traffic records of replicas that it doesn't list."""
         self.view = view
         listed = {r.replica_id for replicas in view.replicas.values() for r in replicas}
         self.traffic.forget_unlisted(listed)
 
     def service_for(self, request: InboundRequest, route: Route) -> Service:
-        """Return the service that a request draws by the route's weights."""
+        """Return the service that serves a request: a weighted choice, stable per request id."""
         total = sum(share.weight for share in route.shares)
         left = request.draw * total
         chosen = route.shares[-1]
@@ -90,7 +91,7 @@
         tried: frozenset[str],
         now: float,
     ) -> Verdict:
-        """Return where the request goes now; ``tried`` are ids of replicas to leave out."""
+        """Choose a replica, or reject the request; the replica ids in ``tried`` are excluded."""
         order = region_order(self.view, self.region, request, route, service)
         chosen = self._choose_from_candidates(request, route, service, order[0], tried, now)
         if chosen is not None:
@@ -106,7 +107,10 @@
         tried: frozenset[str],
         now: float,
     ) -> GatewayReplica | None:
-        """Choose among a few replicas of a large pool; None if none is healthy and has room."""
+        """Choose among a few replicas of a large pool.
+
+        Returns None for a small pool, and if no candidate is healthy and within its rate share.
+        """
         if route.home_regions and region not in route.home_regions:
             return None
         pool = self.view.pool(service.name, region)
@@ -132,7 +136,7 @@
         tried: frozenset[str],
         now: float,
     ) -> Verdict:
-        """Choose among all usable replicas, the least bad ones where no healthy one has room."""
+        """Choose among all usable replicas; unhealthy ones are used if no others are left."""
         stale_endpoints = self.traffic.stale_endpoints
         usable = [
             replica
@@ -155,7 +159,7 @@
         return ServeAt(self._cheapest(request, route, near, now))
 
     def _prefer_healthy(self, replicas: list[GatewayReplica], now: float) -> list[GatewayReplica]:
-        """Return the responsive replicas, else those not ejected, else all."""
+        """Return the responsive replicas; if there are none, those not ejected; else all."""
         healthy = [r for r in replicas if not self.traffic.is_ejected(r, now)]
         responsive = [r for r in healthy if not self.traffic.is_unresponsive(r, now)]
         return responsive or healthy or replicas
@@ -179,7 +183,11 @@
         now: float,
         owner: str | None = None,
     ) -> GatewayReplica:
-        """Return the best candidate; ``owner`` is the replica that all fronts agree on."""
+        """Return the candidate with the lowest cost.
+
+        ``owner`` is the replica id that every front computes for the prompt's shared prefix; if
+        None, the candidate with the highest rank takes that role.
+        """
         if not (route.affinity and request.prefix_blocks):
             return self._least_running(candidates, now)
         model = self._cost_model(request, route, candidates, owner)
@@ -187,7 +195,7 @@
         return min(costs, key=lambda cost: cost.order).replica
 
     def _least_running(self, candidates: list[GatewayReplica], now: float) -> GatewayReplica:
-        """Return the replica with the fewest calls, in this zone if equal, else at random."""
+        """Return the replica with the fewest running calls; ties prefer this zone, then random."""
         running = {r.replica_id: self.traffic.usage_of(r, now).running for r in candidates}
         return min(
             candidates,
@@ -218,7 +226,7 @@
     def _allowances(
         self, replicas: list[GatewayReplica], service: Service, now: float
     ) -> list[tuple[GatewayReplica, Allowance]]:
-        """Return for each replica whether its rate limits allow one more request."""
+        """Return each replica with whether its rate limits allow one more request."""
         shares = self.view.send_shares
         front_id = self.traffic.slow_start_limiter.front_id
         by_region = {r.region: shares.towards(r.region, front_id) for r in replicas}
@@ -237,14 +245,14 @@
 
 
 def _shared_prefix(request: InboundRequest) -> tuple[PrefixBlock, ...]:
-    """Return the blocks of a prompt that other prompts may begin with, too."""
+    """Return the prompt blocks that other prompts may share; a single block counts as shared."""
     return request.prefix_blocks[:-1] or request.prefix_blocks
 
 
 def _in_first_region(
     order: tuple[str, ...], replicas: list[GatewayReplica]
 ) -> list[GatewayReplica]:
-    """Return the replicas of the first region of ``order`` that has any, else all."""
+    """Return the replicas in the first region of ``order`` that has any, else all of them."""
     for region in order:
         near = [replica for replica in replicas if replica.region == region]
         if near:
--- a/rooklug/gateway/demand.py
+++ b/rooklug/gateway/demand.py
@@ -1,7 +1,7 @@
-"""Counts the demand that reaches this front and reports it to the primary's planner.
+"""Counts the demand that arrives at this front and reports it to the primary's planner.
 
-Demand is counted by route, since routes differ in the regions that they may use. Prompt tokens
-are those that replicas are expected to prefill: cached blocks are no work.
+Demand is counted per route, because routes differ in the regions that they may use. Prompt tokens
+are scaled to those that replicas are expected to prefill: cached blocks need no work.
 """
 
 from collections import defaultdict
@@ -31,7 +31,7 @@
 
 
 class DemandReporter(BaseComponent):
-    """Sends the rates of each service every ``REPORT_INTERVAL_S``; an idle front sends nothing."""
+    """Reports the rates per route and service every ``REPORT_INTERVAL_S``, unless all are 0."""
 
     name = "demand"
     subscribes_to = (RequestCounted,)
@@ -51,7 +51,7 @@
         self._sequence = 0
 
     def handle(self, event: ev.Event, now: float) -> list[fx.Effect]:
-        """Count, or report."""
+        """Count a request, or send the report when the timer fires."""
         if isinstance(event, RequestCounted):
             count = self._counts[event.route, event.service]
             count.requests += 1
--- a/rooklug/gateway/directory.py
+++ b/rooklug/gateway/directory.py
@@ -1,4 +1,4 @@
-"""Tells clients which fronts to connect to, and the platform whether this front is ready."""
+"""Answers clients' address lookups and the platform's readiness checks."""
 
 import json
 
@@ -16,19 +16,22 @@
 READINESS_LISTENER = "readiness"
 MAX_ADDRESSES = 64
 STABLE_AFTER_S = 2.0
-"""An answer that was first given longer ago counts as stable."""
+"""An answer that was first given longer ago than this counts as stable."""
 CHANGING_TTL_S = 0.5
-"""TTL of other answers: fronts are coming and going."""
+"""TTL of answers that are not stable yet, because the set of fronts is changing."""
 MAX_REMEMBERED_ANSWERS = 64
 MAX_BACKUP_FRONTS = 1
-"""Fronts of another region in one answer."""
+"""Maximum number of fronts of another region in one answer."""
 NEAR_FRONT_REPEATS = 8
-"""Occurrences of each near front in an answer beside one of another region."""
+"""How often each local front is repeated in an answer that contains a backup front."""
 _JSON = {"content-type": "application/json"}
 
 
 class Directory(BaseComponent):
-    """Answers on the directory's and the readiness check's listeners."""
+    """Serves the directory's and the readiness check's listeners.
+
+    ``own_address`` is this front's address for clients; ``ttl_s`` is the TTL of stable answers.
+    """
 
     name = "directory"
     http_listeners = (DIRECTORY_LISTENER, READINESS_LISTENER)
@@ -49,7 +52,7 @@
         self._first_given_at: dict[tuple[str, ...], float] = {}
 
     def handle(self, event: ev.Event, now: float) -> list[fx.Effect]:
-        """Answer a request for addresses or a readiness check."""
+        """Answer an address lookup or a readiness check; other events are ignored."""
         if not isinstance(event, ev.HttpRequestArrived):
             return []
         if event.listener == READINESS_LISTENER:
@@ -65,7 +68,7 @@
         return [fx.HttpRespond(event.request_id, 200, body, _JSON)]
 
     def _ttl_of(self, addresses: list[str], now: float) -> float:
-        """Return the TTL of an answer: short while answers change."""
+        """Return the TTL of an answer, in seconds; it is short until the answer is stable."""
         key = tuple(addresses)
         since = self._first_given_at.setdefault(key, now)
         if len(self._first_given_at) > MAX_REMEMBERED_ANSWERS:
@@ -94,16 +97,17 @@
 def addresses_for(
     region: str, homes: frozenset[str], view: GatewayView, backups: frozenset[str] | None = None
 ) -> list[str]:
-    """Return where clients of a region go: its serving fronts, and one front elsewhere.
+    """Return the addresses for clients of a region: its serving fronts and one backup elsewhere.
 
-    ``homes`` are the regions that a wholly bound host allows, empty for any. ``backups`` are the
-    regions that may be named beside the near ones, None for any: a host may have bound routes
-    beside others, and whoever asks doesn't say which of them its requests will use.
+    ``homes`` are the regions allowed by a host whose routes are all bound to home regions; empty
+    allows any. ``backups`` are the regions from which a backup may be named, None for any: a host
+    may have both bound and unbound routes, and a lookup doesn't say which of them its requests
+    will use.
 
-    Clients choose among the addresses at random and pass over those that fail. When a whole
-    region is lost they can't ask again, since they ask near nodes first: the front of another
-    region is then the one that is left. Near ones stand in the answer several times, so that
-    few clients go the long way while all is well.
+    Clients choose among the addresses at random and skip those that fail. When a whole region is
+    lost they can't look up addresses again, because they ask nodes of their own region first; the
+    backup is then the only address left to them. Local addresses are repeated so that few clients
+    connect to the distant backup during normal operation.
     """
     allowed = [node for node in view.ready_fronts if not homes or node.region in homes]
     allowed = allowed or list(view.ready_fronts)
@@ -121,7 +125,7 @@
 
 
 def _backup(region: str, others: list[NodeRecord], view: GatewayView) -> list[str]:
-    """Return an address in the region that comes next by name, if there is one."""
+    """Return the address of a serving front in the region next in name order, if there is one."""
     regions = sorted({node.region for node in others})
     if not regions:
         return []
--- a/rooklug/gateway/document.py
+++ b/rooklug/gateway/document.py
@@ -1,4 +1,4 @@
-"""The gateway's configuration as types; ``document_reader`` reads it from JSON."""
+"""Types of the gateway's configuration; ``document_reader`` reads them from JSON."""
 
 from enum import Enum
 
@@ -6,7 +6,7 @@
 
 
 class Execution(Enum):
-    """How often a route's requests may run, and what their answers are."""
+    """Whether a route's requests may run more than once, and whether responses are streams."""
 
     IDEMPOTENT = "repeatable"
     AT_MOST_ONCE = "at_most_once"
@@ -15,7 +15,7 @@
 
 @attrs.frozen
 class ServiceShare:
-    """One service of a route and its weight among them."""
+    """One of a route's services and its weight relative to the others."""
 
     service: str
     weight: float
@@ -23,7 +23,12 @@
 
 @attrs.frozen
 class Route:
-    """Where requests of one host and path prefix may go. ``home_regions`` empty: anywhere."""
+    """How requests of one host and path prefix are handled.
+
+    ``max_replicas`` is the maximum number of replicas that one request may be sent to.
+    ``affinity`` routes prompts that share blocks to the same replica. ``resumable`` streams may be
+    continued on another replica. An empty ``home_regions`` allows all regions.
+    """
 
     name: str
     host: str
@@ -41,7 +46,7 @@
 
     @property
     def is_idempotent(self) -> bool:
-        """Whether a request that may have run may be sent again."""
+        """Whether a request that may already have run may be sent again."""
         return self.execution is Execution.IDEMPOTENT or (
             self.execution is Execution.EVENT_STREAM and self.resumable
         )
@@ -49,7 +54,7 @@
 
 @attrs.frozen
 class Engine:
-    """What a service says of its model replicas. ``key_value_tokens`` is a replica's memory."""
+    """Size of each model replica of a service; ``key_value_tokens`` is its KV cache capacity."""
 
     slots: int
     key_value_tokens: int
@@ -57,9 +62,10 @@
 
 @attrs.frozen
 class Service:
-    """A pool of replicas.
+    """A pool of interchangeable replicas.
 
-    ``slow_start_rate_per_s`` is what a replica in slow start bears; 0 means no limit.
+    ``slow_start_rate_per_s`` is the request rate that a replica in slow start sustains; 0 means no
+    limit. ``engine`` is None for services that are not language models.
     """
 
     name: str
@@ -71,14 +77,14 @@
 
 @attrs.frozen
 class GatewayConfiguration:
-    """A complete configuration. ``routes`` are found by host, then by prefix."""
+    """A complete configuration: ``routes`` by host and prefix, ``services`` by name."""
 
     version: int
     routes: dict[str, dict[str, Route]]
     services: dict[str, Service]
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the host's route with the longest prefix that begins ``path``."""
+        """Return the host's route with the longest prefix of ``path`` that ends with "/"."""
         by_prefix = self.routes.get(host.partition(":")[0].lower())
         if not by_prefix:
             return None
@@ -90,18 +96,21 @@
         return None
 
     def all_routes(self) -> list[Route]:
-        """Return the routes of all hosts."""
+        """Return the routes of all hosts as one list."""
         return [route for by_prefix in self.routes.values() for route in by_prefix.values()]
 
     def hosts_home(self, host: str) -> frozenset[str]:
-        """Return the regions that every route of a host allows; empty: not bound."""
+        """Return the union of the home regions of a host's routes.
+
+        Empty if any route of the host is unbound, or if the host is unknown.
+        """
         homes = [frozenset(route.home_regions) for route in self.routes.get(host, {}).values()]
         if not homes or not all(homes):
             return frozenset()
         return frozenset.union(*homes)
 
     def common_homes(self, host: str) -> frozenset[str] | None:
-        """Return the regions that all bound routes of a host allow; None: none is bound."""
+        """Return the home regions that all bound routes of a host share; None if none is bound."""
         bound = [
             frozenset(route.home_regions)
             for route in self.routes.get(host, {}).values()
--- a/rooklug/gateway/document_reader.py
+++ b/rooklug/gateway/document_reader.py
@@ -24,7 +24,7 @@
 
 
 def read_gateway_configuration(document: bytes) -> Result[GatewayConfiguration, Problems]:
-    """Read and check a document; an error lists every problem with its path."""
+    """Parse and validate a document; the error lists every problem with its path."""
     parsed = parse_json(document)
     if parsed.is_error():
         return Error(parsed.error)
@@ -36,7 +36,7 @@
 
 
 class _Reader:
-    """Reads level by level and collects problems."""
+    """Reads a document and collects all problems instead of stopping at the first."""
 
     def __init__(self) -> None:
         self.problems: list[Problem] = []
--- a/rooklug/gateway/event_stream.py
+++ b/rooklug/gateway/event_stream.py
@@ -1,4 +1,4 @@
-"""Event streams (text/event-stream) as far as a gateway must know them."""
+"""Finds event boundaries and event ids in event streams (``text/event-stream``)."""
 
 import re
 
@@ -7,7 +7,7 @@
 
 
 def complete_length(data: bytes) -> int:
-    """Return how many bytes of ``data`` are complete events."""
+    """Return the number of leading bytes of ``data`` that form complete events."""
     end = 0
     for match in _END_OF_EVENT.finditer(data):
         end = match.end()
@@ -15,6 +15,6 @@
 
 
 def last_event_id(data: bytes) -> str:
-    """Return the id of the last event in ``data`` that has one, else ""."""
+    """Return the id of the last event in ``data`` that has one, or ""."""
     found = _ID_LINE.findall(data)
     return found[-1].decode("latin-1") if found else ""
--- a/rooklug/gateway/executor.py
+++ b/rooklug/gateway/executor.py
@@ -1,8 +1,8 @@
-"""The gateway's component on a front: serves the clients' listener, obeys the decision object.
+"""The front's gateway component: serves the clients' listener.
 
-Sending and final answers are the ``RequestForwarder``'s, what replicas answer is the
-``ResponseHandler``'s. This module takes requests in, drops those whose client leaves, and moves
-idempotent requests away from replicas that have stopped answering.
+``RequestForwarder`` sends requests and gives clients their final answers; ``ResponseHandler``
+processes what replicas return. This module accepts requests, cancels those whose client has
+disconnected, and moves idempotent requests away from replicas that have stopped responding.
 """
 
 from collections.abc import Callable, Iterable
@@ -29,22 +29,26 @@
 
 LISTENER = "clients"
 TYPICAL_START_S = 1.6
-"""When everything starts together, a front knows the configuration after this time; measured at
-1.2 s with 91 machines. Clients come back once, so rather later than too early."""
+"""Seconds from process start until a front has its configuration when all machines start at once.
+With 91 machines it took 1.2 s. Clients retry only once, so the margin is on the late side."""
 START_SPREAD_S = 0.6
-"""Clients that are sent away during the start come back spread over so long."""
+"""The retries of clients that were rejected during start-up are spread over this interval."""
 ACCEPT_WHILE_DRAINING_S = 2.8
-"""A front that ends takes new requests for so long, and later ones only if they fit."""
+"""A draining front accepts all new requests for this long; afterwards only those whose deadline
+falls within the grace period."""
 DRAIN_RESERVE_S = 0.8
-"""A request taken later must end this long before the process does."""
+"""A request accepted after that must end at least this long before the process exits."""
 STALL_CHECK_INTERVAL_S = 0.25
 STALL_TIMEOUT_S = 1.0
-"""A resumable stream that sends nothing for so long goes on at another replica."""
+"""A resumable stream that receives no data for this long is resumed on another replica."""
 _STALL_CHECK_TIMER = "watch"
 
 
 class GatewayExecutor(BaseComponent):
-    """Serves the clients' listener."""
+    """Dispatches the events of the clients' listener and of calls to replicas.
+
+    ``grace_s`` is the time from ``StopRequested`` until the process exits.
+    """
 
     name = "gateway"
     http_listeners = (LISTENER,)
@@ -80,12 +84,12 @@
 
     @property
     def decision(self) -> Decision:
-        """The decision object that it asks."""
+        """Chooses the replicas; shared with the components that report load and demand."""
         return self._forwarder.decision
 
     @property
     def forwarder(self) -> RequestForwarder:
-        """The requests in flight."""
+        """Holds the requests in flight."""
         return self._forwarder
 
     @property
@@ -98,18 +102,18 @@
         return len(self._forwarder.by_http)
 
     def handle(self, event: ev.Event, now: float) -> list[fx.Effect]:
-        """Take one event; events of other types have no effect."""
+        """Dispatch an event to its handler; other event types are ignored."""
         handler = self._handlers.get(type(event))
         return handler(event, now) if handler else []
 
     def metrics(self, now: float) -> Iterable[MetricSample]:
-        """Return the counters."""
+        """Return the request counters and the number of requests in flight."""
         return [
             MetricSample(f"gateway_requests_{name}_total", float(value), "counter", name)
             for name, value in attrs.asdict(self.figures).items()
         ] + [MetricSample("gateway_requests_active", float(self.active()), "gauge", "under way")]
 
-    # The process ----------------------------------------------------------
+    # Process lifecycle ----------------------------------------------------
 
     def _started(self, event: ev.Started, now: float) -> list[fx.Effect]:
         self._started_at = now
@@ -147,7 +151,7 @@
         ]
 
     def _may_accept(self, proxied: ProxiedRequest, now: float) -> bool:
-        """Return whether a request can be finished before this process ends."""
+        """Return whether a request can be finished before this process exits."""
         if self._draining_since is None or now <= self._draining_since + ACCEPT_WHILE_DRAINING_S:
             return True
         exit_at = self._draining_since + self._grace_s
@@ -176,7 +180,7 @@
         return [fx.StartTimer(_STALL_CHECK_TIMER, STALL_CHECK_INTERVAL_S)]
 
     def _check_stalls(self, event: ev.TimerFired, now: float) -> list[fx.Effect]:
-        """Move idempotent requests away from replicas that have stopped answering."""
+        """Move idempotent requests away from replicas that have stopped responding."""
         self._is_stall_check_pending = False
         effects = [
             effect
--- a/rooklug/gateway/gateway_events.py
+++ b/rooklug/gateway/gateway_events.py
@@ -10,14 +10,14 @@
 
 @attrs.frozen
 class ViewChanged(InternalEvent):
-    """This front decides by a newer snapshot from now on."""
+    """Emitted on a front when its view has been updated."""
 
     view: GatewayView
 
 
 @attrs.frozen
 class RequestCounted(InternalEvent):
-    """A client's request for a service has arrived on a route."""
+    """Emitted on a front when it accepts a client's request; counted as demand."""
 
     request: InboundRequest
     service: str
@@ -26,6 +26,6 @@
 
 @attrs.frozen
 class ReplicasListed(InternalEvent):
-    """At the primary: the platform's list has changed."""
+    """Emitted on the primary when the platform's list of replicas has changed."""
 
     body: ReplicasBody
--- a/rooklug/gateway/gateway_replica.py
+++ b/rooklug/gateway/gateway_replica.py
@@ -1,14 +1,15 @@
-"""A replica as a front knows it."""
+"""A front's record of one replica on the platform's list."""
 
 import attrs
 
 
 @attrs.frozen
 class GatewayReplica:
-    """A replica on the platform's list.
+    """A listed replica; one ``replica_id`` identifies one start of its process.
 
-    ``draining`` replicas get no new requests. ``slow_start_until`` is the monotonic end of the
-    slow start, 0 for none; until then a replica bears only its service's slow-start rate.
+    ``draining`` replicas get no new requests. ``slots`` is the number of requests that it runs at
+    once. ``slow_start_until`` is the monotonic time at which its slow start ends, 0 for none; until
+    then it sustains only its service's slow-start rate.
     """
 
     replica_id: str
@@ -21,5 +22,5 @@
     slow_start_until: float = 0.0
 
     def is_in_slow_start(self, now: float) -> bool:
-        """Return whether it bears only its slow-start rate."""
+        """Return whether the slow start has not ended yet."""
         return now < self.slow_start_until
--- a/rooklug/gateway/lifecycle.py
+++ b/rooklug/gateway/lifecycle.py
@@ -1,4 +1,4 @@
-"""A front's readiness and its graceful end."""
+"""A front's readiness and its graceful shutdown."""
 
 from collections.abc import Callable
 
@@ -12,13 +12,16 @@
 _TIMER = "drain"
 _CHECK_S = 0.1
 PROPAGATION_S = 2.5
-"""Clients and the directory need so long to learn that this front drains."""
+"""Time for clients and the directory to learn that this front is draining."""
 EXIT_RESERVE_S = 0.5
-"""The process ends this long before its grace is over."""
+"""The process exits this long before its grace period ends."""
 
 
 class Lifecycle(BaseComponent):
-    """Decides whether this front is ready; at ``StopRequested`` it drains before it exits."""
+    """Reports this front's readiness to the core; on ``StopRequested``, drains and then exits.
+
+    ``active`` returns the number of requests in flight.
+    """
 
     name = "lifecycle"
     subscribes_to = (ViewChanged,)
@@ -31,7 +34,10 @@
         self._draining_since: float | None = None
 
     def reason_not_ready(self) -> str:
-        """Return "" when ready, else why not. A lost control plane alone is no reason."""
+        """Return "" when ready, else the reason.
+
+        A front that has lost the control plane stays ready: it serves with its last view.
+        """
         if self._draining_since is not None:
             return "draining"
         if self._view.configuration is None:
@@ -41,7 +47,7 @@
         return ""
 
     def handle(self, event: ev.Event, now: float) -> list[fx.Effect]:
-        """Follow the view, or drain."""
+        """Update readiness from a new view, start draining, or check the drain's progress."""
         if isinstance(event, ViewChanged):
             self._view = event.view
             return self._core_link.set_ready(self.reason_not_ready() == "")
--- a/rooklug/gateway/listing.py
+++ b/rooklug/gateway/listing.py
@@ -1,7 +1,7 @@
-"""The primary reads the platform's list of replicas and distributes it to the fronts.
+"""Polls the platform's list of replicas on the primary and distributes it to the fronts.
 
-Only the primary polls: the platform limits the calls of all nodes together. A new primary starts
-at once, so the list goes unread for no longer than a failover takes.
+Only the primary polls, because the platform limits the calls of all nodes together. A new primary
+polls immediately, so polling pauses for no longer than a failover takes.
 """
 
 import attrs
@@ -24,7 +24,7 @@
 
 @attrs.frozen
 class _ReplicaIdentity:
-    """What a change of an entry is judged by."""
+    """The fields of a list entry whose change makes the list worth publishing."""
 
     replica_id: str
     address: str
@@ -37,14 +37,14 @@
 
 @attrs.define
 class _ListRead:
-    """One reading of the list, page by page."""
+    """A read of the list in progress, page by page."""
 
     replicas: list[ListedReplica] = attrs.field(factory=list)
     call_id: int = 0
 
 
 class ListingWatcher(BaseComponent):
-    """Reads the list while this core is the primary."""
+    """Polls the list at ``address`` every ``READ_INTERVAL_S`` while this core is the primary."""
 
     name = "listing"
     subscribes_to = (PrimaryStarted, PrimaryStopped)
@@ -59,7 +59,7 @@
         self._last_published: tuple[_ReplicaIdentity, ...] | None = None
 
     def handle(self, event: ev.Event, now: float) -> list[fx.Effect]:
-        """Take one event."""
+        """Follow the primary's term, start a read, or process a page."""
         match event:
             case PrimaryStarted():
                 return self._start_term(event.epoch)
@@ -111,7 +111,7 @@
         page = self._protocol.read_listing(event.body)
         if page is None:
             self._read = None
-            return [fx.Log("warning", "the list of replicas can't be read")]
+            return [fx.Log("warning", "list of replicas unreadable; keeping the previous list")]
         current.replicas.extend(page.replicas)
         if page.next_page:
             return [self._fetch_page(current, page.next_page)]
@@ -132,7 +132,7 @@
 
 
 def _identity(replica: ListedReplica) -> _ReplicaIdentity:
-    """Return the fields whose change makes a new list; a slow start runs down by itself."""
+    """Return the compared fields; of a slow start only its presence, since it counts down."""
     return _ReplicaIdentity(
         replica.replica_id,
         replica.address,
--- a/rooklug/gateway/load_collector.py
+++ b/rooklug/gateway/load_collector.py
@@ -1,10 +1,10 @@
-"""Collects the calls in flight of a region's serving fronts; each gets the sums of the others.
+"""Aggregates the calls in flight of a region's serving fronts; each gets the sums of the others.
 
-With many serving fronts, reports of every front to every other grow with the square of their
-number, so each could be sent only seldom and would be old. One standby front collects instead:
-every serving front calls it many times a second with its own usage, and the answer brings the
-sums of all others. Nothing depends on it for safety; while a collector is lost, decisions rest on
-older reports until the next one is called.
+If every serving front reported to every other, the number of reports would grow with the square of
+the number of fronts, so each could be sent only rarely and would be stale. Instead, one standby
+front collects: every serving front reports its own usage to it many times per second, and the
+response contains the sums of all other fronts. No guarantee depends on the collector; when it is
+lost, decisions use older reports until the next collector is called.
 """
 
 from collections import deque
@@ -16,11 +16,11 @@
 
 MAX_STORED_PROMPTS = 512
 MAX_ANSWERED_PROMPTS = 128
-"""In one answer; the rest is dropped, which costs only cache hits."""
+"""Maximum number of prompts in a response; older ones are dropped, which only costs cache hits."""
 
 
 def read_uses(reported: list[ReplicaUse]) -> dict[str, ReplicaUsage]:
-    """Return a report's usage by replica id."""
+    """Return a wire report's usages by replica id."""
     return {use.replica_id: ReplicaUsage(use.running, use.waiting_tokens) for use in reported}
 
 
@@ -33,14 +33,14 @@
 
 @attrs.define
 class LoadCollector:
-    """The newest report of each front, and the prompts that they sent last."""
+    """The latest report of each front and the prompts that the fronts have recently sent."""
 
     loads: PeerLoads = attrs.field(factory=PeerLoads)
     _prompts: deque[_NumberedPrompt] = attrs.field(factory=lambda: deque(maxlen=MAX_STORED_PROMPTS))
     _newest: int = 0
 
     def take(self, message: FrontUse, now: float) -> FrontUseTaken:
-        """Take a front's report and return what the others have reported."""
+        """Record a front's report; return the other fronts' totals and their new prompts."""
         node_id = message.node_id
         uses = read_uses(message.uses)
         if self.loads.take(node_id, message.incarnation, message.sequence, uses, now):
@@ -55,7 +55,10 @@
         return FrontUseTaken(reported, self._since(message.prompts_seen, node_id), self._newest)
 
     def _since(self, seen: int, node_id: str) -> list[SentPrompt]:
-        """Return the others' prompts after a number; one beyond ours is another collector's."""
+        """Return the other fronts' prompts numbered above ``seen``.
+
+        A number that this collector has not assigned yet stems from another one and counts as 0.
+        """
         after = seen if 0 <= seen <= self._newest else 0
         found = [
             entry.prompt
--- a/rooklug/gateway/operator_api.py
+++ b/rooklug/gateway/operator_api.py
@@ -1,7 +1,8 @@
-"""The operators' API at a core: calls are parsed by the protocol and forwarded to the primary.
+"""The operators' API of a core: the protocol parses calls, which are forwarded to the primary.
 
-An answer given without the primary's is never a refusal: the change may be committed. A caller
-that gets 503 sends the same call again, to any node; the primary recognizes it by its identity.
+A response given without the primary's answer is never a rejection, since the change may have been
+committed. A caller that gets 503 sends the same call again, to any node; the primary recognizes a
+repeated configuration change by its version and digest.
 """
 
 import hashlib
@@ -33,9 +34,10 @@
 
 LISTENER = "operators"
 ANSWER_TIMEOUT_S = 0.9
-"""An operator's client moves to another node after a second."""
+"""An operator's client moves to another node after 1 s without a response."""
 BYTES_PER_S = 1_000_000
-"""Long documents get more time, a second for so many bytes: they are sent, checked and synced."""
+"""The time-out of a call grows by 1 s per this many bytes of its body: long documents take time to
+be sent, checked and synced to disk."""
 RETRY_INTERVAL_S = 0.1
 _TIMER_PREFIX = "retry:"
 _JSON = {"content-type": "application/json"}
@@ -45,7 +47,7 @@
 
 @attrs.define(eq=False)
 class _ForwardedCall:
-    """One operator's call until its answer."""
+    """An operator's call that has not been answered. ``deadline`` is in monotonic seconds."""
 
     http_id: int
     message: object
@@ -54,7 +56,7 @@
 
 
 class GatewayOperatorApi(BaseComponent):
-    """Serves the operators' listener of a core."""
+    """Serves the operators' listener of a core and retries each call until its deadline."""
 
     name = "operators"
     http_listeners = (LISTENER,)
@@ -69,7 +71,7 @@
         self._by_call: dict[int, _ForwardedCall] = {}
 
     def handle(self, event: ev.Event, now: float) -> list[fx.Effect]:
-        """Take one event."""
+        """Handle an operator's call, the primary's answer, a retry timer or a disconnect."""
         match event:
             case PrimaryKnown():
                 self._primary = event.address
@@ -111,7 +113,8 @@
                     base_required=True,
                 )
             case DrainZone():
-                # A retry is a new operation with the same effect: zones are set, not toggled.
+                # A retry by the client is a new operation. It has the same effect, because zones
+                # are set and not toggled.
                 operation_id = f"{self._context.incarnation}:{self._context.identifiers.next()}"
                 return SetZoneRequest(call.zone, call.drained, operation_id)
             case ReadConfiguration():
@@ -144,7 +147,7 @@
         if isinstance(answer, ReadConfigurationAnswer):
             return self._read(forward, answer, now)
         status = _STATUS_OF_OUTCOME.get(answer.outcome)
-        if status is None:  # another primary, or an unknown outcome
+        if status is None:  # not the primary any more, or the outcome is unknown
             return self._schedule_retry(forward, now)
         body = {"outcome": answer.outcome, "problems": answer.problems}
         return self._end(forward, status, body)
@@ -166,7 +169,7 @@
 
 
 def _with_known_zones(request: SetZoneRequest, known_zones: VersionMark) -> SetZoneRequest:
-    """Return the request with the version known now: one that arrives late is rejected."""
+    """Return the request with the version of the zones known now; the primary rejects old ones."""
     return SetZoneRequest(request.zone, request.emptied, request.operation_id, known_zones)
 
 
--- a/rooklug/gateway/patching.py
+++ b/rooklug/gateway/patching.py
@@ -1,7 +1,8 @@
-"""Changes of named items: lists of objects with a ``name`` are changed by name.
+"""Patches for configuration documents whose lists contain objects with a ``name``.
 
 A patch is ``{"version", "upsert": {list: [item...]}, "remove": {list: [name...]}}``. An upserted
-item replaces the one of its name as a whole, in its place, or is added at the end.
+item replaces the whole item of the same name at its position, or is appended. Other fields of the
+patch replace the document's.
 """
 
 import json
@@ -14,7 +15,10 @@
 
 
 def apply_named_patch(document: bytes, patch: bytes) -> Result[bytes, Problems]:
-    """Return the patched document; an error lists what is wrong with the patch."""
+    """Return the patched document; the error lists the problems of the patch.
+
+    Only the shape of the patch is checked; the caller validates the result.
+    """
     parsed = parse_json(patch)
     if parsed.is_error():
         return Error(parsed.error)
--- a/rooklug/gateway/peer_exchange.py
+++ b/rooklug/gateway/peer_exchange.py
@@ -1,10 +1,10 @@
-"""Fronts that take the traffic of one region report their calls in flight to each other.
+"""The serving fronts of a region report their calls in flight to each other.
 
 A front knows only its own requests, and an engine that prefills another front's long prompt stalls
-all of its streams. So every few hundredths of a second a front with calls in flight reports them to
-its few peers; where there are more than a few, all of them call one standby front, whose answer
-brings the sums of the others (``load_collector.py``). Reports are state, not events: the next one
-makes up for a lost one.
+all of its streams. Every front with calls in flight therefore reports them to its peers, many times
+per second. If there are several peers, all of them instead call one standby front, whose response
+contains the sums of the others (``load_collector.py``). A report is the complete state, so the next
+one makes up for a lost one.
 """
 
 import attrs
@@ -27,37 +27,38 @@
 )
 
 PEER_REPORT_INTERVAL_S = 0.05
-"""With one peer; with more of them each gets a report as much less often."""
+"""Interval with one peer; it grows in proportion to the number of peers."""
 MAX_REPORT_INTERVAL_S = 0.25
 CALL_DEADLINE_S = 0.3
 MAX_PEERS_WITHOUT_COLLECTOR = 1
-"""With more peers all report to a collector. Emulated, four seeds: with four and five serving
-fronts a region that earns 0.006 and 0.010 more than messages among all of them, with thirteen
-0.036."""
+"""With more peers, all report to a collector. In emulation with four seeds, this scored 0.006 and
+0.010 more than direct reports with four and five serving fronts per region, and 0.036 more with
+thirteen."""
 MAX_DIRECT_PEERS = 8
-"""Where no collector answers, so many peers get reports."""
+"""Maximum number of peers that get reports while no collector answers."""
 COLLECTOR_INTERVAL_S = 0.05
 COLLECTOR_INTERVAL_S_PER_FRONT = 0.004
-"""Bounds the calls that a collector gets a second, however many fronts call it."""
+"""Minimum report interval per peer. It bounds the calls that a collector gets per second, however
+many fronts call it."""
 COLLECTOR_RETRY_S = 5.0
-"""A collector that did not answer isn't called again for so long."""
+"""A collector that did not answer is not called again for this long."""
 STANDBY_INTERVAL_S = 1.0
 """How often a front without traffic checks whether it has something to report."""
 COLLECTOR_SOURCE = "collector"
-"""The sender under which a collector's sums are kept."""
+"""Node id under which a collector's sums are recorded."""
 _TIMER = "tell"
 
 
 @attrs.frozen
 class Peer:
-    """Another front of the region."""
+    """Another front of the region and its internal address."""
 
     node_id: str
     address: str
 
 
 class PeerExchange(BaseComponent):
-    """Reports to the peers, or to the collector, while there are calls in flight."""
+    """Reports calls in flight to the peers or to the collector, and records their reports."""
 
     name = "peer-exchange"
     call_types = (FrontUse,)
@@ -78,7 +79,7 @@
         self._calls_in_flight: dict[int, str] = {}
 
     def handle(self, event: ev.Event, now: float) -> list[fx.Effect]:
-        """Take a peer's report, or send one."""
+        """Send a report, record a peer's report or a collector's answer, or apply a new view."""
         match event:
             case ev.Started():
                 return [fx.StartTimer(_TIMER, PEER_REPORT_INTERVAL_S)]
@@ -112,7 +113,7 @@
         return [Peer(n.node_id, n.internal_address) for n in fronts if n.node_id != own_id]
 
     def _collector_now(self, now: float) -> Peer | None:
-        """Return the collector to call; None where reports go to the peers themselves."""
+        """Return the collector to call; None if reports go directly to the peers."""
         if len(self._peers) <= MAX_PEERS_WITHOUT_COLLECTOR:
             return None
         for collector in self._collectors:
@@ -158,7 +159,7 @@
         return [] if collector.node_id in busy else [self._call_collector(collector, message)]
 
     def _call_collector(self, collector: Peer, message: FrontUse) -> fx.Call:
-        """Report to the collector; its answer brings what the others reported."""
+        """Report to the collector, with the number of the last prompt received from it."""
         if self._called_collector != collector.node_id:
             self._called_collector, self._prompts_seen = collector.node_id, 0
         message.prompts_seen = self._prompts_seen
@@ -170,12 +171,12 @@
         return fx.Call(call_id, peer.address, message, CALL_DEADLINE_S)
 
     def _record_lost(self, node_id: str, now: float) -> None:
-        """Note that a front did not answer."""
+        """Skip the collector for a while if it is the node that did not answer."""
         if node_id == self._called_collector:
             self._retry_at[node_id] = now + COLLECTOR_RETRY_S
 
     def _collector_answered(self, answer: FrontUseTaken | None, now: float) -> None:
-        """Take a collector's sums; a peer's answer holds nothing."""
+        """Record a collector's sums in place of all other reports; a peer's answer has none."""
         if answer is None or answer.others is None:
             return
         uses = read_uses(answer.others)
--- a/rooklug/gateway/prefill_rate.py
+++ b/rooklug/gateway/prefill_rate.py
@@ -1,11 +1,11 @@
-"""The rate at which replicas prefill prompts, learned from the times to first bytes."""
+"""Estimates the rate at which replicas prefill prompts, from the time to the first byte."""
 
 import attrs
 
 INITIAL_TOKENS_PER_S = 30_000.0
-"""Assumed before the first observation."""
+"""Assumed until the first observation."""
 MIN_SAMPLE_TOKENS = 1_500
-"""Shorter prefills reflect fixed costs more than the rate."""
+"""Shorter prefills are ignored: fixed costs dominate their duration."""
 SAMPLE_WEIGHT = 0.05
 """Weight of one observation in the moving average."""
 MIN_TOKENS_PER_S = 1_000.0
@@ -14,19 +14,19 @@
 
 @attrs.define
 class PrefillRate:
-    """A moving average over all replicas that this front sends to."""
+    """Exponential moving average over all replicas that this front sends to."""
 
     tokens_per_s: float = INITIAL_TOKENS_PER_S
     _sent: dict[int, tuple[int, float]] = attrs.field(factory=dict)
-    """Tokens and time of the send, by call id."""
+    """Tokens and monotonic send time of the calls being observed, by call id."""
 
     def record_send(self, call_id: int, tokens: int, now: float) -> None:
-        """Note a call and the tokens that are prefilled until its first byte."""
+        """Start observing a call; ``tokens`` are prefilled before its first byte."""
         if tokens >= MIN_SAMPLE_TOKENS:
             self._sent[call_id] = (tokens, now)
 
     def record_response(self, call_id: int, now: float) -> None:
-        """Learn from the first byte of an answer."""
+        """Update the rate at the first byte of a response; later bytes have no effect."""
         tokens, sent_at = self._sent.pop(call_id, (0, 0.0))
         if not tokens or now <= sent_at:
             return
@@ -34,5 +34,5 @@
         self.tokens_per_s += SAMPLE_WEIGHT * (rate - self.tokens_per_s)
 
     def record_end(self, call_id: int) -> None:
-        """Forget a call that got no byte."""
+        """Stop observing a call that ended without a byte."""
         self._sent.pop(call_id, None)
--- a/rooklug/gateway/prefix_cache_table.py
+++ b/rooklug/gateway/prefix_cache_table.py
@@ -1,4 +1,4 @@
-"""Which prefix blocks of prompts each replica probably still has in its KV cache."""
+"""Estimates which prefix blocks of prompts each replica has in its KV cache."""
 
 from collections import OrderedDict
 from itertools import islice
@@ -8,10 +8,12 @@
 from rooklug.gateway.requests import PrefixBlock
 
 CACHE_TTL_S = 9.0
-"""A block that wasn't used for so long counts as evicted."""
+"""A block that has not been used for this long counts as evicted."""
 MEMORY_SHARE = 0.8
-"""Share of a replica's KV memory assumed to hold cached blocks; running requests use the rest."""
+"""Share of a replica's KV memory assumed to be available for cached blocks; running requests use
+the rest."""
 DEFAULT_MEMORY_TOKENS = 100_000
+"""KV memory assumed for a replica whose service doesn't state it."""
 
 
 @attrs.define
@@ -28,7 +30,7 @@
     tokens: int = 0
 
     def use(self, block: PrefixBlock, memory_tokens: int, now: float) -> list[str]:
-        """Note that a prompt with this block went to the replica; return the ids it evicts."""
+        """Mark a block as most recently used; return the ids of the blocks that it evicts."""
         known = self.blocks.pop(block.block_id, None)
         self.tokens += block.tokens - (known.tokens if known else 0)
         self.blocks[block.block_id] = _CachedBlock(block.tokens, now)
@@ -47,11 +49,11 @@
 
 @attrs.define
 class PrefixCacheTable:
-    """The blocks that replicas were sent, by this front and by peers that reported it."""
+    """The blocks sent to each replica by this front and by the peers that reported them."""
 
     _replicas: dict[str, ReplicaPrefixes] = attrs.field(factory=dict)
     _users: dict[str, dict[str, None]] = attrs.field(factory=dict)
-    """Replica ids by block id, the latest user last."""
+    """Replica ids by block id, the most recent user last; the inner dict is an ordered set."""
 
     def missing_tokens(self, replica_id: str, blocks: tuple[PrefixBlock, ...], now: float) -> int:
         """Return how many tokens of ``blocks`` the replica would have to prefill.
@@ -71,7 +73,7 @@
     def record_use(
         self, replica_id: str, blocks: tuple[PrefixBlock, ...], memory_tokens: int, now: float
     ) -> None:
-        """Note the blocks of a prompt that goes to a replica with so much KV memory."""
+        """Record a prompt sent to a replica; ``memory_tokens`` 0 means the default memory."""
         known = self._replicas.setdefault(replica_id, ReplicaPrefixes())
         limit = int((memory_tokens or DEFAULT_MEMORY_TOKENS) * MEMORY_SHARE)
         for block in blocks:
@@ -80,11 +82,11 @@
                 self._forget_user(evicted, replica_id)
 
     def users(self, block_id: str, most: int) -> list[str]:
-        """Return at most so many replicas that were sent a block, the latest first."""
+        """Return up to ``most`` ids of replicas that were sent a block, most recent first."""
         return list(islice(reversed(self._users.get(block_id, {})), most))
 
     def forget_except(self, replica_ids: set[str]) -> None:
-        """Drop what is held of replicas that are gone."""
+        """Drop the blocks of replicas that are not in ``replica_ids``."""
         for replica_id in self._replicas.keys() - replica_ids:
             for block_id in self._replicas.pop(replica_id).blocks:
                 self._forget_user(block_id, replica_id)
--- a/rooklug/gateway/protocols.py
+++ b/rooklug/gateway/protocols.py
@@ -1,7 +1,7 @@
-"""The formats that a deployment's clients, replicas, operators and platform speak.
+"""Interfaces to the formats of a deployment's clients, replicas, operators and platform.
 
-Header names and codecs come from outside as a ``ClientProtocol`` and an ``OperatorProtocol``, so
-that the gateway decides without knowing any of them.
+The deployment passes in header names and codecs as a ``ClientProtocol`` and an
+``OperatorProtocol``; the rest of the package is independent of the formats.
 """
 
 from collections.abc import Callable
@@ -14,7 +14,7 @@
 
 @attrs.frozen
 class HeaderNames:
-    """Names of headers, in lower case. The defaults are rooklug's own."""
+    """Names of HTTP headers, in lower case. The defaults are rooklug's own."""
 
     request_id: str = "rooklug-request-id"
     deadline_ms: str = "rooklug-deadline-ms"
@@ -30,7 +30,7 @@
 
 @attrs.frozen
 class ResolveRequest:
-    """A client asks the directory which fronts to connect to."""
+    """A client's lookup of the fronts to connect to; ``region`` and ``zone`` are the client's."""
 
     host: str
     region: str
@@ -39,7 +39,7 @@
 
 @attrs.frozen
 class SubmitConfiguration:
-    """A complete configuration or a patch, in rooklug's own document format."""
+    """A new configuration: a complete document or a patch of version ``base_version``."""
 
     version: int
     body: bytes
@@ -49,7 +49,7 @@
 
 @attrs.frozen
 class DrainZone:
-    """Drain a zone, or take it back into service."""
+    """Drain a zone, or return it to service."""
 
     zone: str
     drained: bool
@@ -57,12 +57,12 @@
 
 @attrs.frozen
 class ReadConfiguration:
-    """Read the newest configuration."""
+    """Read the latest committed configuration."""
 
 
 @attrs.frozen
 class BadCall:
-    """A call that can't be parsed, with the HTTP status of its answer."""
+    """A call that can't be parsed, with the HTTP status and error message of the response."""
 
     status: int
     message: str
@@ -81,7 +81,11 @@
 
 @attrs.frozen
 class ClientProtocol:
-    """Names and codecs that a front needs for clients, replicas and readiness checks."""
+    """Header names and codecs that a front uses for clients, replicas and readiness checks.
+
+    ``read_resolve_request`` returns None for any other request; ``write_addresses`` gets the
+    addresses and their TTL in seconds.
+    """
 
     headers: HeaderNames
     readiness_path: str
@@ -91,7 +95,11 @@
 
 @attrs.frozen
 class OperatorProtocol:
-    """Codecs that a core needs for operators' calls and the platform's list of replicas."""
+    """Codecs that a core uses for operators' calls and the platform's list of replicas.
+
+    ``listing_path`` gets the page name, "" for the first page; ``read_listing`` returns None for a
+    page that can't be parsed.
+    """
 
     read_call: Callable[[HttpRequestArrived], OperatorCall]
     write_configuration: Callable[[bytes], bytes]
--- a/rooklug/gateway/proxied_request.py
+++ b/rooklug/gateway/proxied_request.py
@@ -1,4 +1,4 @@
-"""One client request on its way through a front, and what may be done with it next."""
+"""State of one client request while a front forwards it, and whether it may be sent again."""
 
 from enum import Enum
 
@@ -10,7 +10,7 @@
 
 
 class ResponseState(Enum):
-    """How far the answer to the client has got."""
+    """Whether the response to the client has started."""
 
     WAITING = "no byte of an answer has gone to the client"
     STREAMING = "the head has gone to the client"
@@ -23,22 +23,22 @@
     Attributes:
         request: The client's request.
         route: The route that it matched.
-        service: The service that it drew among the route's.
-        arrived_at: When it came.
-        deadline: When the client or the route gives up.
-        response_state: How far the answer has got.
-        replica: Where it was sent last.
-        call_id: The call that carries it there.
-        executions: Sends to a replica that may run it; the route limits them.
-        sends: Sends that reached any replica, also one that rejected it because its address has
-            changed hands; the retry budget counts them.
-        may_have_run: False only while each replica it was sent to has said that it didn't run it.
+        service: The service chosen by the route's weights.
+        arrived_at: When the request arrived.
+        deadline: When the client's or the route's time-out ends, whichever is earlier.
+        response_state: Whether the response to the client has started.
+        replica: The replica that the request was last sent to.
+        call_id: The call to that replica.
+        executions: Number of sends to replicas that may run the request; limited by the route.
+        sends: Number of sends that reached a replica, including those rejected because another
+            replica had taken over the address; counted by the retry budget.
+        may_have_run: False only while every replica it was sent to has said that it didn't run it.
         tried: Ids of the replicas chosen so far.
-        status: HTTP status of the answer that comes in.
-        headers: Headers of that answer.
+        status: HTTP status of the replica's current response.
+        headers: Headers of that response.
         incomplete_event: Bytes of a stream after its last complete event.
-        error_body: Chunks of an answer that is no success; it is held until it is complete.
-        last_event_id: Id of the last event that the client got, to resume after.
+        error_body: Chunks of an unsuccessful response, which is buffered until it is complete.
+        last_event_id: Id of the last event sent to the client; a stream is resumed after it.
         last_response_at: When the replica last sent anything.
     """
 
@@ -63,10 +63,10 @@
 
     @property
     def sent_to(self) -> GatewayReplica:
-        """The replica that it was sent to last.
+        """The replica that the request was last sent to.
 
         Raises:
-            ValueError: It has not been sent.
+            ValueError: The request has not been sent to any replica.
         """
         if self.replica is None:
             raise ValueError("the request has not been sent to a replica")
@@ -74,20 +74,20 @@
 
     @property
     def is_stream(self) -> bool:
-        """Whether the answer is forwarded chunk by chunk."""
+        """Whether the response is forwarded chunk by chunk."""
         return self.route.execution is Execution.EVENT_STREAM
 
     @property
     def is_success(self) -> bool:
-        """Whether the answer that comes in has a status of success."""
+        """Whether the replica's current response has a 2xx status."""
         return 200 <= self.status < 300
 
     def remaining_s(self, now: float) -> float:
-        """Return the time that is left for an answer."""
+        """Return the seconds left until the deadline; negative after it."""
         return self.deadline - now
 
     def may_send_again(self) -> bool:
-        """Return whether the route lets the request go to one more replica."""
+        """Return whether the route allows the request to be sent to one more replica."""
         if self.executions >= self.route.max_replicas:
             return False
         return not self.may_have_run or self.route.is_idempotent
--- a/rooklug/gateway/region_planner.py
+++ b/rooklug/gateway/region_planner.py
@@ -1,7 +1,8 @@
-"""Decides at the primary where each region's traffic goes: one GSP solve, one matrix.
+"""Plans on the primary which regions serve each region's traffic: one GSP solve gives one matrix.
 
-Replicas of a gateway take no load orders, so the moves of a plan are its matrix.
-Demand comes from the fronts, capacity from the list of replicas and the drained zones.
+The gateway can't load or unload models on its replicas, so the plan's only output is its routing
+matrix. Demand is reported by the fronts; capacity follows from the list of replicas and the drained
+zones.
 """
 
 from collections import defaultdict
@@ -37,14 +38,14 @@
 
 SOLVE_INTERVAL_S = 2.0
 REPORT_VALID_S = 8.0
-"""A front's demand counts for so long; an idle front reports nothing."""
+"""A front's demand report is valid for this long; an idle front sends none."""
 MIN_PUBLISHED_CHANGE = 0.1
-"""A matrix is published again if a weight changes by more than this."""
+"""A matrix is published again only if a weight has changed by more than this."""
 _TIMER = "solve"
 
 
 def solve_lazily(problem: "PlacementProblem") -> "PlacementPlan":
-    """Solve a placement problem; the solver's libraries load with the first one."""
+    """Solve a placement problem; importing here defers loading the solver to the first solve."""
     from rooklug.placement.planner import solve
 
     return solve(problem)
@@ -52,7 +53,7 @@
 
 @attrs.frozen
 class _FrontDemand:
-    """A front's last report: tokens/s by (service, region, homes), and the prefill rate."""
+    """A front's latest report: loads in tokens/s by matrix key, and the observed prefill rate."""
 
     at: float
     loads: dict[MatrixKey, float]
@@ -60,7 +61,7 @@
 
 
 class RegionPlanner(BaseComponent):
-    """Solves every few seconds while this core is the primary, and offers the matrix."""
+    """Solves every ``SOLVE_INTERVAL_S`` while this core is the primary; publishes the matrix."""
 
     name = "region-planner"
     call_types = (DemandReport,)
@@ -86,7 +87,7 @@
         self._published: dict[tuple, float] = {}
 
     def handle(self, event: ev.Event, now: float) -> list[fx.Effect]:
-        """Take one event."""
+        """Update the planner's inputs, or start or finish a solve."""
         match event:
             case PrimaryStarted():
                 return self._start_term(event.epoch)
@@ -149,7 +150,7 @@
         return [fx.Compute(self._ticket, solve_lazily, site.problem(self._measured(now)))]
 
     def _prefill_rate(self, now: float) -> float | None:
-        """Return the mean prefill rate that fronts have reported; None if none has."""
+        """Return the mean of the fronts' reported prefill rates; None if there are none."""
         rates = [
             front.read_tokens_per_s
             for front in self._fronts.values()
@@ -170,7 +171,17 @@
             return []
         self._ticket = 0
         if event.error or not self._epoch:
-            return [fx.Log("error", "a plan failed", {"error": event.error})] if event.error else []
+            return (
+                [
+                    fx.Log(
+                        "error",
+                        "region plan failed; keeping the published matrix",
+                        {"error": event.error},
+                    )
+                ]
+                if event.error
+                else []
+            )
         from rooklug.gateway.region_problem import matrix_cells
 
         cells = matrix_cells(event.result.matrix)
--- a/rooklug/gateway/region_problem.py
+++ b/rooklug/gateway/region_problem.py
@@ -1,7 +1,7 @@
-"""The placement problem of a gateway's regions, and the matrix that its plan gives.
+"""Builds the placement problem of a gateway's regions and turns the plan into a routing matrix.
 
-A service of the gateway is a model of the placement, and its replicas are slots that hold just
-that model. Imported at the first solve only: a core starts sooner without it.
+Each gateway service is one model of the placement problem, and its replicas are slots that hold
+only that model. This module is imported at the first solve, so that a core starts faster.
 """
 
 from collections import defaultdict
@@ -22,24 +22,28 @@
 
 SOLVE_LIMIT_S = 0.5
 ASSUMED_ROUND_TRIP_MS = 50.0
-"""Between regions: beyond "zonal", so that a plan keeps traffic near while it can."""
+"""Assumed between any two regions. It exceeds a zonal round trip, so that a plan keeps traffic in
+its own region while capacity allows."""
 TARGET_UTILIZATION = 0.4
-"""Share of its prefill rate that a model replica is planned to use: prompts come in bursts, and
-streams stall while a backlog is prefilled. The rest is the reserve for a lost zone."""
+"""Share of a model replica's prefill rate that the plan may use: prompts arrive in bursts, and
+streams stall while a backlog is prefilled. The rest is the reserve for the loss of a zone."""
 DEFAULT_PREFILL_TOKENS_PER_S = 30_000.0
 """Assumed before any front has observed a prefill rate."""
 REQUESTS_PER_SLOT_S = 40.0
-"""What a slot of a service without an engine sustains; a default of ours."""
+"""Requests per second that one slot of a service without an engine is assumed to sustain."""
 _CLASS = "any"
 
 MeasuredLoads = dict[MatrixKey, float]
-"""Tokens/s by what the matrix is looked up with: prompt tokens that are read, and answers.
-Services without an engine count requests."""
+"""Load by matrix key in tokens per second: prefilled prompt tokens plus answer tokens. Each request
+adds 1, which is the whole load of a service without an engine."""
 
 
 @attrs.frozen
 class RegionSite:
-    """What a plan is made for: configuration, listed replicas and drained zones."""
+    """Inputs of a region plan.
+
+    ``read_tokens_per_s`` is the prefill rate that fronts have observed, None before any report.
+    """
 
     configuration: GatewayConfiguration
     replicas: tuple[ListedReplica, ...]
@@ -47,7 +51,7 @@
     read_tokens_per_s: float | None = None
 
     def problem(self, measured: MeasuredLoads) -> PlacementProblem:
-        """Return the placement problem under the measured demand."""
+        """Return the placement problem for the measured demand."""
         usable = [
             replica
             for replica in self.replicas
@@ -113,10 +117,11 @@
 
 
 def matrix_cells(matrix: tuple[RouteShare, ...]) -> list[RouteWeight]:
-    """Return the matrix for fronts: planned traffic first, by its amounts, also the late part.
+    """Return the cells of the matrix that fronts use.
 
-    Fronts of a gateway don't know how full a region is, so a spill in the plan must be a weight
-    of the first preference.
+    Planned traffic becomes preference 0, weighted by its amount, including traffic planned to miss
+    its latency class. Fronts of a gateway don't know how full a region is, so traffic that the plan
+    spills to another region must be a weight of the first preference.
     """
     totals: dict[DemandKey, float] = defaultdict(float)
     for share in matrix:
--- a/rooklug/gateway/replica_call.py
+++ b/rooklug/gateway/replica_call.py
@@ -1,4 +1,4 @@
-"""What goes to a replica for a request, and which of its answers belong to it."""
+"""Builds the call to a replica and checks whether a response belongs to the request."""
 
 from rooklug.engine import effects as fx
 from rooklug.gateway.gateway_replica import GatewayReplica
@@ -8,17 +8,17 @@
 
 CONNECT_DEADLINE_S = 0.6
 DEADLINE_SLACK_S = 0.03
-"""Our own timer ends a little later than the replica's, whose answer says more."""
+"""The front's timer ends this much later than the replica's, whose response is more specific."""
 LOWEST_PRIORITY = 9
 REPLACED_STATUS = 421
-"""The replica at this address is another one than the request names."""
+"""A replica's status for a request that names another replica: the address has been taken over."""
 NOT_EXECUTED_STATUSES = frozenset({400, 421, 429, 503})
 
 
 def replica_call(
     proxied: ProxiedRequest, replica: GatewayReplica, names: HeaderNames, now: float
 ) -> fx.HttpCall:
-    """Return the call that carries a request to the replica chosen for it."""
+    """Return the call that forwards a request to the chosen replica with the remaining time."""
     request = proxied.request
     remaining_s = proxied.remaining_s(now)
     headers = end_to_end(request.headers)
@@ -42,12 +42,12 @@
 
 
 def is_not_executed(status: int, headers: dict[str, str], names: HeaderNames) -> bool:
-    """Return whether a replica says that it did not run the request."""
+    """Return whether the response states that the replica did not run the request."""
     if status == REPLACED_STATUS:
         return True
     return status in NOT_EXECUTED_STATUSES and names.not_executed in headers
 
 
 def is_answer_to(proxied: ProxiedRequest, headers: dict[str, str], names: HeaderNames) -> bool:
-    """Return whether an answer belongs to the request: its id identifies the answer."""
+    """Return whether the response carries the request's id; otherwise it is another's response."""
     return headers.get(names.request_id) == proxied.request.request_id
--- a/rooklug/gateway/request_forwarder.py
+++ b/rooklug/gateway/request_forwarder.py
@@ -1,8 +1,8 @@
-"""Sends requests to replicas, retries them, and gives clients their final answers.
+"""Sends requests to replicas, retries them, and gives clients their final responses.
 
-Final answers: a replica's answer unchanged; 503 with ``Retry-After`` only when no replica
-has run the request or will; 504 at its deadline; 502 when a replica may have run it and no answer
-came. An answer that has begun and breaks off ends without its final chunk.
+The final response is one of: a replica's response, unchanged; 503 with ``Retry-After``, only if no
+replica has run the request or will; 504 at the deadline; 502 if a replica may have run the request
+but no response arrived. A response that has started and is cut off ends without its final chunk.
 """
 
 import attrs
@@ -20,14 +20,14 @@
 from rooklug.gateway.retry_budget import RetryBudgets, RetryBudgetSettings
 
 MIN_TIME_TO_SEND_S = 0.01
-"""With less time left a request is not sent any more."""
+"""A request with less time left is not sent."""
 RETRY_AFTER_FULL_S = 0.5
-"""``Retry-After`` of a request whose attempts are used up."""
+"""``Retry-After`` of a request that has used up its attempts or the retry budget."""
 
 
 @attrs.define
 class GatewayFigures:
-    """Counters since the start of the process; each becomes a metric of its name."""
+    """Counters since the start of the process; field names become parts of metric names."""
 
     arrived: int = 0
     answered: int = 0
@@ -38,7 +38,7 @@
 
 
 class RequestForwarder:
-    """The requests in flight of one front, and every way in which one is sent or ended."""
+    """Holds a front's requests in flight; every send and every final response goes through it."""
 
     def __init__(
         self,
@@ -57,12 +57,12 @@
         self._identifiers = identifiers
 
     def accept(self, proxied: ProxiedRequest, now: float) -> None:
-        """Take a request over until its final answer."""
+        """Register a request until its final response, and count it for the retry budget."""
         self.by_http[proxied.request.http_id] = proxied
         self.budgets.of(proxied.service.name).count_request(now)
 
     def send(self, proxied: ProxiedRequest, now: float) -> list[fx.Effect]:
-        """Send a request to the replica that the decision object chooses, or give it up."""
+        """Send a request to the replica that the decision object chooses, or end it."""
         if proxied.remaining_s(now) < MIN_TIME_TO_SEND_S:
             return self.give_up(proxied, now)
         tried = frozenset(proxied.tried)
@@ -90,7 +90,7 @@
         return [replica_call(proxied, replica, self.names, now)]
 
     def retry(self, proxied: ProxiedRequest, now: float) -> list[fx.Effect]:
-        """Send a request once more if its route and the retry budget allow it, else give up."""
+        """Send a request again if its route and the retry budget allow it, else end it."""
         if proxied.may_send_again() and self.may_retry(proxied, now):
             return self.send(proxied, now)
         return self.give_up(proxied, now, RETRY_AFTER_FULL_S)
@@ -101,28 +101,28 @@
         return self.budgets.of(proxied.service.name).may_retry(fronts, now)
 
     def resume_stream(self, proxied: ProxiedRequest, now: float) -> list[fx.Effect]:
-        """Go on at another replica if the route allows it, else end visibly broken."""
+        """Continue a stream on another replica if the route allows it, else abort it."""
         proxied.incomplete_event = b""
         proxied.may_have_run = True
         return self.retry(proxied, now)
 
     def cancel_call(self, call_id: int) -> fx.Effect:
-        """Stop waiting for a call's answer."""
+        """Forget a call and return the effect that cancels it."""
         self.by_call.pop(call_id, None)
         return fx.CancelHttpCall(call_id)
 
     def record_end(
         self, proxied: ProxiedRequest, outcome: AttemptOutcome | None, now: float
     ) -> None:
-        """Count the end of a request's present call."""
+        """Record in the traffic record that the request's current call has ended."""
         self.decision.traffic.record_end(proxied.call_id, proxied.sent_to, outcome, now)
 
-    # Final answers --------------------------------------------------------
+    # Final responses ------------------------------------------------------
 
     def respond(
         self, proxied: ProxiedRequest, status: int, headers: dict[str, str], body: bytes
     ) -> list[fx.Effect]:
-        """Give the client a replica's complete answer."""
+        """Send the client a replica's complete response; a started stream is aborted instead."""
         if proxied.response_state is ResponseState.STREAMING:
             return self.abort_stream(proxied)
         self.forget(proxied)
@@ -131,13 +131,13 @@
         return [fx.HttpRespond(proxied.request.http_id, status, body, headers)]
 
     def end_stream(self, proxied: ProxiedRequest) -> list[fx.Effect]:
-        """End a stream that is complete."""
+        """End a complete stream with its final chunk."""
         self.forget(proxied)
         self.figures.answered += 1
         return [fx.HttpStreamEnd(proxied.request.http_id)]
 
     def abort_stream(self, proxied: ProxiedRequest) -> list[fx.Effect]:
-        """End a stream without its final chunk: the client sees that it is cut off."""
+        """End a stream without its final chunk, so that the client sees that it is incomplete."""
         self.figures.broken += 1
         self.forget(proxied)
         return [fx.HttpStreamAbort(proxied.request.http_id)]
@@ -145,7 +145,7 @@
     def give_up(
         self, proxied: ProxiedRequest, now: float, retry_after_s: float = 0.0
     ) -> list[fx.Effect]:
-        """Give the final answer at once; a request that has not run gets ``Retry-After``."""
+        """Send the final error response; it has ``Retry-After`` if the request has not run."""
         if proxied.response_state is ResponseState.STREAMING:
             return self.abort_stream(proxied)
         self.forget(proxied)
@@ -158,7 +158,7 @@
     def refuse(
         self, request: InboundRequest, error: GatewayError, retry_after_s: float = 0.0
     ) -> list[fx.Effect]:
-        """Give the front's own answer to a request."""
+        """Send the front's own error response to a request and count it."""
         if error in (GatewayError.TIMED_OUT, GatewayError.MAY_HAVE_RUN):
             self.figures.failed += 1
         else:
@@ -166,6 +166,6 @@
         return [self.answers.refusal(request, error, retry_after_s)]
 
     def forget(self, proxied: ProxiedRequest) -> None:
-        """Drop a request that has its final answer."""
+        """Drop a request that has got its final response."""
         self.by_http.pop(proxied.request.http_id, None)
         self.by_call.pop(proxied.call_id, None)
--- a/rooklug/gateway/requests.py
+++ b/rooklug/gateway/requests.py
@@ -1,4 +1,4 @@
-"""A client's request as the gateway reads it, and the headers that are forwarded."""
+"""Parses a client's request, and selects the headers that are forwarded."""
 
 import zlib
 
@@ -26,7 +26,7 @@
 
 @attrs.frozen
 class PrefixBlock:
-    """One block of a prompt that a KV cache may hold: its identity and its size in tokens."""
+    """One block of a prompt that a KV cache may hold, as identified by the client."""
 
     block_id: str
     tokens: int
@@ -34,10 +34,11 @@
 
 @attrs.frozen
 class InboundRequest:
-    """One attempt of a client.
+    """One attempt of a client; a client's retry is a new attempt.
 
-    ``deadline_s`` is how long the client waits, counted from the arrival, None if it says nothing.
-    ``prefix_blocks`` are the prompt's blocks in their order; the last one is usually its own.
+    ``deadline_s`` is how long the client waits, in seconds from arrival, None if it isn't stated.
+    ``prefix_blocks`` are the blocks of the prompt in order; the last one is usually unique to it.
+    ``prompt_tokens`` and ``answer_tokens`` are as stated by the client, 0 if not stated.
     """
 
     http_id: int
@@ -55,12 +56,12 @@
 
     @property
     def draw(self) -> float:
-        """A number in [0, 1) from the request id, for weighted choices."""
+        """A number in [0, 1) derived from the request id, for weighted choices."""
         return (zlib.crc32(self.request_id.encode()) & 0xFFFFFF) / 0x1000000
 
 
 def read_request(event: HttpRequestArrived, names: HeaderNames) -> InboundRequest:
-    """Return the request of an HTTP event; fields that can't be parsed are left out."""
+    """Parse the request of an HTTP event; header fields that can't be parsed are ignored."""
     headers = event.headers
     counts = _integers(headers.get(names.token_counts, ""))
     return InboundRequest(
@@ -80,7 +81,7 @@
 
 
 def end_to_end(headers: dict[str, str]) -> dict[str, str]:
-    """Return the headers that concern more than one connection."""
+    """Return the end-to-end headers, without those that apply to a single connection."""
     named = {name.strip().lower() for name in headers.get("connection", "").split(",")}
     return {
         name: value
--- a/rooklug/gateway/response_handler.py
+++ b/rooklug/gateway/response_handler.py
@@ -1,4 +1,4 @@
-"""Handles what comes back from replicas: answers, streams and failed calls."""
+"""Handles responses of replicas: complete ones, streams and failed calls."""
 
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
@@ -15,26 +15,29 @@
 BAD_REQUEST_STATUS = 400
 FIRST_SERVER_ERROR_STATUS = 500
 MAX_UNSENT_ATTEMPTS = 4
-"""Replicas that are tried for one request while no connection comes about."""
+"""Maximum number of replicas tried for one request when connections can't be established."""
 MAX_ERROR_BODY_BYTES = 1024 * 1024
-"""An answer that is no success is held until it is complete; a longer one counts as broken."""
+"""An unsuccessful response is buffered until it is complete; a longer one counts as broken."""
 
 
 class ResponseHandler:
-    """Decides for each answer whether it is forwarded, retried elsewhere or given up."""
+    """Decides for each response whether to forward it, retry the request, or give up.
+
+    Events of calls that have already been cancelled or ended are ignored.
+    """
 
     def __init__(self, forwarder: RequestForwarder) -> None:
         self._forwarder = forwarder
 
     def answered(self, event: ev.HttpAnswered, now: float) -> list[fx.Effect]:
-        """Take a complete answer."""
+        """Handle a complete response of a call that is not streamed."""
         proxied = self._forwarder.by_call.pop(event.call_id, None)
         if proxied is None:
             return []
         return self._complete_answer(proxied, event.status, event.headers, event.body, now)
 
     def started(self, event: ev.HttpResponseStarted, now: float) -> list[fx.Effect]:
-        """Take the head of a streamed answer."""
+        """Handle the status and headers of a streamed response."""
         proxied = self._forwarder.by_call.get(event.call_id)
         if proxied is None:
             return []
@@ -48,13 +51,13 @@
             cancel = self._forwarder.cancel_call(event.call_id)
             return [cancel, *self._retry_after_broken_answer(proxied, now)]
         if proxied.response_state is ResponseState.STREAMING:
-            return []  # a resumed stream goes on under the head of its first replica
+            return []  # the client already has the headers of the first replica
         proxied.response_state = ResponseState.STREAMING
         headers = self._forwarder.answers.headers(event.headers)
         return [fx.HttpStreamStart(proxied.request.http_id, event.status, headers)]
 
     def chunk(self, event: ev.HttpBodyChunk, now: float) -> list[fx.Effect]:
-        """Take bytes of a streamed answer; only complete events go on to the client."""
+        """Handle bytes of a streamed response; only complete events are forwarded."""
         proxied = self._forwarder.by_call.get(event.call_id)
         if proxied is None:
             return []
@@ -71,7 +74,7 @@
         return [fx.HttpStreamChunk(proxied.request.http_id, events)]
 
     def completed(self, event: ev.HttpResponseCompleted, now: float) -> list[fx.Effect]:
-        """Take the end of a streamed answer."""
+        """Handle the end of a streamed response; one that ends within an event is broken."""
         proxied = self._forwarder.by_call.pop(event.call_id, None)
         if proxied is None:
             return []
@@ -85,7 +88,7 @@
         return self._forwarder.end_stream(proxied)
 
     def failed(self, event: ev.HttpFailed, now: float) -> list[fx.Effect]:
-        """Take the failure of a call."""
+        """Handle a failed call: retry or resume if the route allows it."""
         proxied = self._forwarder.by_call.pop(event.call_id, None)
         if proxied is None:
             return []
@@ -103,7 +106,7 @@
         return self._forwarder.retry(proxied, now)
 
     def _not_sent(self, proxied: ProxiedRequest, now: float) -> list[fx.Effect]:
-        """Try another replica after a connection that did not come about."""
+        """Try another replica after a failure to connect, which uses up no attempt."""
         self._forwarder.record_end(proxied, AttemptOutcome.CONNECT_FAILED, now)
         proxied.executions -= 1
         proxied.sends -= 1
@@ -139,12 +142,12 @@
         body: bytes,
         now: float,
     ) -> list[fx.Effect]:
-        """Retry a request that a replica has rejected unrun, unless the request itself is bad."""
+        """Retry a request that a replica rejected unexecuted, unless the request is malformed."""
         if status == BAD_REQUEST_STATUS:
             return self._forwarder.respond(proxied, status, headers, body)
         if status == REPLACED_STATUS:
-            # The address is another replica's by now: the send spends the retry budget, but
-            # none of the route's executions.
+            # Another replica has taken over the address. The send counts against the retry
+            # budget, but not against the route's maximum number of replicas.
             proxied.executions -= 1
             self._forwarder.decision.traffic.record_address_mismatch(proxied.sent_to)
         return self._forwarder.retry(proxied, now)
--- a/rooklug/gateway/serving_fronts.py
+++ b/rooklug/gateway/serving_fronts.py
@@ -1,4 +1,4 @@
-"""Which fronts take the clients' traffic of a region; every front computes the same ones."""
+"""Selects the fronts that serve a region's clients; every front computes the same selection."""
 
 import math
 
@@ -7,18 +7,19 @@
 
 MIN_SERVING_FRONTS = 2
 MAX_COLLECTORS = 3
-"""The second is called when the first doesn't answer, and so on."""
+"""Number of load collectors per region; each is called only if those before it don't answer."""
 SERVING_SHARE = 1 / 8
-"""Share of a region's fronts that its clients are sent to: fewer fronts know more of the load of
-each replica and of what it holds, and keep fewer connections; the rest stand by. With half as
-many a burst of long prompts filled the links of the fronts that served."""
+"""Share of a region's fronts that serve its clients; the others are on standby. With fewer serving
+fronts, each knows a larger part of the load and the cached blocks of each replica, and there are
+fewer connections. With half this share, a burst of long prompts saturated the network links of the
+serving fronts."""
 
 
 def serving_fronts(fronts: list[NodeRecord], core_machines: frozenset[str]) -> list[NodeRecord]:
-    """Return those of a region's ready fronts that take traffic.
+    """Return the fronts that serve a region's clients, out of its ready fronts.
 
-    Zones alternate, and machines that also run a core come last: they have other work, and a
-    fault of the core's machine should not hit the traffic, too. ``core_machines`` are IP addresses.
+    Zones alternate. Machines that also run a core come last: they have other work, and the failure
+    of a core's machine should not affect traffic as well. ``core_machines`` are IP addresses.
     """
     return _ranked(fronts, core_machines)[: serving_count(len(fronts))]
 
@@ -26,14 +27,14 @@
 def load_collectors(fronts: list[NodeRecord], core_machines: frozenset[str]) -> list[NodeRecord]:
     """Return the fronts of a region that collect loads, in the order in which they are called.
 
-    They are the next ones after those that take traffic: they are idle.
+    They are the ones ranked next after the serving fronts, since standby fronts are idle.
     """
     count = serving_count(len(fronts))
     return _ranked(fronts, core_machines)[count : count + MAX_COLLECTORS]
 
 
 def _ranked(fronts: list[NodeRecord], core_machines: frozenset[str]) -> list[NodeRecord]:
-    """Return fronts in the order in which they are chosen to take traffic."""
+    """Return fronts in the order in which they are selected to serve."""
 
     def runs_core(node: NodeRecord) -> bool:
         return machine_of(node.http_address) in core_machines
@@ -49,7 +50,7 @@
 
 
 def serving_count(fronts: int) -> int:
-    """Return how many of a region's ready fronts take its traffic."""
+    """Return how many of a region's ready fronts serve its clients."""
     return max(MIN_SERVING_FRONTS, math.ceil(fronts * SERVING_SHARE))
 
 
--- a/rooklug/gateway/traffic_record.py
+++ b/rooklug/gateway/traffic_record.py
@@ -1,7 +1,7 @@
-"""What a front has observed of replicas: its own calls, peers' reports, caches and health.
+"""A front's observations of replicas: its own calls, peers' reports, cached blocks and health.
 
-The decision object reads it; the code that carries requests records into it. Every count changes
-in a ``record_*`` method, so one request is counted once at its send and once at its end.
+The decision object reads the record; the code that forwards requests updates it. Counts change
+only in the ``record_*`` methods: each call is recorded once when it is sent and once when it ends.
 """
 
 from random import Random
@@ -23,9 +23,10 @@
 from rooklug.wire.generated.peers.ttypes import SentPrompt
 
 PREFILL_SHARE_WEIGHT = 0.01
-"""Weight of one prompt in the moving average of the share of tokens that is prefilled."""
+"""Weight of one prompt in the moving average of the share of tokens that are prefilled."""
 MAX_UNREPORTED_PROMPTS = 256
-"""Prompts held for the next report to peers; a front without peers never reports any."""
+"""Maximum number of prompts held for the next report to peers; a front without peers never
+reports them."""
 
 
 @attrs.define(eq=False)
@@ -33,15 +34,15 @@
     """One front's observations, by replica id. Times are monotonic seconds.
 
     Attributes:
-        random: Draws the length of ejections.
-        slow_start_limiter: Sends to replicas in slow start.
-        rate_limiter: Sends to every replica of a service with a slow-start rate.
-        loads: This front's calls in flight and the health of each replica.
-        prefixes: Prefix blocks that each replica's KV cache probably holds.
-        stale_endpoints: Listed addresses that have answered as another replica.
-        prefill_rate: Prompt tokens that a replica reads a second.
-        peers: Calls that the region's other fronts have in flight.
-        prefill_share: Share of prompt tokens that replicas must read, a moving average.
+        random: Randomizes the length of ejections.
+        slow_start_limiter: Limits requests to replicas in slow start.
+        rate_limiter: Limits requests to all replicas of a service with a slow-start rate.
+        loads: This front's calls in flight at each replica, and the replica's health.
+        prefixes: Prefix blocks that each replica probably has in its KV cache.
+        stale_endpoints: Listed addresses that have answered as a different replica.
+        prefill_rate: Estimated rate at which a replica prefills prompts.
+        peers: Calls in flight of the region's other fronts.
+        prefill_share: Moving average of the share of prompt tokens that replicas must prefill.
     """
 
     random: Random
@@ -56,14 +57,14 @@
     _unreported_prompts: list[SentPrompt] = attrs.field(factory=list)
 
     def load_of(self, replica: GatewayReplica) -> ReplicaLoad:
-        """Return the load of a replica, a new one at its first call."""
+        """Return the load of a replica; created at the first use."""
         load = self.loads.get(replica.replica_id)
         if load is None:
             load = self.loads[replica.replica_id] = ReplicaLoad()
         return load
 
     def usage_of(self, replica: GatewayReplica, now: float) -> ReplicaUsage:
-        """Return what is in flight at a replica: this front's calls and those peers reported."""
+        """Return the load at a replica: this front's calls plus those that peers reported."""
         peers = self.peers.usage_at(replica.replica_id, now)
         load = self.load_of(replica)
         return ReplicaUsage(
@@ -72,11 +73,11 @@
         )
 
     def is_unresponsive(self, replica: GatewayReplica, now: float) -> bool:
-        """Return whether a replica owes answers and sends nothing at all."""
+        """Return whether a replica has calls in flight and has stopped sending anything."""
         return self.load_of(replica).is_unresponsive(now)
 
     def is_ejected(self, replica: GatewayReplica, now: float) -> bool:
-        """Return whether a replica is ejected, or on probation with a call in flight."""
+        """Return whether a replica is ejected, or on probation with a call already in flight."""
         load = self.loads.get(replica.replica_id)
         if load is None:
             return False
@@ -91,7 +92,7 @@
         send_shares: SendShares,
         now: float,
     ) -> None:
-        """Count a request that goes out; ``send_shares`` say which fronts send to the replica."""
+        """Record a request sent to a replica; ``send_shares`` tells which fronts may send there."""
         missing = self.prefixes.missing_tokens(replica.replica_id, request.prefix_blocks, now)
         load = self.load_of(replica)
         queued_before = load.queued_prefill_tokens
@@ -108,7 +109,7 @@
             self.slow_start_limiter.record_send(replica.replica_id, rate_per_s, senders, now)
 
     def record_response(self, call_id: int, replica: GatewayReplica, now: float) -> None:
-        """Count bytes of an answer as a sign of life."""
+        """Record that a replica has sent bytes of a response, under its listed id."""
         self.stale_endpoints.record_match(replica.replica_id)
         self.load_of(replica).record_response(call_id, now)
         self.prefill_rate.record_response(call_id, now)
@@ -116,7 +117,7 @@
     def record_end(
         self, call_id: int, replica: GatewayReplica, outcome: AttemptOutcome | None, now: float
     ) -> None:
-        """Count the end of a call; ``outcome`` None says nothing about the replica's health."""
+        """Record the end of a call; an ``outcome`` of None leaves the replica's health as it is."""
         load = self.load_of(replica)
         load.record_end(call_id, now)
         self.prefill_rate.record_end(call_id)
@@ -127,16 +128,16 @@
             load.health.failed(outcome, now, self.random)
 
     def record_address_mismatch(self, replica: GatewayReplica) -> None:
-        """Note that a replica's address has answered as another replica."""
+        """Record that a replica's address has answered as a different replica."""
         self.stale_endpoints.record_mismatch(replica.replica_id, replica.zone)
 
     def take_unreported_prompts(self) -> list[SentPrompt]:
-        """Return the prompts sent since the last call, for a report to peers."""
+        """Return and clear the prompts sent since the last report to peers."""
         taken, self._unreported_prompts = self._unreported_prompts, []
         return taken
 
     def forget_unlisted(self, listed: set[str]) -> None:
-        """Drop what is held of replicas that the newest list doesn't name."""
+        """Drop the records of replicas that are not listed; loads with running calls are kept."""
         self.loads = {
             replica_id: load
             for replica_id, load in self.loads.items()
@@ -155,7 +156,7 @@
     def _record_prompt(
         self, request: InboundRequest, replica: GatewayReplica, memory_tokens: int, now: float
     ) -> None:
-        """Note what the replica's cache will hold, and keep the shared blocks for the peers."""
+        """Record the blocks that the replica will cache, and queue the shared ones for peers."""
         self.prefixes.record_use(replica.replica_id, request.prefix_blocks, memory_tokens, now)
         shared = request.prefix_blocks[:-1]
         if shared and len(self._unreported_prompts) < MAX_UNREPORTED_PROMPTS:
--- a/rooklug/gateway/view.py
+++ b/rooklug/gateway/view.py
@@ -1,4 +1,4 @@
-"""One immutable snapshot of what a front knows: configuration, replicas, zones, fronts, plan."""
+"""Immutable snapshot of a front's inputs: configuration, replicas, zones, fronts and plan."""
 
 from functools import cached_property
 
@@ -16,7 +16,7 @@
 
 @attrs.frozen
 class RegionShare:
-    """A cell of the routing matrix: preference 0 comes first."""
+    """One cell of the routing matrix. Preference 0 is the first choice; weights split it."""
 
     region: str
     preference: int
@@ -29,9 +29,11 @@
 
 @attrs.frozen
 class GatewayView:
-    """What decisions read. ``configuration`` is None before the first one came.
+    """The state that routing decisions are based on, replaced as a whole at each change.
 
-    ``core_machines`` are the IP addresses of the machines that run a core.
+    ``configuration`` is None until the first one has been received. ``is_listed`` is True once a
+    list of replicas has been received, even an empty one. ``core_machines`` are the IP addresses
+    of the machines that run a core.
     """
 
     configuration: GatewayConfiguration | None = None
@@ -44,7 +46,10 @@
     _pools: dict[tuple[str, str], RegionPool] = attrs.field(factory=dict, init=False, eq=False)
 
     def usable(self, service: str, homes: tuple[str, ...]) -> list[GatewayReplica]:
-        """Return the replicas that may get requests at all."""
+        """Return the replicas that may receive requests: neither draining nor in a drained zone.
+
+        ``homes`` are the allowed regions; empty allows all.
+        """
         return [
             replica
             for replica in self.replicas.get(service, ())
@@ -54,7 +59,7 @@
         ]
 
     def pool(self, service: str, region: str) -> RegionPool:
-        """Return the usable replicas of a service in one region; built once for a view."""
+        """Return the usable replicas of a service in one region; built once per view."""
         key = (service, region)
         if key not in self._pools:
             self._pools[key] = RegionPool(tuple(self.usable(service, (region,))))
@@ -63,17 +68,17 @@
     def region_shares(
         self, service: str, region: str, homes: tuple[str, ...]
     ) -> tuple[RegionShare, ...]:
-        """Return the plan's cells for a region's traffic; empty without any."""
+        """Return the plan's cells for traffic from ``region``; empty if the plan has none."""
         return self.matrix.get((service, region, homes), ())
 
     @cached_property
     def ready_fronts(self) -> tuple[NodeRecord, ...]:
-        """The fronts that are ready and not draining."""
+        """The fronts that accept clients: ready and not draining."""
         return tuple(node for node in self.fronts if node.ready and not node.draining)
 
     @cached_property
     def send_shares(self) -> SendShares:
-        """Which fronts take the traffic of each region."""
+        """The fronts that serve each region, from which rate shares are computed."""
         serving = {
             region: tuple(node.node_id for node in serving_fronts(found, self.core_machines))
             for region, found in self._fronts_by_region.items()
@@ -81,7 +86,7 @@
         return SendShares(serving, frozenset(node.node_id for node in self.ready_fronts))
 
     def load_collectors(self, region: str) -> list[NodeRecord]:
-        """Return the fronts that collect the loads of a region, in the order they are called."""
+        """Return the fronts that collect a region's loads, in the order they are called."""
         return load_collectors(self._fronts_by_region.get(region, []), self.core_machines)
 
     @cached_property
@@ -93,7 +98,7 @@
 
 
 def matrix_of(cells: list[RouteWeight]) -> dict[MatrixKey, tuple[RegionShare, ...]]:
-    """Return the plan's cells by what a request is looked up with."""
+    """Return the plan's cells by service, source region and home regions."""
     found: dict[MatrixKey, list[RegionShare]] = {}
     for cell in cells:
         key = (cell.model, cell.source_region, tuple(cell.home_regions))
--- a/rooklug/gateway/view_builder.py
+++ b/rooklug/gateway/view_builder.py
@@ -24,13 +24,13 @@
 )
 
 RESTORED_SLOW_START_S = 2.5
-"""Replicas of a zone that is taken back may have restarted a moment before; the list shows it
-only after its lag, one read and the distribution to the fronts. Until then they count as in slow
-start."""
+"""Replicas of a zone that returns to service may have restarted just before. The list shows this
+only after the platform's lag, one poll and the distribution to the fronts; until then the replicas
+count as being in slow start."""
 
 
 class GatewayViewBuilder(BaseComponent):
-    """Holds the newest view and announces each change to the other components."""
+    """Holds the latest view and emits ``ViewChanged`` after each topic update."""
 
     name = "gateway-view"
     subscribes_to = (TopicChanged,)
@@ -48,7 +48,7 @@
         }
 
     def handle(self, event: ev.Event, now: float) -> list[fx.Effect]:
-        """Take a topic's newer body."""
+        """Apply the new body of a topic to the view."""
         if not isinstance(event, TopicChanged):
             return []
         effects = self._handlers[event.topic](event.body, now)
@@ -58,7 +58,7 @@
         read = read_gateway_configuration(body.document)
         if read.is_error():
             fields = {"version": body.version, "problems": [p.message for p in read.error[:5]]}
-            return [fx.Log("error", "the configuration can't be read", fields)]
+            return [fx.Log("error", "configuration rejected; keeping the previous one", fields)]
         self.view = attrs.evolve(self.view, configuration=read.ok)
         return [fx.Log("debug", "serves under a configuration", {"version": body.version})]
 
@@ -87,10 +87,10 @@
             by_service.setdefault(listed.backend, []).append(replica)
         replicas = {service: tuple(found) for service, found in by_service.items()}
         self.view = attrs.evolve(self.view, replicas=replicas, is_listed=True)
-        return [fx.Log("debug", "knows the replicas", {"replicas": len(body.replicas)})]
+        return [fx.Log("debug", "list of replicas updated", {"replicas": len(body.replicas)})]
 
     def _record_slow_starts(self, listed: list[ListedReplica], now: float) -> None:
-        """Note the end of each replica's slow start; a repeated entry doesn't prolong it."""
+        """Record when each replica's slow start ends; a repeated entry doesn't extend it."""
         known, self._listed_until = self._listed_until, {}
         for replica in listed:
             if replica.cold_ms:
--- a/rooklug/routing/__init__.py
+++ b/rooklug/routing/__init__.py
@@ -1,6 +1,7 @@
-"""Pure routing policies that fronts share: hash ring, senders' shares, peers' loads.
+"""Routing building blocks for fronts: hash ring, shares of a rate bound, and peers' loads.
 
-Owns no state of its own; no I/O and no clock. Begin with ``send_shares.py``.
+The package does no I/O, reads no clock and keeps no global state: callers own the objects and pass
+in the time. The entry point is ``send_shares.py``.
 
-Imports nothing of rooklug.
+Imports nothing from rooklug.
 """
--- a/rooklug/routing/hash_ring.py
+++ b/rooklug/routing/hash_ring.py
@@ -1,4 +1,4 @@
-"""A consistent hash ring: every front finds the same owner for a key, in logarithmic time."""
+"""A consistent hash ring: every front finds the same owner of a key, in logarithmic time."""
 
 from bisect import bisect_right
 from collections.abc import Iterable
@@ -7,20 +7,20 @@
 import xxhash
 
 POINTS_PER_MEMBER = 16
-"""Points of each member on the ring; with so many the largest share is about half as large again
-as the mean, which only decides where an unknown prompt goes first."""
+"""Points of each member on the ring. With this number the largest share is about 1.5 times the
+mean. That is even enough: the ring only decides where a prompt goes that no replica has cached."""
 
 
 @attrs.frozen
 class HashRing:
-    """Members sorted by their points on the ring."""
+    """Immutable ring: the sorted points, and the member at each point."""
 
     _points: tuple[int, ...]
     _members: tuple[str, ...]
 
     @staticmethod
     def of(members: Iterable[str]) -> "HashRing":
-        """Build a ring of these members."""
+        """Build a ring from member names; their order doesn't matter."""
         points = sorted(
             (xxhash.xxh64_intdigest(f"{member}/{number}".encode()), member)
             for member in members
@@ -29,7 +29,7 @@
         return HashRing(tuple(point for point, _ in points), tuple(name for _, name in points))
 
     def owner(self, key: str) -> str | None:
-        """Return the member that owns a key; None on an empty ring."""
+        """Return the member that owns a key; None if the ring is empty."""
         if not self._points:
             return None
         index = bisect_right(self._points, xxhash.xxh64_intdigest(key.encode()))
--- a/rooklug/routing/peer_loads.py
+++ b/rooklug/routing/peer_loads.py
@@ -1,14 +1,14 @@
-"""Calls in flight of a region's other fronts at each replica, by their newest reports."""
+"""Calls in flight of a region's other fronts at each replica, from their latest reports."""
 
 import attrs
 
 REPORT_TTL_S = 0.6
-"""A peer without a report for so long counts as having no calls in flight."""
+"""A peer that has not reported for this long counts as having no calls in flight."""
 
 
 @attrs.frozen
 class ReplicaUsage:
-    """Calls in flight, and prompt tokens of those without a byte of an answer."""
+    """Calls in flight at a replica, and the prompt tokens of those without a byte of response."""
 
     running: int = 0
     queued_prefill_tokens: int = 0
@@ -27,7 +27,7 @@
 
 @attrs.define
 class PeerLoads:
-    """The newest report of each peer. Only decisions depend on it, no guarantee does."""
+    """The latest report of each peer. It improves routing decisions; no guarantee depends on it."""
 
     _reports: dict[str, _PeerReport] = attrs.field(factory=dict)
 
@@ -39,7 +39,7 @@
         usages: dict[str, ReplicaUsage],
         now: float,
     ) -> bool:
-        """Take a peer's report; return whether it is newer than the one held."""
+        """Store a peer's report if it is newer than the stored one; return whether it was."""
         known = self._reports.get(node_id)
         if known and known.incarnation == incarnation and known.sequence >= sequence:
             return False
@@ -47,7 +47,7 @@
         return True
 
     def usage_at(self, replica_id: str, now: float) -> ReplicaUsage:
-        """Return what all peers together have in flight at a replica."""
+        """Return the sum of all peers' current reports for a replica."""
         running = queued_prefill_tokens = 0
         for report in self._reports.values():
             usage = report.usages.get(replica_id)
@@ -57,7 +57,7 @@
         return ReplicaUsage(running, queued_prefill_tokens)
 
     def totals_without(self, node_id: str, now: float) -> dict[str, ReplicaUsage]:
-        """Return what all peers but one have in flight, by replica id."""
+        """Return the sums of all peers' current reports except one peer's, by replica id."""
         totals: dict[str, ReplicaUsage] = {}
         for name, report in self._reports.items():
             if name == node_id or now - report.at > REPORT_TTL_S:
@@ -71,5 +71,5 @@
         return totals
 
     def forget_except(self, node_ids: frozenset[str]) -> None:
-        """Drop the fronts that are not ready any more."""
+        """Drop the reports of fronts that are not in ``node_ids``."""
         self._reports = {key: report for key, report in self._reports.items() if key in node_ids}
--- a/rooklug/routing/send_shares.py
+++ b/rooklug/routing/send_shares.py
@@ -1,9 +1,9 @@
-"""A front's share of what all fronts together may send to a replica, from one list of fronts.
+"""A front's share of the rate at which all fronts together may send to a replica.
 
-The core's list of members says which fronts take the traffic of each region. Those of a
-replica's own region share most of the bound, those of all other regions the rest. A standby front
-has no share, and one that isn't on the list can't know that others send; a client's request may
-reach both all the same.
+The core's list of members determines which fronts serve each region. The serving fronts of a
+replica's own region share most of the bound, those of all other regions the rest. Neither a standby
+front nor a front that is not on the list has a share, although either may still receive a client's
+request.
 """
 
 from enum import Enum
@@ -12,7 +12,7 @@
 
 
 class SenderRole(Enum):
-    """What a front is to a replica."""
+    """A front's relation to a replica; it determines the front's part of the rate bound."""
 
     OWN_REGION = "takes the traffic of the replica's region"
     OTHER_REGION = "takes the traffic of another region"
@@ -22,7 +22,7 @@
 
 @attrs.frozen
 class SendShare:
-    """One front's share: its role, and how many fronts of that role share the bound."""
+    """One front's share: its role, and the number of fronts with that role for the replica."""
 
     role: SenderRole
     sharers: int = 1
@@ -34,17 +34,17 @@
 
 @attrs.frozen
 class SendShares:
-    """Who takes traffic: node ids of the serving fronts by region, and of all ready fronts."""
+    """Node ids of the serving fronts by region, and of all ready fronts."""
 
     serving: dict[str, tuple[str, ...]] = attrs.field(factory=dict)
     ready: frozenset[str] = frozenset()
 
     def senders(self, region: str) -> tuple[str, ...]:
-        """Return the fronts that take the traffic of a region, or all where it has none."""
+        """Return the serving fronts of a region; if it has none, those of all other regions."""
         return self.serving.get(region) or self._serving_elsewhere(region)
 
     def towards(self, region: str, node_id: str) -> SendShare:
-        """Return a front's share at a replica of ``region``."""
+        """Return a front's share at the replicas of ``region``."""
         near = self.senders(region)
         if node_id in near:
             return SendShare(SenderRole.OWN_REGION, len(near))
--- a/scripts/trace_behaviour.py
+++ b/scripts/trace_behaviour.py
@@ -32,6 +32,7 @@
 
 RENAMED_LOG_MESSAGES: dict[str, str] = {
     "a check failed": "configuration check failed",
+    "a plan failed": "region plan failed; keeping the published matrix",
     "a publication was refused": "publication rejected",
     "a snapshot can't be read": "snapshot unreadable",
     "a view change failed": "view change failed",
@@ -39,10 +40,13 @@
     "an update can't be taken": "topic update rejected",
     "changes the members": "changing the voting members",
     "drops members that are late": "removing late members from the in-sync set",
+    "knows the replicas": "list of replicas updated",
     "leads a view": "became primary of a view",
     "leads no more": "lost leadership",
     "leases have ended without a renewal": "leases expired without renewal",
     "nothing published: no grant": "publication dropped: no valid grant",
+    "the configuration can't be read": "configuration rejected; keeping the previous one",
+    "the list of replicas can't be read": "list of replicas unreadable; keeping the previous list",
     "the witness votes again": "witness may vote again",
     "this core takes part no more": "stopped participating",
     "this disk begins a new life": "disk starts a new incarnation",
