--- a/rooklug/controller/__init__.py
+++ b/rooklug/controller/__init__.py
@@ -1,13 +1,14 @@
-"""The singleton roles beside the core: platform watcher, prober shards, placer.
+"""The control plane's singleton roles outside the core: platform watcher, prober shards, placer.
 
-Owns, in memory only, the platform's list, the verdicts on replicas, the demand of the fronts and
-the plan; a new owner of a role gathers them again (docs/controller.md). Every order and publication
-carries the role's fencing token.
+The package owns the platform's replica list, the health verdicts on replicas, the demand reported
+by the fronts, and the placement plan. All of it is held in memory only: a node that acquires a
+role collects it again (docs/controller.md). Every order and publication carries the fencing token
+of its role.
 
-Begin with ``build.py``; then ``role.py`` (how a role is followed), ``platform_watcher.py``,
-``prober.py`` and ``placer.py`` with ``placer_term.py``.
+The entry point is ``build.py``. Then read ``role.py`` (how a component follows the grant of its
+role), ``platform_watcher.py``, ``prober.py``, and ``placer.py`` with ``placer_term.py``.
 
-On the users' platform these roles don't run: there the primary core hosts the platform's list and
+These roles don't run on the users' platform: there, the primary core hosts the platform's list and
 the region planner of ``rooklug.gateway`` (docs/architecture.md).
 
 May import ``config``, ``engine``, ``model``, ``placement``, ``wire``.
--- a/rooklug/controller/build.py
+++ b/rooklug/controller/build.py
@@ -1,4 +1,4 @@
-"""Builds the components of a controller."""
+"""Constructs the components of a controller node: platform watcher, prober shards, placer."""
 
 from typing import Any
 
@@ -20,14 +20,17 @@
 
 
 def solve_placement(problem: PlacementProblem) -> PlacementPlan:
-    """Solve with the planner, imported only where a placer really solves."""
+    """Solve with the planner.
+
+    The import is deferred: it loads the solver libraries, which only an active placer needs.
+    """
     from rooklug.placement.planner import solve
 
     return solve(problem)
 
 
 def read_document(document: bytes) -> Result[Configuration, Any]:
-    """Read a configuration; the reader is imported only where a placer really reads."""
+    """Parse a configuration document; the import is deferred until a placer needs the reader."""
     from rooklug.config.document_reader import read_configuration
 
     return read_configuration(document)
@@ -39,7 +42,10 @@
     core_link: Link,
     solve: Solve = solve_placement,
 ) -> list[Component]:
-    """Return the components of a controller beside its core link."""
+    """Return the components of a controller node, except its core link.
+
+    Tests replace ``solve``, which runs as a ``Compute`` effect outside the event loop.
+    """
     self_check = SelfCheck()
     tools = PlacerTools(context, core_link, solve, read_document)
     probers = [
--- a/rooklug/controller/configuration_reader.py
+++ b/rooklug/controller/configuration_reader.py
@@ -1,4 +1,7 @@
-"""Reads configuration documents outside the event loop, one at a time, always the newest."""
+"""Parses configuration documents outside the event loop, one at a time.
+
+While one is being parsed, only the newest document that arrives is kept for the next run.
+"""
 
 from collections.abc import Callable
 from typing import Any
@@ -17,7 +20,7 @@
 
 @attrs.define
 class ConfigurationReader:
-    """Has the newest configuration that could be read, and its version."""
+    """Holds the newest configuration that parsed without errors, and its version."""
 
     read: ReadConfiguration
     identifiers: Identifiers
@@ -28,7 +31,7 @@
     _next: ConfigurationBody | None = None
 
     def take(self, body: ConfigurationBody) -> list[fx.Effect]:
-        """Read ``body`` now, or after the one that is being read."""
+        """Start parsing ``body``, or queue it behind the document that is being parsed."""
         if self._ticket is not None:
             self._next = body
             return []
@@ -37,11 +40,11 @@
         return [fx.Compute(self._ticket, self.read, body.document)]
 
     def owns(self, event: ev.Computed) -> bool:
-        """Return whether ``event`` ends this reader's computation."""
+        """Return whether ``event`` is the result of the parse in progress."""
         return self._ticket is not None and event.ticket == self._ticket
 
     def computed(self, event: ev.Computed) -> tuple[bool, list[fx.Effect]]:
-        """Take a document that was read; return whether it is in force now."""
+        """Handle the end of a parse; return whether its configuration is now in force."""
         version, self._ticket = self._version_in_progress, None
         effects: list[fx.Effect] = []
         readable = not event.error and event.result.is_ok()
@@ -51,7 +54,7 @@
         else:
             problem = event.error or str(event.result.error)
             fields = {"version": version, "problem": problem}
-            effects.append(fx.Log("error", "configuration not readable, the last stands", fields))
+            effects.append(fx.Log("error", "configuration rejected; keeping the last one", fields))
         if self._next is not None:
             following, self._next = self._next, None
             effects += self.take(following)
--- a/rooklug/controller/decision_log.py
+++ b/rooklug/controller/decision_log.py
@@ -1,4 +1,4 @@
-"""Decision records of one placer term: each names the change that caused it."""
+"""Decision records of one placer term. Each record names the change that caused the decision."""
 
 from enum import Enum
 
@@ -12,7 +12,7 @@
 
 
 class DecisionKind(Enum):
-    """What was decided."""
+    """The kind of a decision; the values are published in decision records."""
 
     PLAN = "plan"
     LOAD = "load"
@@ -28,7 +28,10 @@
 
 @attrs.define
 class DecisionLog:
-    """Numbers the decisions under one token and keeps them until they are published."""
+    """Numbers decisions under one fencing token and keeps them until they are published.
+
+    At most ``MAX_PENDING`` are kept; the oldest unpublished ones are dropped first.
+    """
 
     context: ProcessContext
     token: VersionMark
@@ -36,7 +39,7 @@
     _pending: list[DecisionRecord] = attrs.field(factory=list)
 
     def record(self, kind: DecisionKind, cause: str, summary: str) -> None:
-        """Add a decision."""
+        """Append a decision with the next sequence number and the current wall-clock time."""
         self._sequence += 1
         decision = DecisionRecord(
             token=self.token,
@@ -50,11 +53,11 @@
 
     @property
     def has_pending(self) -> bool:
-        """Whether decisions wait to be published."""
+        """Whether there are unpublished decisions."""
         return bool(self._pending)
 
     def take(self) -> list[DecisionRecord]:
-        """Return the pending decisions; they count as published."""
+        """Return and clear the unpublished decisions."""
         pending, self._pending = self._pending, []
         return pending
 
@@ -62,7 +65,7 @@
 def record_plan(
     log: DecisionLog, before: PlacementPlan | None, plan: PlacementPlan, cause: str
 ) -> None:
-    """Record what a new plan changes, if anything."""
+    """Record how ``plan`` differs from ``before``: assignments, else weights; and new evictions."""
     if before is None or before.assignments != plan.assignments:
         count = sum(len(models) for models in plan.assignments.values())
         summary = f"{count} models on {len(plan.assignments)} replicas by {plan.solver}"
--- a/rooklug/controller/demand_forecast.py
+++ b/rooklug/controller/demand_forecast.py
@@ -1,7 +1,8 @@
-"""Short forecast of demand, so that loads begin before the demand is there.
+"""Short-term demand forecast, so that model loads start before the demand arrives.
 
-Holt's linear method on samples a second: a level and a trend. What is planned for also
-falls only slowly, so that a lull, a lost report or a cut-off front unloads nothing at once.
+Uses Holt's linear method (a smoothed level and trend) on one sample per second. The planned demand
+is a peak that decays slowly, so that a short lull, a lost report or a disconnected front does not
+cause unloads at once.
 """
 
 import math
@@ -24,14 +25,18 @@
 
 @attrs.define
 class Forecast:
-    """One key's level (tokens/s), trend (tokens/s a second) and slowly falling peak."""
+    """The forecast of one demand key.
+
+    ``level`` is the smoothed demand in tokens/s, ``trend`` its slope in tokens/s per second, and
+    ``peak`` the decaying maximum of the expected demand in tokens/s.
+    """
 
     level: float
     trend: float = 0.0
     peak: float = 0.0
 
     def sample(self, value: float, elapsed_s: float) -> None:
-        """Take the demand measured ``elapsed_s`` after the last sample."""
+        """Add a sample of ``value`` tokens/s, measured ``elapsed_s`` after the previous one."""
         before = self.level
         weight = 1.0 - math.exp(-elapsed_s / LEVEL_TIME_S)
         self.level += weight * (value - self.level)
@@ -47,13 +52,13 @@
 
 @attrs.define
 class DemandForecast:
-    """Forecasts by key."""
+    """The forecasts of all demand keys; keys whose peak has become negligible are dropped."""
 
     _by_key: dict[DemandKey, Forecast] = attrs.field(factory=dict)
     _sampled_at: float | None = None
 
     def sample(self, totals: dict[DemandKey, float], now: float) -> None:
-        """Take all totals measured at ``now``."""
+        """Update all forecasts with the tokens/s measured at ``now``; a missing key counts as 0."""
         elapsed = now - self._sampled_at if self._sampled_at is not None else 0.0
         if self._sampled_at is not None and elapsed <= 0.0:
             return
@@ -68,23 +73,26 @@
         self._by_key = {k: f for k, f in self._by_key.items() if f.peak > NEGLIGIBLE}
 
     def planned(self) -> dict[DemandKey, float]:
-        """Return what to plan for, rounded up to a coarse grid so that plans don't flutter."""
+        """Return the tokens/s to plan for by key.
+
+        Values are rounded up to a coarse grid, so that small fluctuations don't change the plan.
+        """
         return {key: on_grid(forecast.peak) for key, forecast in self._by_key.items()}
 
 
 def rose(planned: float, solved_for: float, total: float) -> bool:
-    """Return whether demand has stepped up enough to solve at once.
+    """Return whether a key's demand has risen enough to solve before the next periodic solve.
 
-    ``total`` is the planned demand of all keys. A deployment with hundreds of small keys has
-    one that jumps by chance in every second; what is small beside the whole waits for the
-    next review.
+    ``total`` is the planned demand of all keys, in tokens/s. With hundreds of small keys, some
+    key jumps by chance every second; so a rise that is small relative to the total waits for the
+    periodic solve.
     """
     least = max(STEP_TOKENS_PER_S, total * STEP_TOTAL_SHARE)
     return planned > solved_for * STEP_SHARE and planned > solved_for + least
 
 
 def on_grid(value: float) -> float:
-    """Round up to the next power of ``GRID``; what is negligible to 0."""
+    """Round ``value`` up to the next power of ``GRID``; negligible values become 0."""
     if value <= NEGLIGIBLE:
         return 0.0
     return GRID ** math.ceil(math.log(value, GRID))
--- a/rooklug/controller/demand_table.py
+++ b/rooklug/controller/demand_table.py
@@ -1,4 +1,4 @@
-"""What the fronts say about demand: soft state, one newest report a front, which expires."""
+"""Demand reported by the fronts: each front's newest report, until it expires."""
 
 import math
 
@@ -15,7 +15,7 @@
 
 @attrs.frozen
 class FrontReport:
-    """A front's newest report and when it came."""
+    """A front's newest report. ``at`` is the monotonic time at which it was received."""
 
     incarnation: str
     sequence: int
@@ -25,13 +25,17 @@
 
 @attrs.define
 class DemandTable:
-    """The newest report of each front."""
+    """The newest report of each front, by node id. ``bad_entries`` counts rejected entries."""
 
     _fronts: dict[str, FrontReport] = attrs.field(factory=dict)
     bad_entries: int = 0
 
     def take(self, report: DemandReport, now: float) -> bool:
-        """Store a report; return False when it is older than the stored one."""
+        """Store a report without its invalid entries; return False if it is out of date.
+
+        Sequence numbers are compared within one incarnation; another incarnation always replaces
+        the stored report.
+        """
         previous = self._fronts.get(report.node_id)
         if previous is not None and not _is_newer(report, previous):
             return False
@@ -43,7 +47,7 @@
         return True
 
     def expire(self, now: float) -> None:
-        """Drop reports of fronts that have stopped reporting."""
+        """Drop reports that are older than ``REPORT_LIFETIME_S``."""
         self._fronts = {
             node_id: report
             for node_id, report in self._fronts.items()
@@ -52,11 +56,15 @@
 
     @property
     def front_ids(self) -> set[str]:
-        """The fronts with a live report."""
+        """The node ids of the fronts whose report has not expired."""
         return set(self._fronts)
 
     def totals(self, configuration: Configuration) -> dict[DemandKey, float]:
-        """Return the demand in load tokens/s under ``configuration``."""
+        """Return the demand by key, in load tokens/s, summed over all fronts.
+
+        Entries whose route, model, latency class or region ``configuration`` doesn't know are left
+        out.
+        """
         totals: dict[DemandKey, float] = {}
         for node_id in sorted(self._fronts):
             for entry in self._fronts[node_id].entries:
@@ -93,5 +101,8 @@
 
 
 def _load(entry: DemandEntry) -> float:
-    """Return the offered load; fronts count refused requests in with their average size."""
+    """Return the offered load in load tokens/s.
+
+    The token rates of a front already include refused requests, at their average size.
+    """
     return entry.prompt_tokens_per_s * PROMPT_TOKEN_COST + entry.answer_tokens_per_s
--- a/rooklug/controller/demand_watch.py
+++ b/rooklug/controller/demand_watch.py
@@ -1,4 +1,4 @@
-"""Demand as the placer sees it: the fronts' reports, sampled into a forecast."""
+"""The placer's view of demand: the fronts' reports, sampled into a forecast."""
 
 import attrs
 
@@ -12,20 +12,24 @@
 
 @attrs.define
 class DemandWatch:
-    """Samples the reports once a second and notices steps since the last solve."""
+    """Samples the reports every ``SAMPLE_INTERVAL_S`` and detects rises since the last solve."""
 
     table: DemandTable = attrs.field(factory=DemandTable)
     _forecast: DemandForecast = attrs.field(factory=DemandForecast)
     _sampled_at: float = float("-inf")
 
     def planned(self) -> dict[DemandKey, float]:
-        """Return the load tokens/s to plan for."""
+        """Return the demand to plan for by key, in load tokens/s."""
         return self._forecast.planned()
 
     def sample_if_due(
         self, configuration: Configuration, solved_for: dict[DemandKey, float], now: float
     ) -> list[str]:
-        """Take a sample when it is time; return each step up as a cause in words."""
+        """Sample the reports if the interval has passed.
+
+        Returns one cause text for each key whose planned demand has risen steeply above
+        ``solved_for``, the demand of the last solve.
+        """
         if now - self._sampled_at < SAMPLE_INTERVAL_S:
             return []
         self._sampled_at = now
--- a/rooklug/controller/fleet_state.py
+++ b/rooklug/controller/fleet_state.py
@@ -1,4 +1,4 @@
-"""The placer's picture of the replicas: listing, drained zones, reports and verdicts."""
+"""The placer's view of the replicas: platform listing, drained zones, reports and verdicts."""
 
 from collections.abc import Iterable
 from enum import Enum
@@ -19,7 +19,10 @@
 
 
 class FleetChange(Enum):
-    """How much a probe changed the picture."""
+    """What a probe result has changed about a replica.
+
+    ``FIGURES``: its concurrency or warm-up state. ``ASSIGNMENTS``: its incarnation or its models.
+    """
 
     NOTHING = "nothing"
     FIGURES = "figures"
@@ -28,10 +31,10 @@
 
 @attrs.define
 class Replica:
-    """One listed model replica. ``warming_since`` is when its last slow start began.
+    """One listed model replica. Times are monotonic seconds.
 
-    ``remembered`` is the entry of the predecessor's plan: it stands for the replica until
-    its first report.
+    ``warming_since`` is when its last slow start began. ``remembered`` is its entry in the plan of
+    the previous placer term, which is used until the first report arrives.
     """
 
     listed: ListedReplica
@@ -44,44 +47,47 @@
 
     @property
     def loaded_models(self) -> tuple[str, ...]:
-        """The models it reports loaded, or did when the last plan was published."""
+        """The models reported as loaded; before the first report, those of the remembered plan."""
         if self.report is not None:
             return self.report.loaded_models
         return tuple(self.remembered.loaded_models) if self.remembered is not None else ()
 
     @property
     def loading_models(self) -> tuple[str, ...]:
-        """The models it reports as being loaded."""
+        """The models reported as being loaded; none before the first report."""
         return self.report.loading_models if self.report is not None else ()
 
     @property
     def incarnation(self) -> str:
-        """The incarnation it reports, or did; "" when nothing is known."""
+        """The reported or remembered incarnation; "" if neither is known."""
         if self.report is not None:
             return self.report.incarnation
         return self.remembered.incarnation if self.remembered is not None else ""
 
     @property
     def concurrency(self) -> int:
-        """How many requests it can run at once, 0 when nothing is known."""
+        """The reported or remembered number of concurrent requests; 0 if neither is known."""
         if self.report is not None:
             return self.report.concurrency
         return self.remembered.concurrency if self.remembered is not None else 0
 
     @property
     def known(self) -> bool:
-        """Whether a report, or the last plan, says what it holds."""
+        """Whether a report or the remembered plan tells which models the replica holds."""
         return self.report is not None or self.remembered is not None
 
     @property
     def healthy(self) -> bool:
-        """Whether fronts should use it; before the first report as the last plan said."""
+        """Whether fronts should use it; before the first report, as the remembered plan says."""
         if self.report is None and self.verdict is not Verdict.DEAD:
             return self.remembered is not None and self.remembered.healthy
         return self.verdict in (Verdict.HEALTHY, Verdict.SUSPECT)
 
     def judge(self, now: float) -> Verdict:
-        """Return the verdict; a dead replica stays dead until somebody sees it well."""
+        """Return the verdict at ``now``, without storing it.
+
+        A dead replica stays dead until a prober or a front has had an answer from it.
+        """
         verdict = self.health.verdict(now)
         if verdict is Verdict.HEALTHY and self.report is None:
             return Verdict.UNKNOWN
@@ -91,7 +97,7 @@
         return verdict
 
     def take_report(self, report: ReplicaReport, at: float) -> FleetChange:
-        """Take a newer report."""
+        """Store a newer report and return what it changes; may begin a slow start."""
         previous, self.report, self.report_at = self.report, report, at
         if previous is None:
             return FleetChange.ASSIGNMENTS
@@ -112,7 +118,7 @@
 
 @attrs.define
 class FleetState:
-    """All listed model replicas, by id."""
+    """All listed model replicas, by replica id. ``bad_reports`` counts rejected reports."""
 
     replicas: dict[str, Replica] = attrs.field(factory=dict)
     drained_zones: frozenset[str] = frozenset()
@@ -121,11 +127,19 @@
     _remembered: dict[str, LoadedReplica] = attrs.field(factory=dict)
 
     def remember(self, last_plan: Iterable[LoadedReplica]) -> None:
-        """Keep the incarnations of the predecessor's plan: a later change means a slow start."""
+        """Remember the entries of the previous term's plan.
+
+        They stand in for replicas without a report. If the first report differs from them, the
+        replica begins a slow start.
+        """
         self._remembered = {replica.replica_id: replica for replica in last_plan}
 
     def take_listing(self, listed: Iterable[ListedReplica]) -> tuple[list[str], list[str]]:
-        """Take the platform's list; return the ids that came, and those gone or leaving."""
+        """Apply the platform's list.
+
+        Returns the ids of replicas that became available, and of those that were removed or
+        marked as leaving.
+        """
         before = {key for key, replica in self.replicas.items() if not replica.listed.leaving}
         current: dict[str, Replica] = {}
         for entry in sorted(listed, key=lambda replica: replica.replica_id):
@@ -142,7 +156,7 @@
         return sorted(after - before), sorted(before - after)
 
     def take_probe(self, observer: str, result: ProbeResult, now: float) -> FleetChange:
-        """Take one probe result; unknown replicas and bad reports change nothing."""
+        """Apply one probe result; unlisted replicas and invalid reports change nothing."""
         replica = self.replicas.get(result.replica_id)
         if replica is None:
             return FleetChange.NOTHING
@@ -166,7 +180,10 @@
     def take_observations(
         self, observer: str, observations: Iterable[ReplicaObservation], now: float
     ) -> None:
-        """Take what a front saw of the replicas it sent requests to."""
+        """Apply the outcomes of the requests that a front sent to replicas.
+
+        Observations of another incarnation than the known one are ignored.
+        """
         for seen in observations:
             replica = self.replicas.get(seen.replica_id)
             if replica is None or seen.incarnation not in ("", replica.incarnation):
@@ -175,7 +192,7 @@
             replica.health.traffic_seen(observer, seen.successes, failures, now)
 
     def judge(self, now: float) -> list[tuple[str, Verdict, Verdict]]:
-        """Form all verdicts again; return (replica id, before, after) of those that changed."""
+        """Update all verdicts; return (replica id, before, after) for each one that changed."""
         changed = []
         for replica_id, replica in self.replicas.items():
             verdict = replica.judge(now)
@@ -185,7 +202,10 @@
         return changed
 
     def usable(self) -> list[Replica]:
-        """Return the replicas that may hold planned models."""
+        """Return the replicas that a plan may use.
+
+        They are not leaving, not in a drained zone, not dead, and it is known what they hold.
+        """
         return [
             replica
             for replica in self.replicas.values()
@@ -196,7 +216,7 @@
         ]
 
     def in_drained_zones(self) -> list[str]:
-        """Return the replicas in drained zones."""
+        """Return the ids of the replicas in drained zones."""
         return [
             replica_id
             for replica_id, replica in self.replicas.items()
@@ -204,7 +224,7 @@
         ]
 
     def unresolved(self) -> list[str]:
-        """Return the replicas that no prober has got through to, or failed at, yet."""
+        """Return the ids of the replicas that have no report and no recorded probe failure yet."""
         return [
             replica_id
             for replica_id, replica in self.replicas.items()
@@ -221,7 +241,7 @@
 
 
 def _needs_slow_start(previous: ReplicaReport, report: ReplicaReport) -> bool:
-    """Return whether it is a new process, holds a new model, or has lost its cache."""
+    """Return whether the process restarted, holds a new model, or has lost its prefix cache."""
     return (
         report.incarnation != previous.incarnation
         or bool(set(report.loaded_models) - set(previous.loaded_models))
@@ -230,7 +250,10 @@
 
 
 def is_warming_up(replica: Replica, now: float, slow_start_s: float = DEFAULT_SLOW_START_S) -> bool:
-    """Return whether a replica is in slow start."""
+    """Return whether a replica is in slow start, which lasts ``slow_start_s`` from its beginning.
+
+    Without a report, the remembered plan decides; an unknown replica counts as warming up.
+    """
     if replica.report is None:
         return replica.remembered is None or replica.remembered.cold
     if replica.report.warming_up:
--- a/rooklug/controller/health.py
+++ b/rooklug/controller/health.py
@@ -1,9 +1,10 @@
-"""Verdicts on replicas from several observers: the probers and the fronts' own traffic.
+"""Health verdicts on replicas, from several observers: the probers and the fronts' traffic.
 
-One observer may itself be the one that is cut off, so its report alone makes a replica
-suspect (nothing new is placed there), not dead. Dead needs two observers, or one that
-nobody has contradicted for a while. Fronts count a busy answer as a failure, so without a
-prober's agreement they have to wait until a probe could have contradicted them.
+A single observer may itself be disconnected. So its failures alone make a replica suspect (no new
+model is placed on it), but not dead. A replica is dead when two observers fail to reach it, or
+when one has failed for ``SOLE_OBSERVER_TIMEOUT_S`` without being contradicted. Fronts count a busy
+answer as a failure; without a prober that agrees, their failures count only once a probe has had
+``PROBE_CONTRADICTION_S`` to contradict them.
 """
 
 from enum import Enum
@@ -22,7 +23,11 @@
 
 
 class Verdict(Enum):
-    """What is believed of a replica."""
+    """The state of a replica's health.
+
+    A suspect replica keeps its models and its traffic but gets no new model. A dead one is
+    planned around.
+    """
 
     UNKNOWN = "unknown"
     HEALTHY = "healthy"
@@ -32,7 +37,10 @@
 
 @attrs.frozen
 class Opinion:
-    """One observer's newest report; ``bad_since`` is when its reports became bad."""
+    """The newest observation of one observer. Times are monotonic seconds.
+
+    ``bad_since`` is when its run of unhealthy observations began.
+    """
 
     good: bool
     at: float
@@ -42,10 +50,10 @@
 
 @attrs.define
 class ReplicaHealth:
-    """The opinions on one replica, by observer node.
+    """The observations of one replica, by observer node id.
 
-    Of the fronts that get answers only the newest few are kept: hundreds of fronts may see
-    hundreds of replicas, and a few good words say all there is to say.
+    Only the newest ``MAX_SERVING_FRONTS`` fronts with successful requests are kept: hundreds of
+    fronts may use hundreds of replicas, and a few of them are enough for the verdict.
     """
 
     _probers: dict[str, Opinion] = attrs.field(factory=dict)
@@ -54,11 +62,11 @@
 
     @property
     def probed(self) -> bool:
-        """Whether any prober has said anything yet."""
+        """Whether any prober has recorded an observation yet."""
         return bool(self._probers)
 
     def probe_answered(self, observer: str, at: float) -> None:
-        """Take a probe with a usable report; it overrules what fronts said before."""
+        """Record a probe with a valid report; it discards the fronts' earlier failures."""
         opinion = Opinion(good=True, at=at, bad_since=at, lifetime_s=PROBER_OPINION_LIFETIME_S)
         _record_opinion(self._probers, observer, opinion)
         self._failing_fronts = {
@@ -66,13 +74,16 @@
         }
 
     def probe_failed(self, observer: str, consecutive_failures: int, at: float) -> None:
-        """Take a probe without an answer; a single failure is no opinion yet."""
+        """Record a failed probe; ignored below ``BAD_PROBES`` consecutive failures."""
         if consecutive_failures >= BAD_PROBES:
             opinion = Opinion(good=False, at=at, bad_since=at, lifetime_s=PROBER_OPINION_LIFETIME_S)
             _record_opinion(self._probers, observer, opinion)
 
     def traffic_seen(self, observer: str, successes: int, failures: int, at: float) -> None:
-        """Take a front's counts of one reporting interval."""
+        """Record a front's request counts of one reporting interval.
+
+        Any success counts as healthy; ``BAD_ANSWERS`` failures without a success as unhealthy.
+        """
         if successes > 0:
             self._failing_fronts.pop(observer, None)
             self._serving_fronts.pop(observer, None)
@@ -85,9 +96,9 @@
             _record_opinion(self._failing_fronts, observer, opinion)
 
     def verdict(self, now: float) -> Verdict:
-        """Return what to believe at ``now``.
+        """Return the verdict at ``now``.
 
-        A node that probes and serves counts as two observers: they are two processes.
+        A node id that appears as a prober and as a front counts as two observers.
         """
         opinions = [*self._probers.values(), *self._failing_fronts.values()]
         bad = [opinion for opinion in opinions if not opinion.good and _alive(opinion, now)]
@@ -111,16 +122,16 @@
         return prober_agrees or elapsed >= PROBE_CONTRADICTION_S
 
     def somebody_sees_it_well(self, now: float) -> bool:
-        """Whether anybody has had an answer from it lately."""
+        """Return whether a prober or a front has a current successful observation."""
         probed = any(opinion.good and _alive(opinion, now) for opinion in self._probers.values())
         return probed or self.front_sees_it_serving(now)
 
     def front_sees_it_serving(self, now: float) -> bool:
-        """Whether a front has had answers from it lately."""
+        """Return whether a front has a current observation with successful requests."""
         return bool(self._serving_times(now))
 
     def front_sees_it_failing(self, now: float) -> bool:
-        """Whether a front has had only failures from it lately."""
+        """Return whether a front has a current observation with failures only."""
         return any(_alive(opinion, now) for opinion in self._failing_fronts.values())
 
     def _serving_times(self, now: float) -> list[float]:
@@ -133,7 +144,10 @@
 
 
 def _record_opinion(opinions: dict[str, Opinion], observer: str, newest: Opinion) -> None:
-    """Store an observer's newest opinion; a bad one continues a bad one that still counts."""
+    """Store an observer's newest observation; older ones are ignored.
+
+    An unhealthy one keeps the ``bad_since`` of an unhealthy predecessor that is still current.
+    """
     previous = opinions.get(observer)
     if previous is not None and previous.at > newest.at:
         return
--- a/rooklug/controller/json_fields.py
+++ b/rooklug/controller/json_fields.py
@@ -1,4 +1,4 @@
-"""Strict readers of single JSON fields, shared by the readers of reports and listings."""
+"""Strict validation of single JSON fields, shared by the readers of reports and listings."""
 
 import math
 from typing import Any, TypeGuard
@@ -7,47 +7,50 @@
 
 
 class MalformedError(ValueError):
-    """A field is missing or of the wrong kind. Never leaves the readers."""
+    """A field is missing or invalid. The readers of documents turn it into an error result."""
 
 
 def is_count(value: Any) -> TypeGuard[int]:
-    """Return whether ``value`` is an integer of zero or more that JSON carries exactly."""
+    """Return whether ``value`` is a non-negative integer that JSON represents exactly.
+
+    Booleans, a subclass of ``int``, don't count.
+    """
     return type(value) is int and 0 <= value <= MAX_SAFE_INTEGER
 
 
 def count_field(document: dict[str, Any], key: str) -> int:
-    """Return an integer of zero or more."""
+    """Return a non-negative integer field; raises ``MalformedError``."""
     value = document.get(key)
     if not is_count(value):
-        raise MalformedError(f"{key} is not a count")
+        raise MalformedError(f"{key} must be a non-negative integer that JSON represents exactly")
     return value
 
 
 def number_field(document: dict[str, Any], key: str) -> float:
-    """Return a finite number of zero or more."""
+    """Return a finite, non-negative number field; raises ``MalformedError``."""
     value = document.get(key)
     if type(value) is int and is_count(value):
         return float(value)
     if type(value) is not float or not math.isfinite(value) or value < 0:
-        raise MalformedError(f"{key} is not a finite number of zero or more")
+        raise MalformedError(f"{key} must be a finite, non-negative number")
     return value
 
 
 def flag_field(document: dict[str, Any], key: str) -> bool:
-    """Return true or false."""
+    """Return a boolean field; raises ``MalformedError``."""
     value = document.get(key)
     if type(value) is not bool:
-        raise MalformedError(f"{key} is not true or false")
+        raise MalformedError(f"{key} must be true or false")
     return value
 
 
 def text_field(document: dict[str, Any], key: str, *, may_be_empty: bool = False) -> str:
-    """Return a string that can be sent on as UTF-8."""
+    """Return a string field that can be encoded as UTF-8; raises ``MalformedError``."""
     value = document.get(key)
     if not isinstance(value, str) or not (value or may_be_empty):
-        raise MalformedError(f"{key} is not a non-empty string")
+        raise MalformedError(f"{key} must be a non-empty string")
     try:
         value.encode()
     except UnicodeEncodeError as problem:
-        raise MalformedError(f"{key} is not valid Unicode") from problem
+        raise MalformedError(f"{key} can't be encoded as UTF-8") from problem
     return value
--- a/rooklug/controller/link.py
+++ b/rooklug/controller/link.py
@@ -1,4 +1,4 @@
-"""What the controller's components need of the node's link to the core."""
+"""The interface through which the controller's components use the node's link to the core."""
 
 from typing import Any, Protocol
 
@@ -16,15 +16,15 @@
     """The part of ``rooklug.distribution.core_link.CoreLink`` that controllers use."""
 
     def version(self, topic: str) -> VersionMark:
-        """Return the version of the held body of ``topic``."""
+        """Return the version of the body that this node holds of ``topic``."""
         ...
 
     def body(self, topic: str) -> Any:
-        """Return the held body of ``topic``, decoded, or None."""
+        """Return the decoded body that this node holds of ``topic``, or None."""
         ...
 
     def grant(self, role_key: str, now: float) -> RoleGrant | None:
-        """Return the grant of a role while it is valid by this process's clock."""
+        """Return the grant of a role while it is valid by this process's clock, else None."""
         ...
 
     def grant_until(self, role_key: str, now: float) -> float:
@@ -34,21 +34,24 @@
     def publish(
         self, topic: str, role_key: str, body: Any, decisions: list[DecisionRecord], now: float
     ) -> list[Effect]:
-        """Publish ``body`` under the current grant; retried while it is the newest."""
+        """Publish ``body`` under the current grant.
+
+        The link retries it until a newer body of the topic replaces it.
+        """
         ...
 
     def published_sequence(self, topic: str) -> int:
-        """Return the sequence of what this node published of ``topic`` last; 0: nothing."""
+        """Return the sequence of this node's newest publication of ``topic``; 0 if none."""
         ...
 
     def accepted_sequence(self, topic: str) -> int:
-        """Return the highest ``published_sequence`` that a primary has accepted; 0: none."""
+        """Return the highest ``published_sequence`` that a primary has accepted; 0 if none."""
         ...
 
     def members(self) -> list[NodeRecord]:
-        """Return the nodes that hold leases."""
+        """Return the nodes that hold a lease, as far as this node knows."""
         ...
 
     def role_owner(self, role_key: str) -> RoleOwner | None:
-        """Return who holds a role, as far as this node knows."""
+        """Return the owner of a role as far as this node knows, or None."""
         ...
--- a/rooklug/controller/listing_guard.py
+++ b/rooklug/controller/listing_guard.py
@@ -1,9 +1,9 @@
-"""Weighs a new list of replicas against the one that is published.
+"""Guards the published replica list against a sudden loss of most replicas.
 
-A platform that has just restarted, or that is cut off from its own sources, may show an
-empty or mostly gone list. Dropping it all at once would take every replica out of service,
-while keeping a replica that is really gone costs a few failed connections. So a sudden loss
-is delayed for a while. Draining replicas always go through.
+A platform that has just restarted, or that is disconnected from its own data sources, may return a
+list that is empty or lacks most replicas. Publishing it would take them all out of service, while
+keeping a replica that is really gone costs only a few failed connections. So a sudden loss is
+published only after it has lasted ``RETAIN_S``. Leaving marks are published at once.
 """
 
 import attrs
@@ -17,7 +17,10 @@
 
 @attrs.frozen
 class WeighedListing:
-    """The list to publish; ``retained`` are replicas that the new list lacks."""
+    """The list to publish.
+
+    ``retained`` are the ids of replicas that are kept although the platform no longer lists them.
+    """
 
     replicas: tuple[ListedReplica, ...]
     retained: tuple[str, ...]
@@ -25,7 +28,7 @@
 
 @attrs.define
 class ListingGuard:
-    """Keeps suddenly missing replicas for ``RETAIN_S``, counted from when they went missing."""
+    """Keeps suddenly missing replicas for ``RETAIN_S``, counted from the first suspicious list."""
 
     _missing_since: float | None = None
 
@@ -35,7 +38,7 @@
         listed: tuple[ListedReplica, ...],
         now: float,
     ) -> WeighedListing:
-        """Return what to publish after the platform listed ``listed`` at ``now``."""
+        """Return what to publish, given the published replicas and those ``listed`` at ``now``."""
         listed_ids = {replica.replica_id for replica in listed}
         staying = [replica for replica in published if not replica.leaving]
         missing = [replica for replica in staying if replica.replica_id not in listed_ids]
--- a/rooklug/controller/moves.py
+++ b/rooklug/controller/moves.py
@@ -1,4 +1,4 @@
-"""From plan to orders: hosts the planner's move executor on the placer's picture."""
+"""Turns plans into orders: runs the move executor on the placer's view of the fleet."""
 
 import attrs
 
@@ -23,9 +23,11 @@
 
 @attrs.frozen
 class MoveStep:
-    """What the moves come to at one moment. ``intended`` is by replica id.
+    """The result of one step.
 
-    ``weights_sequence`` numbers the weights for ``Moves.weights_published``.
+    ``orders`` are due now. ``intended`` maps each replica id to the models that fronts may use
+    there, and ``matrix`` is the routing matrix to publish. ``weights_sequence`` identifies this
+    matrix for ``Moves.weights_published``.
     """
 
     orders: tuple[ModelOrder, ...] = ()
@@ -35,27 +37,27 @@
 
 
 class Moves:
-    """Carries out plans of one placer term, in the executor's small safe steps."""
+    """Carries out the plans of one placer term through a ``MoveExecutor``."""
 
     def __init__(self, configuration: Configuration) -> None:
         self._executor = MoveExecutor(configuration.models, _settings(configuration))
         self._published = PublishWeights(0, (), {})
 
     def configure(self, configuration: Configuration) -> None:
-        """Take the models and the pace of a new configuration."""
+        """Apply the models and the move limits of a new configuration."""
         self._executor.configure(configuration.models, _settings(configuration))
 
     def adopt(self, plan: PlacementPlan, cause: str, now: float) -> None:
-        """Aim at ``plan`` from now on."""
+        """Make ``plan`` the target of all further steps; ``cause`` goes into decision records."""
         self._executor.adopt(plan, now, cause)
 
     def observe(self, fleet: FleetState, now: float) -> None:
-        """Take the newest picture. Replicas that get no orders count as gone."""
+        """Pass the current state of the usable replicas to the executor; others count as gone."""
         reports = {replica.listed.replica_id: _slot_report(replica) for replica in fleet.usable()}
         self._executor.observe(reports, now)
 
     def step(self, fleet: FleetState, now: float) -> MoveStep:
-        """Return what to do now, after ``observe``."""
+        """Return what is due now. Call ``observe`` first."""
         orders = []
         for order in self._executor.step(now):
             if isinstance(order, PublishWeights):
@@ -67,28 +69,28 @@
         return MoveStep(tuple(orders), intended, published.matrix, published.sequence)
 
     def weights_published(self, sequence: int, now: float) -> None:
-        """Take note that a primary has accepted the weights of ``sequence`` and earlier."""
+        """Record that a primary has accepted the weights up to ``sequence``."""
         self._executor.weights_published(sequence, now)
 
     def decisions(self) -> list[MoveDecision]:
-        """Return the executor's decisions since the last call."""
+        """Return the executor's decisions since the previous call."""
         return self._executor.decisions()
 
     def committed_models(self, replica_id: str) -> tuple[str, ...]:
-        """Return what a solve should count as loaded: loaded, or being loaded."""
+        """Return the models that a solve should treat as loaded: loaded or being loaded."""
         return self._executor.committed_models(replica_id)
 
     def avoided(self, now: float) -> frozenset[str]:
-        """Return the replicas where loads were given up of late."""
+        """Return the ids of replicas that get no load for now, because one was given up there."""
         return self._executor.avoided_slots(now)
 
 
 def taking_nothing_away(
     plan: PlacementPlan, moves: Moves, last_plan: PlanBody | None
 ) -> PlacementPlan:
-    """Return ``plan`` for decisions on partial knowledge.
+    """Return ``plan`` changed so that it withdraws nothing, for use with partial knowledge.
 
-    What is loaded stays wanted, so that nothing is withdrawn, and the last plan's weights stand.
+    Loaded models stay assigned, and the weights of the last published plan stay in force.
     """
     assignments = {
         replica_id: tuple(sorted({*models, *moves.committed_models(replica_id)}))
@@ -120,9 +122,10 @@
 
 
 def _offered_though_dead(fleet: FleetState) -> dict[str, tuple[str, ...]]:
-    """Keep the dead ones on offer, marked unhealthy.
+    """Return the loaded models of dead replicas, which stay published but are marked unhealthy.
 
-    A front uses them only when it has no healthy one: then the probers may be those cut off.
+    A front uses them only when it has no healthy replica: in that case it may be the probers that
+    are disconnected.
     """
     return {
         replica_id: replica.loaded_models
--- a/rooklug/controller/order_dispatcher.py
+++ b/rooklug/controller/order_dispatcher.py
@@ -1,8 +1,8 @@
-"""Sends load and unload orders under the placer's fencing token, and retries lost ones.
+"""Sends load and unload orders under the placer's fencing token, with retries.
 
-An order keeps its id over its attempts and is idempotent at the replica, so a lost answer is
-met by sending the same order again. Every attempt carries the token and is not sent after the
-grant has expired by this process's clock.
+An order keeps its id over all attempts and is idempotent at the replica, so an order without an
+answer is simply sent again. Every attempt carries the token and is not sent after the grant has
+expired by this process's clock.
 """
 
 import json
@@ -29,7 +29,7 @@
 
 
 class OrderKind(Enum):
-    """What to do with a model on a replica."""
+    """The operation of an order; the value is the last part of the request path."""
 
     LOAD = "load"
     UNLOAD = "unload"
@@ -37,7 +37,7 @@
 
 @attrs.frozen
 class ModelOrder:
-    """One order. The same ``order_id`` again is the same order; unique within a term."""
+    """One order to one replica. ``order_id`` is unique within a placer term."""
 
     kind: OrderKind
     replica_id: str
@@ -46,7 +46,7 @@
 
 
 class OrderEnd(Enum):
-    """How an order completed; the values go into decision records."""
+    """How an order completed; the values are published in decision records."""
 
     ACCEPTED = "accepted"
     STALE_TOKEN = "stale token"
@@ -56,7 +56,7 @@
 
 @attrs.frozen
 class CompletedOrder:
-    """An order and how it completed."""
+    """An order that needs no further attempt, and its outcome."""
 
     order: ModelOrder
     end: OrderEnd
@@ -64,7 +64,7 @@
 
 @attrs.frozen
 class DueOrders:
-    """The calls of the orders that were due, and the orders that were given up."""
+    """The calls to send now, and the orders that timed out without an outcome."""
 
     calls: list[fx.Effect]
     given_up: list[CompletedOrder]
@@ -72,7 +72,11 @@
 
 @attrs.define
 class _Pending:
-    """An order that has not completed."""
+    """An order that has not completed.
+
+    ``begun_at`` is when it was issued and ``due`` when its next attempt may be sent (monotonic
+    seconds). ``call_id`` is the attempt in flight, if any.
+    """
 
     order: ModelOrder
     address: str
@@ -84,7 +88,10 @@
 
 @attrs.define
 class OrderDispatcher:
-    """All orders not yet completed; a newer one for the same replica and model replaces it."""
+    """Keeps the orders that have not completed, at most one for each replica and model.
+
+    ``sent`` counts all attempts, ``retried`` those after the first one of an order.
+    """
 
     role: RoleFollower
     identifiers: Identifiers
@@ -94,7 +101,11 @@
     _pending: dict[tuple[str, str], _Pending] = attrs.field(factory=dict)
 
     def issue(self, order: ModelOrder, address: str, now: float) -> list[fx.Effect]:
-        """Take an order; repeats of one that has not completed are ignored."""
+        """Queue an order for ``send_due``.
+
+        It replaces an earlier order for the same replica and model; an equal one to the same
+        address is ignored.
+        """
         target = (order.replica_id, order.model)
         present = self._pending.get(target)
         if present is not None and present.order == order and present.address == address:
@@ -104,16 +115,19 @@
         return effects
 
     def drop_replica(self, replica_id: str) -> list[fx.Effect]:
-        """Withdraw the orders to a replica that is gone."""
+        """Cancel all orders to a replica that may not get any more."""
         targets = [target for target in self._pending if target[0] == replica_id]
         return [effect for target in targets for effect in self._withdraw(target)]
 
     def clear(self) -> list[fx.Effect]:
-        """Withdraw everything: the role is lost."""
+        """Cancel all orders. Called when the role is lost."""
         return [effect for target in list(self._pending) for effect in self._withdraw(target)]
 
     def send_due(self, now: float) -> DueOrders:
-        """Send the orders that are due; give up those that are too old."""
+        """Return the attempts that are due; give up orders older than ``GIVE_UP_S``.
+
+        At most ``MAX_IN_FLIGHT`` attempts are in flight; the rest stay due.
+        """
         effects: list[fx.Effect] = []
         given_up: list[CompletedOrder] = []
         in_flight = sum(pending.call_id is not None for pending in self._pending.values())
@@ -131,7 +145,10 @@
     def end_attempt(
         self, event: ev.HttpAnswered | ev.HttpFailed, now: float
     ) -> CompletedOrder | None:
-        """Take the end of an attempt; return the order's own end if this was it."""
+        """Handle the end of an attempt; return the order if it is complete, or None.
+
+        An attempt without a definite answer schedules a retry.
+        """
         pending = next((p for p in self._pending.values() if p.call_id == event.call_id), None)
         if pending is None:
             return None
@@ -181,7 +198,7 @@
 
 
 def _end_of(event: ev.HttpAnswered | ev.HttpFailed) -> OrderEnd | None:
-    """Return how the order completed, None if it should be sent again."""
+    """Return the outcome of the order, or None if it should be retried."""
     if isinstance(event, ev.HttpFailed):
         return None
     if event.status in (HTTP_OK, HTTP_ACCEPTED):
--- a/rooklug/controller/placer.py
+++ b/rooklug/controller/placer.py
@@ -1,4 +1,4 @@
-"""Role "placer": hosts one ``PlacerTerm`` while the grant is valid by the own clock."""
+"""Role "placer": runs a ``PlacerTerm`` while this node's grant is valid by its own clock."""
 
 from collections.abc import Iterable
 
@@ -28,7 +28,10 @@
 
 
 class PlacerHost(BaseComponent):
-    """Follows the role, answers fronts and probers, and lets the term act."""
+    """Follows the role, answers the reports of fronts and probers, and drives the current term.
+
+    ``term`` is None while this node is not the placer.
+    """
 
     name = "placer"
     call_types = (DemandReport, ProbeReport)
@@ -42,7 +45,7 @@
         self._advanced_at = float("-inf")
 
     def handle(self, event: ev.Event, now: float) -> list[fx.Effect]:
-        """Take one event; without a valid grant only refusals are answered."""
+        """Handle one event; without a valid grant, every report is answered with a refusal."""
         effects = self._follow_role(now)
         if isinstance(event, ev.Started) or event == ev.TimerFired(_TICK):
             effects.append(fx.StartTimer(_TICK, TICK_S))
@@ -57,7 +60,10 @@
         return effects + self._drop_fenced_term()
 
     def _time_to_advance(self, event: ev.Event, now: float) -> bool:
-        """Reports and answers are only taken in; the next tick acts on all of them at once."""
+        """Return whether the term should act on this event.
+
+        Reports and answers are only recorded; the next tick acts on all of them at once.
+        """
         if event == ev.TimerFired(_TICK):
             return True
         prompt = isinstance(event, TopicChanged | ev.Computed | GrantsChanged)
@@ -82,7 +88,14 @@
         effects = self.term.finish()
         self.term = None
         fields = {"role": ROLE_PLACER}
-        return [*effects, fx.Log("warning", "a replica knows a newer placer, standing by", fields)]
+        return [
+            *effects,
+            fx.Log(
+                "warning",
+                "fenced by a newer placer's token; standing by",
+                fields,
+            ),
+        ]
 
     def _feed_term(self, term: PlacerTerm, event: ev.Event, now: float) -> list[fx.Effect]:
         if isinstance(event, TopicChanged):
@@ -120,7 +133,11 @@
         ]
 
     def _take_probes(self, report: ProbeReport, now: float) -> UrgencyLists | None:
-        """Take results unless they come under an older token of the shard."""
+        """Apply a prober's results and return which replicas it should probe sooner or less often.
+
+        Returns None if this node isn't the placer, or if the report carries an older token of its
+        shard than one already seen.
+        """
         role_key, token = report.grant.role_key, version_key(report.grant.token)
         if self.term is None or role_key not in _SHARD_ROLES:
             return None
@@ -134,7 +151,7 @@
         return self.term.urgency.lists_for(report.node_id, own, fleet, now)
 
     def metrics(self, now: float) -> Iterable[MetricSample]:
-        """Return the metric samples of the current term; few without the role."""
+        """Return the metric samples of the current term; without one, only "held"."""
         owner = MetricSample(
             "rooklug_placer_held", float(self.term is not None), "gauge", "this node is the placer"
         )
--- a/rooklug/controller/placer_term.py
+++ b/rooklug/controller/placer_term.py
@@ -1,6 +1,6 @@
-"""One term of the placer: from taking the role under a token until losing it.
+"""One term of the placer: from acquiring the role under a fencing token until losing it.
 
-Each term gathers all of its knowledge again, so that nothing of an earlier one leaks into it.
+Each term collects all of its state again, so that no state of an earlier term leaks into it.
 """
 
 from typing import Any
@@ -50,7 +50,10 @@
 
 @attrs.frozen
 class PlacerTools:
-    """What a term works with; ``solve`` and ``read_configuration`` run as ``Compute``."""
+    """The dependencies of a term.
+
+    ``solve`` and ``read_configuration`` run as ``Compute`` effects, outside the event loop.
+    """
 
     context: ProcessContext
     link: Link
@@ -59,7 +62,10 @@
 
 
 class PlacerTerm:
-    """The placer's state and steps under one token."""
+    """The placer's state and behaviour under one fencing token.
+
+    ``PlacerHost`` passes it events and calls ``advance`` to act on what they have changed.
+    """
 
     def __init__(
         self, tools: PlacerTools, role: RoleFollower, token: VersionMark, now: float
@@ -84,7 +90,7 @@
         self._judged_at = float("-inf")
 
     def begin(self, now: float) -> list[fx.Effect]:
-        """Start from the body that the node has of each topic."""
+        """Start from the bodies of the topics that this node holds."""
         link = self._tools.link
         self._last_plan = link.body(topics.PLAN)
         if self._last_plan is not None:
@@ -98,11 +104,11 @@
         return effects
 
     def finish(self) -> list[fx.Effect]:
-        """Withdraw the orders that have not completed: the role is lost."""
+        """End the term: cancel the orders that have not completed."""
         return self.dispatcher.clear()
 
     def topic_changed(self, topic: str, body: Any, now: float) -> list[fx.Effect]:
-        """Take a newer body of a topic."""
+        """Apply a newer body of topic "configuration", "replicas" or "zones"; ignore others."""
         if topic == topics.CONFIGURATION and isinstance(body, ConfigurationBody):
             return self._reader.take(body)
         if topic == topics.REPLICAS and isinstance(body, ReplicasBody):
@@ -133,12 +139,12 @@
         return self._withdraw_orders(self.fleet.in_drained_zones())
 
     def demand_report(self, report: DemandReport, now: float) -> None:
-        """Take a front's demand and what it saw of the replicas."""
+        """Record a front's demand and its observations of replicas, unless out of date."""
         if self.demand.table.take(report, now):
             self.fleet.take_observations(report.node_id, report.observations or [], now)
 
     def probe_report(self, report: ProbeReport, now: float) -> None:
-        """Take a prober's results."""
+        """Apply a prober's results to the fleet state."""
         for result in report.results:
             change = self.fleet.take_probe(report.node_id, result, now)
             self.publisher.dirty |= change is not FleetChange.NOTHING
@@ -146,7 +152,7 @@
                 self.urgency.change_seen(result.replica_id)
 
     def computed(self, event: ev.Computed, now: float) -> list[fx.Effect]:
-        """Take the end of a computation of this term; others' are ignored."""
+        """Handle the end of a parse or solve of this term; results of earlier terms are ignored."""
         if self._reader.owns(event):
             readable, effects = self._reader.computed(event)
             if readable and self._reader.configuration is not None:
@@ -167,7 +173,7 @@
         self.solving.add_cause(f"configuration {self._reader.version}", now)
 
     def on_attempt_end(self, event: ev.HttpAnswered | ev.HttpFailed, now: float) -> list[fx.Effect]:
-        """Take the end of one attempt of an order; send the orders that waited for it."""
+        """Handle the end of one attempt of an order; send the orders that are due."""
         order = self.dispatcher.end_attempt(event, now)
         if order is not None:
             self._on_order_end(order, now)
@@ -185,7 +191,7 @@
             self.solving.add_cause(f"order to {order.replica_id} failed: {end.value}", now)
 
     def advance(self, now: float) -> list[fx.Effect]:
-        """Do what is due: judge replicas, sample demand, solve, send orders, publish."""
+        """Do what is due: update verdicts, sample demand, solve, send orders, publish the plan."""
         if now - self._judged_at >= JUDGE_SPACING_S:
             self._judged_at = now
             self._judge(now)
@@ -244,7 +250,7 @@
         return self.solving.begin(problem, now, even_if_equal=self._partial_plan)
 
     def _adopt(self, plan: PlacementPlan, moves: Moves, now: float) -> None:
-        """Work towards a plan; one made on partial knowledge takes nothing away yet."""
+        """Make ``plan`` the target; one based on partial knowledge withdraws nothing."""
         self._partial_plan = self.takeover.is_partial(now)
         if self._partial_plan:
             plan = taking_nothing_away(plan, moves, self._last_plan)
@@ -272,7 +278,7 @@
         return due.calls
 
     def _issue(self, order: ModelOrder, now: float) -> list[fx.Effect]:
-        """Dispatch an order, but no load to a replica that has recently refused one."""
+        """Dispatch an order, except a load to a replica that recently failed one."""
         refused = self._avoid_until.get(order.replica_id, now) > now
         replica = self.fleet.replicas.get(order.replica_id)
         if replica is None or (refused and order.kind is OrderKind.LOAD):
--- a/rooklug/controller/plan_body.py
+++ b/rooklug/controller/plan_body.py
@@ -1,4 +1,4 @@
-"""Builds the published plan from the placer's picture and the state of the moves."""
+"""Converts between the placer's state and the published body of topic "plan"."""
 
 from collections.abc import Iterable, Mapping
 
@@ -16,7 +16,11 @@
     slow_start_s: float,
     now: float,
 ) -> PlanBody:
-    """Return the body of topic "plan"; ``intended`` is by replica id."""
+    """Return the body of topic "plan".
+
+    ``intended`` maps each replica id to the models that fronts may use there. Replicas stay cold
+    for ``slow_start_s`` after a restart, a load or the loss of their cache.
+    """
     replicas = [
         _loaded_replica(replica, intended.get(replica_id, ()), slow_start_s, now)
         for replica_id, replica in fleet.replicas.items()
@@ -31,7 +35,7 @@
 
 
 def share_of(weight: RouteWeight) -> RouteShare:
-    """Return a published cell as the planner's type."""
+    """Convert a published cell of the routing matrix to the planner's type."""
     key = DemandKey(
         weight.model, weight.latency_class, weight.source_region, tuple(weight.home_regions)
     )
@@ -39,7 +43,7 @@
 
 
 def same_content(left: PlanBody | None, right: PlanBody) -> bool:
-    """Return whether two plans differ in nothing but their cause."""
+    """Return whether two plans are equal, apart from their cause."""
     if left is None:
         return False
     return (left.configuration_version, left.replicas, left.matrix) == (
--- a/rooklug/controller/plan_publisher.py
+++ b/rooklug/controller/plan_publisher.py
@@ -1,4 +1,4 @@
-"""Publishes the plan when it has changed, never more often than needed."""
+"""Publishes the plan when it has changed, at a limited rate."""
 
 from collections import deque
 
@@ -17,13 +17,17 @@
 
 SPACING_S = 0.1
 SPACING_A_REPLICA_S = 0.002
-"""A plan goes whole to every front: the larger the fleet, the more changes go into one."""
+"""The interval between publications grows with the fleet.
+
+Each publication sends the whole plan to every front; so a larger fleet batches more changes into
+one publication.
+"""
 REBUILD_INTERVAL_S = 1.0
 
 
 @attrs.frozen
 class _Carried:
-    """Weights, and the publication of the plan that carries them."""
+    """The sequence of some weights, and of the publication that first carries them."""
 
     weights_sequence: int
     published_sequence: int
@@ -31,9 +35,11 @@
 
 @attrs.define
 class PlanPublisher:
-    """Keeps what was published last. ``dirty`` says that a rebuild may differ from it.
+    """Remembers the last published plan and publishes a changed one.
 
-    One publisher serves one term: publications are numbered from 1 under each token.
+    The term sets ``dirty`` when the plan may have changed. Even without it, the plan is rebuilt
+    every ``REBUILD_INTERVAL_S``, since some of its content changes with time. ``publications``
+    counts from the beginning of the term.
     """
 
     link: Link
@@ -51,7 +57,7 @@
     def publish_if_changed(
         self, step: MoveStep, cause: str, configuration: Configuration, now: float
     ) -> list[Effect]:
-        """Return the publication if content or decisions are new."""
+        """Publish the plan if its content has changed or there are unpublished decisions."""
         if now - self._published_at < self._spacing_s():
             return []
         stale = now - self._built_at >= REBUILD_INTERVAL_S
@@ -70,14 +76,14 @@
         return effects
 
     def accepted_weights(self) -> int:
-        """Return the newest weights, by ``MoveStep.weights_sequence``, a primary has accepted."""
+        """Return the highest ``MoveStep.weights_sequence`` that a primary has accepted."""
         accepted = self.link.accepted_sequence(topics.PLAN)
         while self._carried and self._carried[0].published_sequence <= accepted:
             self._accepted_weights = self._carried.popleft().weights_sequence
         return self._accepted_weights
 
     def _record_carried(self, step: MoveStep) -> None:
-        """Note that the newest publication carries the step's weights, or the same ones."""
+        """Record that the newest publication carries the weights of ``step``, or equal ones."""
         newest = self._carried[-1].weights_sequence if self._carried else self._accepted_weights
         if step.weights_sequence > newest:
             sequence = self.link.published_sequence(topics.PLAN)
--- a/rooklug/controller/platform_listing.py
+++ b/rooklug/controller/platform_listing.py
@@ -1,4 +1,4 @@
-"""Strict reading of the platform's answer to ``GET /platform/replicas``."""
+"""Strict parsing of the platform's answer to ``GET /platform/replicas``."""
 
 import ipaddress
 import json
@@ -23,21 +23,21 @@
 
 @attrs.frozen
 class ListingError:
-    """An answer that can't be believed, and why."""
+    """Why an answer of the platform was rejected."""
 
     message: str
 
 
 @attrs.frozen
 class Listing:
-    """The platform's list at one version, sorted by replica id."""
+    """The platform's replica list at one version, sorted by replica id."""
 
     version: int
     replicas: tuple[ListedReplica, ...]
 
 
 def read_listing(body: bytes) -> Result[Listing, ListingError]:
-    """Read the complete answer; one bad entry makes the answer bad."""
+    """Parse a complete answer; a single invalid entry rejects it all."""
     if len(body) > MAX_LISTING_BYTES:
         return Error(ListingError("listing too large"))
     try:
@@ -48,23 +48,23 @@
 
 def _read_document(document: Any) -> Listing:
     if not isinstance(document, dict):
-        raise MalformedError("the answer is not an object")
+        raise MalformedError("the platform's answer must be a JSON object")
     version = count_field(document, "version")
     entries = document.get("replicas")
     if not isinstance(entries, list):
-        raise MalformedError("replicas is not a list")
+        raise MalformedError("replicas must be a list")
     replicas = [_replica(entry) for entry in entries]
     if len({replica.replica_id for replica in replicas}) != len(replicas):
-        raise MalformedError("a replica is listed twice")
+        raise MalformedError("replicas lists a replica_id more than once")
     return Listing(version, tuple(sorted(replicas, key=lambda replica: replica.replica_id)))
 
 
 def _replica(entry: Any) -> ListedReplica:
     if not isinstance(entry, dict):
-        raise MalformedError("a replica is not an object")
+        raise MalformedError("each entry of replicas must be a JSON object")
     kind = entry.get("kind")
     if kind not in KINDS:
-        raise MalformedError("kind is neither 'model' nor 'once'")
+        raise MalformedError("kind must be 'model' or 'once'")
     return ListedReplica(
         replica_id=text_field(entry, "replica_id"),
         address=_address(entry),
@@ -83,5 +83,5 @@
     host, _, port = value.rpartition(":")
     ipaddress.ip_address(host)
     if not (port.isascii() and port.isdigit()) or not 0 < int(port) <= MAX_PORT:
-        raise MalformedError("address is not ip:port")
+        raise MalformedError("address must be ip:port, with a port between 1 and 65535")
     return value
--- a/rooklug/controller/platform_watcher.py
+++ b/rooklug/controller/platform_watcher.py
@@ -1,4 +1,4 @@
-"""Role "platform-watcher": follows the platform's list of replicas and publishes it."""
+"""Role "platform-watcher": polls the platform's list of replicas and publishes its changes."""
 
 from collections.abc import Iterable
 
@@ -30,7 +30,7 @@
 
 
 class PlatformWatcher(BaseComponent):
-    """Long-polls the platform while it holds the role, and publishes each changed list."""
+    """Long-polls the platform while this node holds the role, and publishes each changed list."""
 
     name = "platform-watcher"
     subscribes_to = (GrantsChanged,)
@@ -53,7 +53,7 @@
         self._publications = 0
 
     def handle(self, event: ev.Event, now: float) -> list[fx.Effect]:
-        """Take one event; nothing is sent or published without a valid grant."""
+        """Handle one event; without a valid grant, nothing is sent or published."""
         effects = self._follow_role(now)
         if isinstance(event, ev.Started) or event == ev.TimerFired(_TICK):
             effects.append(fx.StartTimer(_TICK, TICK_S))
@@ -77,7 +77,7 @@
         return effects
 
     def _begin_watch(self) -> None:
-        """Start from what the predecessor published, so that a sudden loss shows as one."""
+        """Start from the list that the previous owner published, to detect a sudden loss."""
         body = self._link.body(REPLICAS)
         self._replicas = tuple(body.replicas) if body is not None else ()
         self._guard = ListingGuard()
@@ -131,10 +131,14 @@
         return outcome
 
     def _poll_failed(self, problem: ListingError) -> list[fx.Effect]:
-        """Keep the published list and retry, with jitter."""
+        """Keep the published list and schedule the next poll, with jitter."""
         delay_s = FAILURE_BACKOFF_S * (1.0 + self._context.random.random())
         return [
-            fx.Log("warning", "platform list not taken", {"reason": problem.message}),
+            fx.Log(
+                "warning",
+                "platform poll failed; keeping the published list and retrying",
+                {"reason": problem.message},
+            ),
             fx.StartTimer(_POLL, delay_s),
         ]
 
@@ -144,7 +148,13 @@
         if weighed.retained:
             self._suspicious_listings += 1
             fields = {"version": listing.version, "held_back": len(weighed.retained)}
-            effects.append(fx.Log("warning", "platform list lost most replicas at once", fields))
+            effects.append(
+                fx.Log(
+                    "warning",
+                    "platform list lost most replicas; retaining them",
+                    fields,
+                )
+            )
         if self._published and weighed.replicas == self._replicas:
             return effects
         self._replicas = weighed.replicas
@@ -154,7 +164,7 @@
         return effects + self._link.publish(REPLICAS, ROLE_PLATFORM_WATCHER, body, [], now)
 
     def metrics(self, now: float) -> Iterable[MetricSample]:
-        """Return the metric samples of the platform poll."""
+        """Return the metric samples of the polls and of the published list."""
         prefix = "rooklug_platform"
         figures = (
             ("polls_total", self._polls, "counter", "polls sent to the platform"),
--- a/rooklug/controller/probe_outbox.py
+++ b/rooklug/controller/probe_outbox.py
@@ -1,4 +1,4 @@
-"""Probe results on their way to the placer: the newest of each replica, sent until taken."""
+"""Probe results to be reported to the placer: the newest of each replica, until acknowledged."""
 
 import attrs
 
@@ -7,7 +7,10 @@
 
 @attrs.frozen
 class ProbeOutcome:
-    """One probe's end. ``report_json`` is "" unless the replica gave a usable report."""
+    """The outcome of one probe, which ended at ``at`` (monotonic seconds).
+
+    ``report_json`` is "" unless the replica answered with a valid report.
+    """
 
     replica_id: str
     at: float
@@ -18,28 +21,31 @@
 
 @attrs.define
 class ProbeOutbox:
-    """The last outcome of each replica, and which of them the placer lacks."""
+    """The newest outcome of each replica, and which of them the placer has not acknowledged."""
 
     _latest: dict[str, ProbeOutcome] = attrs.field(factory=dict)
     _unsent: dict[str, None] = attrs.field(factory=dict)
     _in_flight: list[str] = attrs.field(factory=list)
 
     def record(self, outcome: ProbeOutcome) -> None:
-        """Take the outcome of a probe."""
+        """Store the outcome of a probe for the next report."""
         self._latest[outcome.replica_id] = outcome
         self._unsent[outcome.replica_id] = None
 
     def keep_only(self, replica_ids: set[str]) -> None:
-        """Forget replicas that are not this shard's any more."""
+        """Forget all replicas except ``replica_ids``."""
         self._latest = {key: value for key, value in self._latest.items() if key in replica_ids}
         self._unsent = {key: None for key in self._unsent if key in self._latest}
 
     def send_everything_again(self) -> None:
-        """A new placer knows nothing: all last outcomes are unsent."""
+        """Mark all outcomes as unsent. Called for a new placer, which has none of them."""
         self._unsent = dict.fromkeys(self._latest)
 
     def take_batch(self, now: float, *, withhold_failures: bool) -> list[ProbeResult]:
-        """Return what to send now; it counts as in flight until ``complete``."""
+        """Return the results to send now; they are in flight until ``complete``.
+
+        With ``withhold_failures``, failed probes stay unsent.
+        """
         batch = [
             self._latest[replica_id]
             for replica_id in self._unsent
@@ -51,7 +57,7 @@
         return [_result(outcome, now) for outcome in batch]
 
     def complete(self, *, accepted: bool) -> None:
-        """The report was taken, or not: then it is sent again unless newer ones exist."""
+        """End the report in flight; unless it was accepted, its replicas are sent again."""
         if not accepted:
             self._unsent.update(
                 (replica_id, None) for replica_id in self._in_flight if replica_id in self._latest
--- a/rooklug/controller/probe_schedule.py
+++ b/rooklug/controller/probe_schedule.py
@@ -1,4 +1,4 @@
-"""When to probe a replica: often while something happens, seldom while it is steady."""
+"""When to probe a replica: often while its state changes, seldom while it is steady."""
 
 from enum import IntEnum
 from random import Random
@@ -27,7 +27,7 @@
 
 
 class Need(IntEnum):
-    """How badly a probe is needed; lower goes first when the budget is short."""
+    """The priority of a probe; lower values go first when the budget is short."""
 
     URGENT = 0
     WATCHED = 1
@@ -36,7 +36,12 @@
 
 @attrs.define
 class ProbeTarget:
-    """One replica of a shard, and what its probes have shown. Times are monotonic seconds."""
+    """One replica of a shard, with its probe schedule and results. Times are monotonic seconds.
+
+    ``due`` is when to send the next probe and ``probed_at`` when the last one was sent.
+    ``failures`` counts consecutive probes without a usable answer. Until ``serving_until``, fronts
+    are known to get answers from the replica.
+    """
 
     replica: ListedReplica
     due: float
@@ -48,7 +53,7 @@
     serving_until: float = 0.0
 
     def answered(self, report: ReplicaReport, now: float, random: Random) -> None:
-        """Take a good report and set the next probe."""
+        """Record a valid report and schedule the next probe."""
         changed = self.report is None or self.failures > 0 or _differs(self.report, report)
         self.report = report
         self.failures = 0
@@ -62,7 +67,7 @@
             self._next(Need.STEADY, STEADY_INTERVAL_S, now, random)
 
     def failed(self, now: float, random: Random) -> None:
-        """Count a probe without a usable answer and set the next one."""
+        """Record a probe without a usable answer and schedule the next one."""
         self.failures += 1
         if self.failures < EARLY_FAILURES:
             self._next(Need.URGENT, FAILING_INTERVAL_S, now, random)
@@ -72,12 +77,12 @@
             self._next(Need.STEADY, LONG_DEAD_INTERVAL_S, now, random)
 
     def hurry(self, now: float) -> None:
-        """Probe as soon as it makes sense: somebody has seen something."""
+        """Schedule the next probe as early as ``URGENT_SPACING_S`` allows."""
         self.need = Need.URGENT
         self.due = min(self.due, max(now, self.probed_at + URGENT_SPACING_S))
 
     def seen_serving(self, now: float) -> None:
-        """Fronts get answers from it: fewer probes will do."""
+        """Note that fronts get answers from the replica, so that it needs fewer probes."""
         self.serving_until = now + SERVING_OBSERVED_S
 
     def _next(self, need: Need, interval_s: float, now: float, random: Random) -> None:
@@ -97,7 +102,7 @@
 
 @attrs.define
 class ProbeBudget:
-    """A token bucket: at most ``rate_per_s`` probes a second, ``burst`` at once."""
+    """A token bucket of ``rate_per_s`` probes per second with a capacity of ``burst`` probes."""
 
     rate_per_s: float = SHARD_PROBE_BUDGET_PER_S
     burst: float = SHARD_PROBE_BUDGET_PER_S / 2
@@ -105,7 +110,7 @@
     _filled_at: float = 0.0
 
     def take(self, now: float) -> bool:
-        """Take one probe from the budget if there is one."""
+        """Consume one probe of the budget; return False if none is available."""
         self._fill(now)
         if self._available < 1.0:
             return False
@@ -113,7 +118,7 @@
         return True
 
     def wait_s(self, now: float) -> float:
-        """Return how long until ``take`` succeeds."""
+        """Return the seconds until a probe is available; 0 if one is."""
         self._fill(now)
         return max(0.0, (1.0 - self._available) / self.rate_per_s)
 
--- a/rooklug/controller/probe_urgency.py
+++ b/rooklug/controller/probe_urgency.py
@@ -1,4 +1,4 @@
-"""Which replicas the placer wants probed soon, and which need probes seldom."""
+"""Which replicas the placer wants to be probed soon, and which need few probes."""
 
 from collections.abc import Iterable
 
@@ -13,7 +13,10 @@
 
 @attrs.frozen
 class UrgencyLists:
-    """Replica ids in the answer to one prober's report."""
+    """The replica ids in the answer to one prober's report.
+
+    ``probe_soon`` are to be probed at once; ``steady`` serve requests and need fewer probes.
+    """
 
     probe_soon: tuple[str, ...]
     steady: tuple[str, ...]
@@ -21,25 +24,27 @@
 
 @attrs.define
 class ProbeUrgency:
-    """Remembers urgent replicas for a while, or until a report shows the expected change."""
+    """Remembers urgent replicas for ``URGENT_FOR_S``, or until a report shows a change."""
 
     _until: dict[str, float] = attrs.field(factory=dict)
     _requested_at: dict[tuple[str, str], float] = attrs.field(factory=dict)
 
     def want_probe(self, replica_id: str, now: float) -> None:
-        """Want a probe soon: an order was sent, or somebody saw a failure."""
+        """Mark a replica as urgent: an order to it has completed, or it has become suspect."""
         self._until[replica_id] = now + URGENT_FOR_S
 
     def change_seen(self, replica_id: str) -> None:
-        """A report has shown the expected change."""
+        """Clear the mark: a report has shown a change of the replica's models or incarnation."""
         self._until.pop(replica_id, None)
 
     def lists_for(
         self, prober: str, shard: Iterable[str], fleet: FleetState, now: float
     ) -> UrgencyLists:
-        """Return the lists for the prober of ``shard``.
+        """Return the lists for one prober, given the replica ids of its ``shard``.
 
-        Suspects go to every prober, so that a second observer can confirm or contradict.
+        Suspect replicas are listed for every prober, so that a second observer can confirm or
+        contradict the first one. Each replica is requested from a prober at most once per
+        ``REQUEST_SPACING_S``.
         """
         own_ids = set(shard)
         self._until = {key: until for key, until in self._until.items() if until > now}
--- a/rooklug/controller/prober.py
+++ b/rooklug/controller/prober.py
@@ -1,4 +1,4 @@
-"""Roles "prober/N": probe the replicas of one shard for reports, as often as needed."""
+"""Roles "prober/N": each fetches the reports of one shard's replicas, as often as needed."""
 
 from collections.abc import Iterable
 
@@ -43,14 +43,18 @@
 
 @attrs.frozen
 class _Probe:
-    """A probe in flight; ``own``: of this shard, else a single one on request or for reference."""
+    """A probe in flight.
+
+    ``own`` probes follow the schedule of this shard. Others go to replicas of another shard: the
+    placer has requested them, or they are references of the self check.
+    """
 
     replica_id: str
     own: bool
 
 
 class Prober(BaseComponent):
-    """One prober shard. Every replica has one prober in the whole fleet."""
+    """One prober shard. Each replica is scheduled by exactly one shard of the fleet."""
 
     subscribes_to = (GrantsChanged, TopicChanged, ProbeUrgencyReported)
 
@@ -84,7 +88,7 @@
         self._budget_waits = 0
 
     def handle(self, event: ev.Event, now: float) -> list[fx.Effect]:
-        """Take one event; nothing is sent without a valid grant."""
+        """Handle one event; without a valid grant, nothing is sent."""
         effects = self._follow_role(now)
         if isinstance(event, ev.Started):
             effects.append(fx.StartTimer(_REPORT, REPORT_INTERVAL_S))
@@ -132,7 +136,7 @@
         self._outbox.keep_only(set(self._listed))
 
     def _launch(self, now: float) -> list[fx.Effect]:
-        """Send the probes that are due, within the budget, and wake for the next one."""
+        """Send the probes that are due, within the budget, and set the timer for the next one."""
         if not self._role.is_owner:
             return []
         waiting = [target for target in self._targets.values() if not target.in_flight]
@@ -182,7 +186,7 @@
     def _read_report(
         self, event: ev.HttpAnswered | ev.HttpFailed, replica_id: str
     ) -> ReplicaReport | None:
-        """Return the report that a probe brought, None without a usable one."""
+        """Return the report that a probe fetched, or None if there is no valid one."""
         if isinstance(event, ev.HttpFailed):
             self._self_check.record_failure()
             return None
@@ -211,7 +215,7 @@
         return self._foreign_failures.get(replica_id, 0)
 
     def _probe_references(self, now: float) -> list[fx.Effect]:
-        """While this process suspects itself: probe a few replicas of other shards."""
+        """Probe a few replicas of other shards while this process suspects its own connectivity."""
         if not self._self_check.is_suspect or now - self._reference_at < REFERENCE_SPACING_S:
             return []
         self._reference_at = now
@@ -279,7 +283,7 @@
         return self._probe_each(foreign, now)
 
     def metrics(self, now: float) -> Iterable[MetricSample]:
-        """Return the metric samples of this shard."""
+        """Return the metric samples of this shard, labelled with its number."""
         labels = {"shard": str(self._shard)}
         figures = (
             ("probes_total", self._probes, "counter", "reports asked for"),
@@ -296,7 +300,7 @@
 
 
 def _renewed(target: ProbeTarget | None, replica: ListedReplica, now: float) -> ProbeTarget:
-    """Keep what is known of a replica unless it now has another address."""
+    """Return the target of a listed replica; its history is kept unless the address changed."""
     if target is None or target.replica.address != replica.address:
         return ProbeTarget(replica, due=now)
     target.replica = replica
--- a/rooklug/controller/problem_builder.py
+++ b/rooklug/controller/problem_builder.py
@@ -1,4 +1,4 @@
-"""Turns the placer's picture into a placement problem: the design's GetState(), derived."""
+"""Builds the placement problem from the configuration, the fleet state and the demand."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -18,10 +18,10 @@
     committed_models: Callable[[str], tuple[str, ...]],
     avoid: frozenset[str],
 ) -> PlacementProblem:
-    """Return the problem of this moment.
+    """Return the placement problem for the current state.
 
-    ``demand`` is in load tokens/s; ``committed_models`` is what a replica has loaded or is
-    loading; ``avoid`` replicas get no new model.
+    ``demand`` is in load tokens/s. ``committed_models`` returns the models that a replica id has
+    loaded or is loading. Replicas in ``avoid``, and those that aren't healthy, get no new model.
     """
     usable = [r for r in fleet.usable() if _region_of(configuration, r)]
     suspects = {r.listed.replica_id for r in usable if r.verdict is not Verdict.HEALTHY}
@@ -41,8 +41,8 @@
 
 
 def configured_keys(configuration: Configuration) -> list[DemandKey]:
-    """Return every key that a configured model route can bring, from every region."""
-    shapes = {  # thousands of routes have few of them
+    """Return every demand key that a configured model route can have, from every region."""
+    shapes = {  # thousands of routes share a few shapes
         (route.model, route.latency_class, tuple(sorted(route.home_regions)))
         for route in configuration.routes.values()
         if route.kind is RouteKind.MODEL and route.model in configuration.models
@@ -58,7 +58,7 @@
 def _with_floor(
     configuration: Configuration, demand: dict[DemandKey, float]
 ) -> dict[DemandKey, float]:
-    """Return the demand to plan for: each configured key has at least its floor."""
+    """Return the demand (tokens/s) to plan for: at least the floor for each configured key."""
     planned = _floor(configuration)
     for key, load in demand.items():
         if key.model in configuration.models and key.source_region in configuration.regions:
@@ -67,9 +67,10 @@
 
 
 def _floor(configuration: Configuration) -> dict[DemandKey, float]:
-    """Return the least demand (tokens/s) of each configured key.
+    """Return the minimum demand (tokens/s) to plan for, by configured key.
 
-    Together a region's keys of one model come to ``FLOOR_REPLICAS`` of its best replica.
+    The keys of one model and source region together amount to the throughput of
+    ``FLOOR_REPLICAS`` replicas on the model's fastest resource.
     """
     keys = configured_keys(configuration)
     shares = Counter((key.model, key.source_region) for key in keys)
@@ -82,7 +83,7 @@
 
 
 def _region_of(configuration: Configuration, replica: Replica) -> str:
-    """Return the replica's region if the configuration knows it, else ""."""
+    """Return the region of the replica's zone, else its listed region; "" if not configured."""
     by_zone = configuration.region_of_zone(replica.listed.zone)
     return by_zone or (
         replica.listed.region if replica.listed.region in configuration.regions else ""
--- a/rooklug/controller/replica_report.py
+++ b/rooklug/controller/replica_report.py
@@ -1,4 +1,4 @@
-"""Strict reading of a replica's answer to ``GET /api/report``."""
+"""Strict parsing of a replica's answer to ``GET /api/report``."""
 
 import json
 from typing import Any
@@ -23,14 +23,14 @@
 
 @attrs.frozen
 class ReportError:
-    """A report that can't be believed, and why."""
+    """Why a report was rejected."""
 
     message: str
 
 
 @attrs.frozen
 class ModelState:
-    """One model on a replica; ``age_s`` is the time since the state began."""
+    """One model on a replica, loaded or loading; ``age_s`` is the time in this state."""
 
     model: str
     loaded: bool
@@ -39,7 +39,10 @@
 
 @attrs.frozen
 class ReplicaReport:
-    """What a model replica says about itself."""
+    """A model replica's report about itself.
+
+    ``highest_token`` is the highest fencing token, (epoch, counter), that the replica has seen.
+    """
 
     replica_id: str
     incarnation: str
@@ -54,7 +57,7 @@
 
     @property
     def loaded_models(self) -> tuple[str, ...]:
-        """The models that are ready, sorted."""
+        """The models that are ready to serve, sorted."""
         return tuple(sorted(entry.model for entry in self.models if entry.loaded))
 
     @property
@@ -64,7 +67,7 @@
 
 
 def read_report(body: bytes | str, expected_id: str) -> Result[ReplicaReport, ReportError]:
-    """Read a report; it must be of the replica ``expected_id``."""
+    """Parse a report; one that is not of replica ``expected_id`` is an error."""
     if len(body) > MAX_REPORT_BYTES:
         return Error(ReportError("report too large"))
     try:
@@ -79,9 +82,9 @@
 
 def _read_document(document: Any) -> ReplicaReport:
     if not isinstance(document, dict):
-        raise MalformedError("report is not an object")
+        raise MalformedError("the report must be a JSON object")
     if document.get("kind") != "model":
-        raise MalformedError("kind is not 'model'")
+        raise MalformedError("kind must be 'model'")
     return ReplicaReport(
         replica_id=text_field(document, "replica_id"),
         incarnation=text_field(document, "incarnation"),
@@ -98,16 +101,18 @@
 
 def _models(value: Any) -> tuple[ModelState, ...]:
     if not isinstance(value, list) or len(value) > MAX_MODELS:
-        raise MalformedError("models is not a list of a sane length")
+        raise MalformedError("models must be a list of at most 256 entries")
     entries = tuple(_model(entry) for entry in value)
     if len({entry.model for entry in entries}) != len(entries):
-        raise MalformedError("a model is listed twice")
+        raise MalformedError("models lists a model more than once")
     return entries
 
 
 def _model(value: Any) -> ModelState:
     if not isinstance(value, dict) or value.get("state") not in (LOADING, LOADED):
-        raise MalformedError("a model entry has no known state")
+        raise MalformedError(
+            "each entry of models must be an object with state 'loading' or 'loaded'"
+        )
     return ModelState(
         text_field(value, "model"), value["state"] == LOADED, number_field(value, "age_s")
     )
@@ -115,5 +120,5 @@
 
 def _token(value: Any) -> tuple[int, int]:
     if not isinstance(value, list) or len(value) != 2 or not all(is_count(x) for x in value):
-        raise MalformedError("highest_token is not [epoch, counter]")
+        raise MalformedError("highest_token must be [epoch, counter], two non-negative integers")
     return (value[0], value[1])
--- a/rooklug/controller/role.py
+++ b/rooklug/controller/role.py
@@ -1,4 +1,4 @@
-"""Following one singleton role: acted on only while its grant is valid by the own clock."""
+"""Follows the grant of one singleton role, which is valid by this process's own clock only."""
 
 from enum import Enum
 
@@ -13,11 +13,11 @@
 
 
 class NotOwnerError(Exception):
-    """A step under a role was begun by a node that doesn't own it."""
+    """The fencing token of a role was requested on a node that doesn't own the role."""
 
 
 class RoleChange(Enum):
-    """What happened to a role since the last ``refresh``."""
+    """How the ownership of a role has changed since the previous ``refresh``."""
 
     NONE = "none"
     TAKEN = "taken"
@@ -26,10 +26,11 @@
 
 @attrs.define
 class RoleFollower:
-    """Knows whether this node owns a role, and when that began or ended.
+    """Tracks whether this node owns a role, and detects the beginning and end of each term.
 
-    A grant under another token is a new term of the role. So is the same grant seen again
-    after a gap longer than a lease: this process was frozen, and what it knows is old.
+    A grant with another token begins a new term. So does an unchanged grant after a gap of more
+    than a lease between two calls of ``refresh``: the process was frozen, and its state is out of
+    date. ``until`` is the monotonic time at which the current grant expires.
     """
 
     link: Link
@@ -42,7 +43,7 @@
 
     @property
     def is_owner(self) -> bool:
-        """Whether this node owned the role at the last ``refresh``."""
+        """Whether this node owned the role at the last ``refresh`` and wasn't fenced since."""
         return self.grant is not None
 
     @property
@@ -60,11 +61,11 @@
 
     @property
     def token_key(self) -> tuple[int, int]:
-        """The sort key of the current token; (0, 0) without the role."""
+        """The sort key of the current token; (0, 0) if this node doesn't own the role."""
         return version_key(self.grant.token) if self.grant is not None else (0, 0)
 
     def refresh(self, now: float) -> RoleChange:
-        """Look at the grant; call it first in every ``handle``."""
+        """Update the grant and return what has changed; call it first in every ``handle``."""
         previous = self.grant
         frozen = previous is not None and now - self._seen_at > ROLE_LEASE_S
         self._seen_at = now
@@ -76,18 +77,18 @@
         return RoleChange.NONE if same and not frozen else RoleChange.TAKEN
 
     def fence(self) -> None:
-        """Stop acting under the current token: somebody has seen a higher one."""
+        """Stop acting under the current token. Called when a replica has seen a higher one."""
         if self.grant is not None:
             self._fenced = self.grant.token
             self._fenced_at = self._seen_at
         self.grant = None
 
     def _usable_grant(self, now: float) -> RoleGrant | None:
-        """Return the grant unless it is fenced.
+        """Return the grant unless its token is fenced.
 
-        A fence ends early when the core goes on renewing the same grant for longer than
-        any other owner's lease could last: then nobody else owns the role, and standing
-        by for ever would leave the fleet without it.
+        A higher token ends the fence. It also ends after ``FENCE_REVIEW_S`` in which the core has
+        kept renewing the same grant, longer than any other owner's lease could last: then nobody
+        else owns the role, and standing by for ever would leave the fleet without an owner.
         """
         grant = self.link.grant(self.role_key, now)
         if grant is None:
--- a/rooklug/controller/self_check.py
+++ b/rooklug/controller/self_check.py
@@ -1,4 +1,4 @@
-"""Whether this process reaches any replica: a prober that reaches none suspects itself."""
+"""Detects that this process can't reach any replica, so that it doesn't blame the replicas."""
 
 import attrs
 
@@ -7,23 +7,23 @@
 
 @attrs.define
 class SelfCheck:
-    """Shared by the prober shards of one process.
+    """Counts consecutive failures over all prober shards of one process.
 
-    After ``SUSPECT_AFTER_FAILURES`` probes in a row, over all shards, without one answer, the
-    fault may be on this side: failures are then not reported until something answers.
+    After ``SUSPECT_AFTER_FAILURES`` probes in a row without an answer, the fault may lie in this
+    process or its network. Failures are then withheld from reports until a replica answers.
     """
 
     _failures_in_a_row: int = 0
 
     @property
     def is_suspect(self) -> bool:
-        """Whether failures may be this process's own."""
+        """Whether failed probes may be caused by this process or its network."""
         return self._failures_in_a_row >= SUSPECT_AFTER_FAILURES
 
     def record_answer(self) -> None:
-        """A probe got an answer."""
+        """Reset the count: a replica has answered, with any status."""
         self._failures_in_a_row = 0
 
     def record_failure(self) -> None:
-        """A probe got no answer."""
+        """Count a probe that got no answer."""
         self._failures_in_a_row += 1
--- a/rooklug/controller/solve_trigger.py
+++ b/rooklug/controller/solve_trigger.py
@@ -1,4 +1,4 @@
-"""When to solve: at an interval, and soon after an event, however many events come."""
+"""When to solve: periodically, and soon after an event, at a limited rate."""
 
 import attrs
 
@@ -9,7 +9,10 @@
 
 @attrs.define
 class SolveTrigger:
-    """Collects causes until the next solve. Times are monotonic seconds."""
+    """Collects the causes for the next solve. Times are monotonic seconds.
+
+    An event triggers a solve after ``DEBOUNCE_S``, but not within ``SPACING_S`` of the last one.
+    """
 
     _causes: list[str] = attrs.field(factory=list)
     _first_at: float | None = None
@@ -17,14 +20,17 @@
     _solving: bool = False
 
     def add_cause(self, cause: str, now: float) -> None:
-        """An event asks for a solve; ``cause`` goes into the decision records."""
+        """Request a solve soon; ``cause`` goes into the decision records."""
         if cause not in self._causes:
             self._causes.append(cause)
         if self._first_at is None:
             self._first_at = now
 
     def due(self, now: float, interval_s: float) -> bool:
-        """Return whether to solve now. One solve at a time."""
+        """Return whether to solve now: after a cause, or ``interval_s`` after the last solve.
+
+        Never while a solve is running.
+        """
         if self._solving:
             return False
         if self._first_at is not None:
@@ -32,7 +38,7 @@
         return now >= self._solved_at + interval_s
 
     def begin(self, now: float) -> str:
-        """Start a solve; return its cause in words."""
+        """Start a solve; return the text of its collected causes, which are then cleared."""
         cause = _in_words(self._causes) or "periodic review"
         self._causes = []
         self._first_at = None
@@ -41,7 +47,7 @@
         return cause
 
     def end(self) -> None:
-        """The solve is over, with or without a plan."""
+        """End the running solve, whether or not it gave a plan."""
         self._solving = False
 
 
--- a/rooklug/controller/solving.py
+++ b/rooklug/controller/solving.py
@@ -1,4 +1,4 @@
-"""The solves of one placer term: when one is due, what it solves, and the newest plan."""
+"""Runs the solves of one placer term and keeps the newest plan."""
 
 from collections.abc import Callable
 
@@ -16,12 +16,12 @@
 
 
 class NoSolveInProgressError(Exception):
-    """The result of a solve came that was never begun."""
+    """A result was passed to ``finish`` although no solve has been started."""
 
 
 @attrs.frozen
 class SolveResult:
-    """The plan that a solve gave, and the effects that go with it."""
+    """The plan of a finished solve, and the effects to run."""
 
     plan: PlacementPlan
     effects: list[fx.Effect]
@@ -30,8 +30,8 @@
 class Solving:
     """Runs one solve at a time as a ``Compute`` effect.
 
-    ``plan`` is the newest plan, made because of ``cause``; both are empty before the first
-    solve. ``last_solve_s`` is a duration in seconds.
+    ``plan`` is the newest plan and ``cause`` the reason for its solve; both are empty before the
+    first solve. ``last_solve_s`` is the duration of the last solve.
     """
 
     def __init__(
@@ -53,11 +53,11 @@
 
     @property
     def solved_demand(self) -> dict[DemandKey, float]:
-        """The demand of the last problem, in load tokens/s."""
+        """The demand of the newest problem by key, in load tokens/s; empty before the first."""
         return self._problem.demand if self._problem is not None else {}
 
     def add_cause(self, cause: str, now: float) -> None:
-        """Want a solve soon; ``cause`` goes into the decision records."""
+        """Request a solve soon; ``cause`` goes into the decision records."""
         self._trigger.add_cause(cause, now)
 
     def is_due(self, interval_s: float, now: float) -> bool:
@@ -67,7 +67,10 @@
     def begin(
         self, problem: PlacementProblem, now: float, *, even_if_equal: bool
     ) -> list[fx.Effect]:
-        """Solve ``problem``; nothing is done if it equals the last one."""
+        """Start solving ``problem``.
+
+        A problem equal to the last one is skipped, unless ``even_if_equal``.
+        """
         self._cause_in_progress = self._trigger.begin(now)
         if problem == self._problem and not even_if_equal:
             self._trigger.end()
@@ -83,9 +86,17 @@
         return event.ticket == self._ticket
 
     def finish(self, event: ev.Computed, now: float) -> SolveResult:
-        """Take the result; a failed solve is replaced by an even spread of the models."""
+        """Handle the result of the solve; if it failed, fall back to an even spread of the models.
+
+        Raises
+        ------
+        NoSolveInProgressError
+            No solve has been started.
+        """
         if self._problem is None:
-            raise NoSolveInProgressError("a plan without a problem")
+            raise NoSolveInProgressError(
+                "the result of a solve arrived before any solve was started"
+            )
         self._ticket = None
         self.last_solve_s = now - self._began_at
         self._trigger.end()
@@ -93,7 +104,13 @@
         effects: list[fx.Effect] = []
         if event.error or not isinstance(plan, PlacementPlan):
             self.failed_solves += 1
-            effects.append(fx.Log("error", "solve failed", {"problem": event.error}))
+            effects.append(
+                fx.Log(
+                    "error",
+                    "solve failed; spreading the models evenly instead",
+                    {"problem": event.error},
+                )
+            )
             plan = spread(self._problem)
         record_plan(self._decisions, self.plan, plan, self._cause_in_progress)
         self.plan = plan
--- a/rooklug/controller/spread_plan.py
+++ b/rooklug/controller/spread_plan.py
@@ -1,7 +1,7 @@
-"""The simplest plan: every model spread over each region's slots, local regions first.
+"""A fallback plan for when the planner fails: all models spread over the slots.
 
-Used when the planner fails. It keeps what is loaded, fills the rest of each slot in turn,
-and sends every region's traffic to itself first.
+It keeps what is loaded, fills the rest of each slot with the configured models in rotation, and
+prefers a key's source region over other regions.
 """
 
 from rooklug.placement.problem import (
@@ -17,7 +17,10 @@
 
 
 def spread(problem: PlacementProblem) -> PlacementPlan:
-    """Return a plan that loads as many configured models as fit on each slot."""
+    """Return a plan that fills each slot with as many configured models as fit.
+
+    Replicas to avoid keep their models but get no new one.
+    """
     assignments: dict[str, tuple[str, ...]] = {}
     by_priority = sorted(problem.models, key=lambda name: (-problem.models[name].priority, name))
     for position, slot in enumerate(sorted(problem.slots, key=lambda slot: slot.replica_id)):
--- a/rooklug/controller/takeover.py
+++ b/rooklug/controller/takeover.py
@@ -1,4 +1,4 @@
-"""The first seconds of a new placer: it gathers reports before it decides anything."""
+"""The start of a placer term: collects reports before the first decision."""
 
 import attrs
 
@@ -12,10 +12,11 @@
 
 @attrs.define
 class Takeover:
-    """Decides when enough is known to decide, and whether that is still partial.
+    """Tracks whether a new term knows enough to decide, and whether its knowledge is still partial.
 
-    Until ``may_decide`` the predecessor's plan stands. While ``is_partial``, loads may be
-    ordered, but nothing is unloaded and no weight is shifted.
+    Until ``may_decide``, the previous term's plan stays in force. While ``is_partial``, loads may
+    be ordered, but nothing is unloaded and no weights are shifted. ``started_at`` is the beginning
+    of the term in monotonic seconds.
     """
 
     started_at: float
@@ -25,7 +26,11 @@
     def may_decide(
         self, fleet: FleetState, fronts_expected: int, fronts_seen: int, now: float
     ) -> bool:
-        """Return whether all replicas are probed and the fronts have reported, or time is up."""
+        """Return whether the term may decide; once true, it stays true.
+
+        It needs a listing, results for all replicas, and reports of ``FRONTS_SHARE`` of the
+        fronts. It waits at most ``FRONTS_LIMIT_S`` for the fronts and ``GATHER_LIMIT_S`` in all.
+        """
         if not fleet.has_listing:
             return False
         elapsed = now - self.started_at
@@ -38,5 +43,5 @@
         return self._decided
 
     def is_partial(self, now: float) -> bool:
-        """Return whether decisions still rest on partial knowledge of the fleet."""
+        """Return whether reports are still missing; at most ``PARTIAL_LIMIT_S`` after the start."""
         return not self._complete and now - self.started_at < PARTIAL_LIMIT_S
--- a/tests/test_controller_placer.py
+++ b/tests/test_controller_placer.py
@@ -250,7 +250,13 @@
         world = World(fleet(), document(), solve=failing)
         world.run(20.0)
         self.assertEqual(served_models(world), {"small", "large"})
-        self.assertTrue([log for _, log in world.logs if log.message == "solve failed"])
+        self.assertTrue(
+            [
+                log
+                for _, log in world.logs
+                if log.message == "solve failed; spreading the models evenly instead"
+            ]
+        )
 
     def test_an_unreadable_configuration_changes_nothing(self):
         world = settled_world()
