--- a/rooklug/placement/__init__.py
+++ b/rooklug/placement/__init__.py
@@ -1,11 +1,13 @@
-"""Which replicas load which model, and where each region's traffic goes.
+"""Plans which replicas load which model, and to which regions each region's traffic goes.
 
-One solve gives replica counts, slots and the routing matrix; the move executor then brings the
-fleet there in small safe steps (docs/placement.md). Pure functions and state, no I/O.
+The package owns the planner and the move executor. One solve gives replica counts, the models of
+each slot and the routing matrix; the move executor then brings the fleet to that plan in small
+safe steps (docs/placement.md). Everything is pure functions and in-memory state, without I/O.
 
-Begin with ``problem.py`` (what is solved) and ``planner.py`` (how); the integer program is
-``program.py``, the executor ``moves.py``. The JSON of ``explain.py``, ``whatif.py`` and
-``documents.py`` takes its keys from the fields of the classes there: those names stay.
+The entry points are ``planner.py`` (from a ``PlacementProblem`` in ``problem.py`` to a
+``PlacementPlan``) and ``moves.py`` (the executor). The integer program is in ``program.py``. The
+JSON documents of ``explain.py``, ``whatif.py`` and ``documents.py`` take their keys from the field
+names of the classes there, so renaming these fields would change the documents.
 
 May import ``config``.
 """
--- a/rooklug/placement/assembly.py
+++ b/rooklug/placement/assembly.py
@@ -1,4 +1,4 @@
-"""From assignments and traffic to a complete plan, the same for every solver."""
+"""Assembles a complete plan from assignments and traffic, whichever solver found them."""
 
 import attrs
 
@@ -18,9 +18,9 @@
     solver: str,
     notes: tuple[str, ...] = (),
 ) -> PlacementPlan:
-    """Return the plan that loads ``assignments`` and carries ``flows``.
+    """Return the plan that loads ``assignments`` and serves ``flows``.
 
-    Models that are loaded and not wanted stay where the guardrail on moves holds them.
+    Loaded models that ``assignments`` lack stay if the guardrail on moves postpones their unload.
     """
     terms = evaluate(problem, assignments, flows)
     assignments, postponed = keep_surplus(problem, assignments)
@@ -41,7 +41,7 @@
 
 
 def unplaced_demand(problem: PlacementProblem, flows: list[Flow]) -> dict[DemandKey, float]:
-    """Return the demand (tokens/s) that ``flows`` leave out."""
+    """Return the demand (tokens/s) that ``flows`` don't serve, by key."""
     rest = dict(problem.demand)
     for flow in flows:
         rest[flow.key] = rest.get(flow.key, 0.0) - flow.load
@@ -54,7 +54,7 @@
     flows: list[Flow],
     unplaced: dict[DemandKey, float],
 ) -> list[Violation]:
-    """Return every intent that the placement doesn't meet."""
+    """Return the violations of the intents "demand", "latency", "reach" and "readiness"."""
     found = [
         Violation(
             "demand",
@@ -88,7 +88,7 @@
 
 
 def evicted_models(problem: PlacementProblem, assignments: dict[str, list[str]]) -> tuple[str, ...]:
-    """Return the models that are wanted or loaded and get no replica."""
+    """Return the models that are configured or in demand but get no replica."""
     placed = {model for models in assignments.values() for model in models}
     wanted = {key.model for key in problem.demand} | set(problem.models)
     return tuple(sorted(wanted - placed))
@@ -99,7 +99,7 @@
 ) -> dict[str, dict[str, int]]:
     """Return by model and region how many replicas the planned traffic needs.
 
-    Counted with the slowest replicas first, so any choice of that many will do.
+    The slowest replicas are counted first, so any replicas of that number are enough.
     """
     rates: dict[tuple[str, str], list[float]] = {}
     for slot in problem.slots:
--- a/rooklug/placement/capacity_tracker.py
+++ b/rooklug/placement/capacity_tracker.py
@@ -1,4 +1,4 @@
-"""What a placement in the making uses: units of slots, throughput, budgets of regions."""
+"""Bookkeeping for a placement under construction: slot units, throughput, regions' budgets."""
 
 import attrs
 
@@ -9,7 +9,11 @@
 
 @attrs.define
 class OpenReplica:
-    """A model on a slot, with the throughput (tokens/s) that is still free."""
+    """A model placed on a slot.
+
+    ``units_a_token`` is its cost in resource units per token/s; ``tokens_left`` is the throughput
+    (tokens/s) that no flow uses yet.
+    """
 
     slot: ReplicaSlot
     units_a_token: float
@@ -18,7 +22,7 @@
 
 @attrs.frozen
 class Flow:
-    """Planned traffic (tokens/s) of one demand key to one region."""
+    """The planned traffic of one demand key to one region; ``load`` is in tokens/s."""
 
     key: DemandKey
     region: str
@@ -26,7 +30,11 @@
 
 
 class CapacityTracker:
-    """Tracks what a placement uses; refuses whatever a capacity or a weight doesn't allow."""
+    """Tracks the capacity that a placement uses, and never exceeds a capacity or a region's weight.
+
+    ``moves_left`` is the number of loads that the guardrail still allows. The weight ``serve``
+    bounds the units that serve a region's own traffic, ``spill`` those for other regions.
+    """
 
     def __init__(self, problem: PlacementProblem, moves: int) -> None:
         self.problem = problem
@@ -52,11 +60,15 @@
         return budget
 
     def replicas(self, model: str, region: str) -> list[OpenReplica]:
-        """Return the open replicas of a model in a region."""
+        """Return the replicas of a model placed in a region so far."""
         return self._open.get((model, region), [])
 
     def open_replica(self, model: str, region: str) -> bool:
-        """Open one more replica of ``model`` in ``region``; False if nothing allows it."""
+        """Place one more replica of ``model`` in ``region``; return False if no slot allows it.
+
+        Prefers slots that have the model loaded, then the cheapest units per token/s, then zones
+        with few replicas of the model, then slots where little is loaded.
+        """
         if (model, region) in self._exhausted:
             return False
         best = None
@@ -71,9 +83,11 @@
         return True
 
     def open_on(self, model: str, slot: ReplicaSlot) -> None:
-        """Open ``model`` on ``slot``, which has the capacity for it."""
+        """Place ``model`` on ``slot``, which must have the capacity for it."""
         need = self._need(model, slot)
-        assert need is not None, "opened where it can't run"
+        assert need is not None, (
+            "the model is not configured for the slot's resource, or needs more units than it has"
+        )
         self._free[slot.replica_id] -= need.units
         self.assignments[slot.replica_id].append(model)
         if model not in slot.loaded_models:
@@ -91,7 +105,7 @@
         return self._needs[kind]
 
     def has_capacity(self, model: str, slot: ReplicaSlot) -> bool:
-        """Return whether ``model`` could still be opened on ``slot``."""
+        """Return whether ``model`` can run on ``slot``, isn't placed there yet, and fits."""
         need = self._need(model, slot)
         if need is None or model in self.assignments[slot.replica_id]:
             return False
@@ -110,7 +124,7 @@
         return (not loaded, round(cost, 9), in_zone, displaced, slot.replica_id)
 
     def pour(self, key: DemandKey, region: str, load: float) -> float:
-        """Send up to ``load`` of ``key`` to ``region``'s open replicas; return the rest."""
+        """Assign up to ``load`` tokens/s of ``key`` to replicas in ``region``; return the rest."""
         own = region == key.source_region
         budget = self._own_budget if own else self._foreign_budget
         rest = load
@@ -126,12 +140,12 @@
         return rest
 
     def budget_left(self, key: DemandKey, region: str) -> float:
-        """Return the units that ``key``'s kind of traffic may still use in ``region``."""
+        """Return the units that traffic like ``key`` (own or spilled) may still use there."""
         own = region == key.source_region
         return (self._own_budget if own else self._foreign_budget)[region]
 
     def flow_list(self) -> list[Flow]:
-        """Return all planned traffic."""
+        """Return all traffic assigned so far."""
         return [
             Flow(key, region, load)
             for key, regions in self.flows.items()
--- a/rooklug/placement/cases.py
+++ b/rooklug/placement/cases.py
@@ -1,4 +1,4 @@
-"""Seeded placement problems for tests and measurements."""
+"""Seeded random placement problems for tests and measurements."""
 
 from random import Random
 
@@ -20,7 +20,7 @@
 
 
 def tiny_case(seed: int) -> PlacementProblem:
-    """Two regions, at most five slots and two models: small enough to try every placement."""
+    """Return a problem small enough to try every placement: 2 regions, 2 to 5 slots, 2 models."""
     random = Random(seed)
     regions = {
         name: RegionFacts(
@@ -64,7 +64,7 @@
     load_share: float = 0.6,
     limit_s: float = 1.5,
 ) -> PlacementProblem:
-    """A random problem whose demand is about ``load_share`` of what the slots could carry."""
+    """Return a random problem whose demand is about ``load_share`` of the slots' throughput."""
     random = Random(seed)
     names = [f"region-{index}" for index in range(region_count)]
     regions = _regions(random, names)
@@ -75,7 +75,7 @@
 
 
 def large_case(seed: int, load_share: float = 0.6) -> PlacementProblem:
-    """The planned size: 7 regions, 22 models, 830 replicas of 3 resource types."""
+    """Return a problem of the planned size: 7 regions, 22 models, 830 replicas, 3 resources."""
     problem = random_case(
         seed, LARGE_REGIONS, LARGE_MODELS, LARGE_SLOTS, LARGE_RESOURCES, load_share
     )
@@ -83,7 +83,7 @@
 
 
 def with_nothing_loaded(problem: PlacementProblem) -> PlacementProblem:
-    """Return the problem with nothing loaded."""
+    """Return the problem with no model loaded on any slot."""
     slots = tuple(attrs.evolve(slot, loaded_models=()) for slot in problem.slots)
     return attrs.evolve(problem, slots=slots)
 
@@ -91,7 +91,11 @@
 def drifted(
     problem: PlacementProblem, loaded: dict[str, tuple[str, ...]], seed: int, *, zone_lost: bool
 ) -> PlacementProblem:
-    """Return the problem a while later: a plan is loaded, demand moved, a zone maybe gone."""
+    """Return the problem as it might be a while later.
+
+    The plan ``loaded`` is in place, each demand has changed by up to 20 %, and with ``zone_lost``
+    the slots of one zone are gone.
+    """
     random = Random(seed)
     gone = random.choice(sorted({slot.zone for slot in problem.slots})) if zone_lost else ""
     slots = tuple(
--- a/rooklug/placement/diving.py
+++ b/rooklug/placement/diving.py
@@ -1,11 +1,11 @@
-"""Diving: integer solutions of large programs from their linear relaxation.
-
-Branch and bound with cuts needs many seconds at the planned size. The relaxation takes a
-quarter of a second, and solving it again after some columns were rounded up takes
-milliseconds. So the largest fractions are rounded up, a share at a time, until none is
-left. Several dives in a fixed order, the best one wins; the relaxation's objective proves
-the gap. The number of dives is fixed, so equal problems get equal plans; the time limit
-is a guard.
+"""Diving heuristic: integer solutions of large programs from their linear relaxation.
+
+Branch and bound with cuts needs many seconds at the planned size. The linear relaxation takes a
+quarter of a second, and solving it again after some columns were rounded up takes milliseconds.
+So a dive repeatedly rounds up a share of the largest fractions until all columns are integral.
+Several dives run in a fixed order and the best solution is returned; the objective of the
+relaxation proves its gap. The number of dives is fixed, so equal problems get equal plans; the
+time limit is only a safeguard.
 """
 
 from math import ceil, floor
@@ -19,7 +19,11 @@
 
 @attrs.frozen
 class DiveStyle:
-    """``share`` of the fractional columns rounded a step; ``weight`` favours high ranks."""
+    """The parameters of a dive.
+
+    ``share`` is the share of the fractional columns that each step rounds up. A larger ``weight``
+    rounds up columns of models with a high priority rank earlier.
+    """
 
     share: float
     weight: float
@@ -28,14 +32,14 @@
 FIRST_STYLES = (DiveStyle(0.2, 1.0), DiveStyle(0.3, 0.0))
 AGAIN_STYLES = (DiveStyle(0.3, 0.5),)
 LAST_DIVE_SHARE = 0.45
-"""No further dive begins after this share of the time limit."""
+"""No further dive starts after this share of the time limit."""
 
 
 class Diver:
-    """Dives into one model; keeps its relaxation, so that a second search is cheap.
+    """Runs dives on one model and keeps its relaxation, so that a second search is cheap.
 
-    ``ranks`` gives the columns to make integral, with the rank of each one's model. Other
-    integer columns stay relaxed.
+    ``ranks`` maps each column to be made integral to the priority rank of its placement model.
+    Other integer columns stay relaxed.
     """
 
     def __init__(self, model: LinearModel, ranks: dict[int, float]) -> None:
@@ -45,9 +49,10 @@
         self._root = self._relaxation.solve()
 
     def search(self, limit_s: float, styles: tuple[DiveStyle, ...]) -> LinearSolution | None:
-        """Return the best integer solution of the dives, with its proven relative gap.
+        """Return the best integer solution of the dives, with its proven relative gap, or None.
 
-        Rereads the model's column bounds. ``limit_s`` counts from the first search.
+        The column bounds are read again from the model. ``limit_s`` bounds the solver time since
+        the first search.
         """
         if self._root is None:
             return None
@@ -66,7 +71,7 @@
 
     @property
     def spent_s(self) -> float:
-        """Seconds the solver has run so far, by its own timer."""
+        """The seconds that the solver has run so far, by its own timer."""
         return self._relaxation.spent_s
 
     def _reset_bounds(self) -> None:
--- a/rooklug/placement/documents.py
+++ b/rooklug/placement/documents.py
@@ -1,4 +1,4 @@
-"""Placement problems as JSON documents, for ``placement explain`` and ``placement whatif``."""
+"""JSON documents of placement problems, for ``placement explain`` and ``placement whatif``."""
 
 from typing import Any
 
@@ -12,7 +12,7 @@
 
 @attrs.frozen
 class DemandEntry:
-    """One demand key with its load (tokens/s)."""
+    """One demand key with its demand in load tokens/s."""
 
     key: DemandKey
     load: float
@@ -20,14 +20,14 @@
 
 @attrs.frozen
 class ProblemDocument:
-    """A problem whose demand is a list: JSON has no keys but strings."""
+    """A problem whose demand is kept in a list, because JSON keys must be strings."""
 
     problem: PlacementProblem
     demand: tuple[DemandEntry, ...]
 
 
 def problem_to_json(problem: PlacementProblem) -> dict[str, Any]:
-    """Return JSON values that ``problem_from_json`` reads back."""
+    """Return a JSON document that ``problem_from_json`` reads back."""
     entries = tuple(
         DemandEntry(key, load)
         for key, load in sorted(problem.demand.items(), key=lambda entry: attrs.astuple(entry[0]))
@@ -36,6 +36,6 @@
 
 
 def problem_from_json(document: dict[str, Any]) -> PlacementProblem:
-    """Return the problem of a document; raises ``cattrs`` errors on a malformed one."""
+    """Return the problem of a document; raises ``cattrs`` errors if it is malformed."""
     read = _CONVERTER.structure(document, ProblemDocument)
     return attrs.evolve(read.problem, demand={entry.key: entry.load for entry in read.demand})
--- a/rooklug/placement/evenness.py
+++ b/rooklug/placement/evenness.py
@@ -1,17 +1,17 @@
-"""Even use of loaded replicas: the last step of routing, with replica counts fixed."""
+"""Balances the utilisation of replicas: the last step of routing, with fixed replica counts."""
 
 import attrs
 
 from rooklug.placement.linear import LinearModel
 
 DISTANCE_SHARE = 0.05
-"""Price of sending a token/s as far as it goes, as a share of its resource units."""
+"""Cost of a token/s over ``LONGEST_TRIP_MS`` or more, as a share of its resource units."""
 LONGEST_TRIP_MS = 200.0
 
 
 @attrs.frozen
 class Arrival:
-    """A traffic column that arrives at a station, and its round trip."""
+    """The program column of the traffic from one source to a station, and its round trip."""
 
     column: int
     round_trip_ms: float
@@ -19,7 +19,7 @@
 
 @attrs.frozen
 class Station:
-    """A model's replicas in one region: throughput (tokens/s) and what may arrive there."""
+    """A model's replicas in one region: their throughput (tokens/s) and the traffic columns."""
 
     model: str
     capacity: float
@@ -32,10 +32,11 @@
     units: dict[str, float],
     unit_costs: dict[str, float],
 ) -> None:
-    """Make each model's fullest station as empty as can be; among equals, go near.
+    """Add costs that minimise each model's highest station utilisation, and prefer short trips.
 
-    ``units`` is what each model fills in all, ``unit_costs`` its units a token/s: so evening
-    out is worth about a replica's cost, far less than any unplaced or late traffic.
+    ``units`` are the resource units that each model fills in total, ``unit_costs`` its units per
+    token/s. Scaled by these, balancing is worth about the cost of the model's replicas, far less
+    than any unplaced or late traffic.
     """
     fullest: dict[str, int] = {}
     for station in stations:
--- a/rooklug/placement/exhaustive.py
+++ b/rooklug/placement/exhaustive.py
@@ -1,8 +1,9 @@
-"""Every placement of a tiny problem, tried: the oracle of the solvers.
+"""Exhaustive search over all placements of a tiny problem: a test oracle for the solvers.
 
-Shares no code with them but the objective's prices. Only for problems with one resource
-type, one latency class a model, no reserve, serve 1, spill 0 or 1, and loads and throughputs
-in whole grains: there the best traffic of a placement is found by trying whole grains.
+It shares no code with them except the costs of the objective. It supports only problems with one
+resource type, one latency class per model, serve 1, spill 0 or 1, no reserve, and loads and
+throughputs in multiples of ``TINY_GRAIN``. For these, the best traffic of a placement is found by
+trying multiples of the grain.
 """
 
 from itertools import combinations, product
@@ -13,7 +14,7 @@
 
 
 def best_objective(problem: PlacementProblem) -> float:
-    """Return the least objective over all placements of a tiny problem."""
+    """Return the lowest objective over all placements of a tiny problem."""
     best = None
     memory: dict[tuple[str, int, int], float] = {}
     choices = [_slot_choices(problem, slot.resource_units) for slot in problem.slots]
--- a/rooklug/placement/explain.py
+++ b/rooklug/placement/explain.py
@@ -1,4 +1,4 @@
-"""Why a plan looks as it does: replicas, use and weights by region, and what isn't met."""
+"""Explains a plan: replicas, use and weights by region, the routing matrix, and violations."""
 
 from typing import Any
 
@@ -10,9 +10,10 @@
 
 @attrs.frozen
 class ModelInRegion:
-    """One model in one region. Throughput and demand are in tokens/s.
+    """One model in one region. ``tokens_per_s`` is the throughput of its planned replicas.
 
-    ``needed``: replicas its planned traffic needs; the rest is headroom, reach or surplus.
+    ``needed`` is how many replicas the planned traffic needs; the others are there for headroom
+    or coverage, or their unload is postponed.
     """
 
     model: str
@@ -26,7 +27,7 @@
 
 @attrs.frozen
 class RegionUse:
-    """A region's room (resource units) and the weights that rule it."""
+    """A region's capacity and use in resource units, and its configured weights."""
 
     region: str
     replicas: int
@@ -39,7 +40,10 @@
 
 @attrs.frozen
 class RowOfMatrix:
-    """Where one demand key goes: destinations as "region preference/weight"."""
+    """One row of the routing matrix: a demand key (tokens/s) and its destinations.
+
+    Each destination is a text "region preference/weight".
+    """
 
     model: str
     latency_class: str
@@ -51,7 +55,7 @@
 
 @attrs.frozen
 class Explanation:
-    """A plan in a form for people and for JSON."""
+    """A plan and its reasons, to be printed as text or as JSON."""
 
     solver: str
     objective: float
@@ -64,11 +68,11 @@
     notes: tuple[str, ...]
 
     def to_json(self) -> dict[str, Any]:
-        """Return JSON values."""
+        """Return a JSON document with the field names as keys."""
         return attrs.asdict(self)
 
     def to_text(self) -> str:
-        """Return lines for a terminal."""
+        """Return tables and lines for a terminal."""
         lines = [f"solver {self.solver}, objective {self.objective:.2f}, gap {self.gap:.2%}", ""]
         lines += _table(
             ("region", "replicas", "units", "used", "serve", "spill", "reserve"),
@@ -110,7 +114,7 @@
 
 
 def explain(problem: PlacementProblem, plan: PlacementPlan) -> Explanation:
-    """Explain ``plan``, which was solved for ``problem``."""
+    """Return the explanation of ``plan``, which must be a plan for ``problem``."""
     return Explanation(
         plan.solver,
         plan.objective,
--- a/rooklug/placement/facts.py
+++ b/rooklug/placement/facts.py
@@ -1,4 +1,4 @@
-"""What follows from a placement problem alone: reach, round trips, throughput."""
+"""Facts derived from a placement problem alone: destinations, round trips, resource needs."""
 
 from math import inf
 
@@ -13,7 +13,10 @@
 
 @attrs.frozen
 class Destination:
-    """A region that may serve a demand key. ``late``: beyond its round-trip threshold."""
+    """A region that may serve a demand key.
+
+    ``late`` tells that its round trip exceeds the threshold of the key's latency class.
+    """
 
     region: str
     round_trip_ms: float
@@ -21,7 +24,10 @@
 
 
 def round_trip_ms(regions: dict[str, RegionFacts], source: str, destination: str) -> float:
-    """Return the round trip in ms; 0 inside a region, infinite where none is configured."""
+    """Return the round trip in ms between two regions.
+
+    It is 0 inside a region and infinite if none is configured in either direction.
+    """
     if source == destination:
         return 0.0
     for start, end in ((source, destination), (destination, source)):
@@ -32,15 +38,15 @@
 
 
 def threshold_ms(model: Model, latency_class: str) -> float:
-    """Return the round-trip threshold in ms of a latency class; unknown classes: global."""
+    """Return the round-trip threshold in ms of a latency class; an unknown one is global."""
     return model.latency_classes.get(latency_class, RoundTrip.GLOBAL).limit_ms
 
 
 def destinations(problem: PlacementProblem, key: DemandKey) -> list[Destination]:
-    """Return the regions that may serve ``key``, nearest first, those in time before late ones.
+    """Return the regions that may serve ``key``: those in time before late ones, nearest first.
 
-    Never a region outside the key's homes; other regions only if their weights allow spill,
-    the source region only if its weights let it serve its own traffic.
+    Regions outside the key's homes are never included. The source region is included if its
+    weight ``serve`` is above 0, other regions if their weight ``spill`` is.
     """
     model = problem.models.get(key.model)
     if model is None:
@@ -59,7 +65,7 @@
 
 
 def need_on(problem: PlacementProblem, model: str, slot: ReplicaSlot) -> ResourceNeed | None:
-    """Return what ``model`` needs on ``slot``, or None if it can't run there at all."""
+    """Return the resource need of ``model`` on ``slot``, or None if it can't run there at all."""
     spec = problem.models.get(model)
     need = spec.resources.get(slot.resource) if spec is not None else None
     if need is None or slot.region not in problem.regions:
@@ -70,7 +76,7 @@
 
 
 def unit_cost(model: Model) -> float:
-    """Return the fewest resource units a token/s of this model costs."""
+    """Return the lowest cost of this model in resource units per token/s, over all resources."""
     costs = [
         need.units / need.tokens_per_s for need in model.resources.values() if need.tokens_per_s > 0
     ]
@@ -78,17 +84,21 @@
 
 
 def usable_share(facts: RegionFacts) -> float:
-    """Return the share of a replica's throughput that the planner may use."""
+    """Return the share of a replica's throughput that plans may use: all but the reserve."""
     return min(1.0, max(0.0, 1.0 - facts.weights.reserve))
 
 
 def key_order(key: DemandKey) -> tuple[str, str, str, tuple[str, ...]]:
-    """Return the sort key that makes every walk over demand the same."""
+    """Return the sort key for demand keys, which makes all iterations deterministic."""
     return (key.model, key.latency_class, key.source_region, key.home_regions)
 
 
 def all_keys(problem: PlacementProblem) -> list[DemandKey]:
-    """Return the keys to route: those with a demand entry, and each model's unbound ones."""
+    """Return the keys to route, sorted.
+
+    These are the keys in the demand, and each model's keys without home regions for every latency
+    class and source region.
+    """
     keys = {key for key in problem.demand if key.model in problem.models}
     for name, model in problem.models.items():
         for latency_class in model.latency_classes:
--- a/rooklug/placement/fleet_state.py
+++ b/rooklug/placement/fleet_state.py
@@ -1,4 +1,4 @@
-"""The replicas as reports show them, and what the executor's own orders change about them."""
+"""The move executor's view of the replicas: their reports, overlaid with its own orders."""
 
 import attrs
 
@@ -14,9 +14,11 @@
 
 @attrs.define
 class Withdrawal:
-    """A model withdrawn from a slot: published under ``sequence``, unloaded afterwards.
+    """A model withdrawn from service on a slot, which is unloaded once it is drained.
 
-    ``drained_at`` is when the unload may be ordered, None until publication is confirmed.
+    ``sequence`` is that of the published weights that no longer route to it. ``drained_at`` is
+    when the unload may be ordered; it is None until the publication is confirmed. ``sent_at`` is
+    when ``order`` was last sent. Times are monotonic seconds.
     """
 
     sequence: int
@@ -26,7 +28,10 @@
 
 
 class FleetState:
-    """Reports by replica id, loads in flight, and models withdrawn from service."""
+    """Reports by replica id, loads in flight, and models withdrawn from service.
+
+    A slot is identified by the id of its replica.
+    """
 
     def __init__(self, models: dict[str, Model], loads: LoadTracker) -> None:
         self.models = models
@@ -36,7 +41,7 @@
         self._loaded: dict[str, list[str]] = {}
 
     def observe(self, reports: dict[str, SlotReport]) -> None:
-        """Take new reports; withdrawals that a restart or an unload ended are forgotten."""
+        """Replace all reports; drop withdrawals that an unload, a restart or a loss has ended."""
         for slot, model in list(self.withdrawn):
             known = self.reports.get(slot)
             report = reports.get(slot)
@@ -51,19 +56,22 @@
         self._loaded = _slots_by_model(self.reports)
 
     def known_models(self) -> list[str]:
-        """Return the models that are configured or loaded somewhere."""
+        """Return the models that are configured or loaded on any slot."""
         loaded = {model for report in self.reports.values() for model in report.loaded}
         return sorted(loaded | set(self.models))
 
     def withdrawn_by_slot(self) -> dict[str, set[str]]:
-        """Return the models withdrawn from each slot that has any."""
+        """Return the withdrawn models by slot; slots without any are left out."""
         withdrawn: dict[str, set[str]] = {}
         for slot, model in self.withdrawn:
             withdrawn.setdefault(slot, set()).add(model)
         return withdrawn
 
     def serving(self, model: str, region: str = "") -> list[str]:
-        """Return the slots that serve ``model``: reported loaded, healthy, not withdrawn."""
+        """Return the slots that serve ``model``: loaded, serving and not withdrawn.
+
+        An empty ``region`` stands for all regions.
+        """
         return [
             slot
             for slot in self._loaded.get(model, ())
@@ -81,23 +89,26 @@
         return in_flight or model in report.loaded or model in report.loading
 
     def has_capacity(self, slot: str, model: str) -> bool:
-        """Return whether ``model`` fits beside what ``slot`` has and loads."""
+        """Return whether ``model`` fits beside the models loaded or being loaded on ``slot``."""
         report = self.reports[slot]
         present = set(report.loaded) | set(report.loading) | self.loads.on_slot(slot)
         used = sum(self._units(report, name) for name in present - {model})
         return used + self._units(report, model) <= report.resource_units + CAPACITY_TOLERANCE
 
     def need(self, report: SlotReport, model: str) -> ResourceNeed | None:
-        """Return what ``model`` needs on a slot; None for a model that isn't configured there."""
+        """Return the need of ``model`` on a slot; None if it can't run on its resource."""
         spec = self.models.get(model)
         return spec.resources.get(report.resource) if spec is not None else None
 
     def missing(self, plan: PlacementPlan) -> list[tuple[str, str]]:
-        """Return the (slot, model) that ``plan`` wants and that isn't present, on serving slots."""
+        """Return each (slot, model) that ``plan`` assigns and that a serving slot lacks."""
         return [(slot, model) for slot in plan.assignments for model in self.missing_on(plan, slot)]
 
     def missing_on(self, plan: PlacementPlan, slot: str) -> list[str]:
-        """Return the models that ``plan`` wants and that aren't present on one serving slot."""
+        """Return the configured models that ``plan`` assigns to ``slot`` and that it lacks.
+
+        A model with a load in flight isn't missing. Empty if the slot isn't serving.
+        """
         if slot not in self.reports or not self.reports[slot].serving:
             return []
         return [
--- a/rooklug/placement/forecast.py
+++ b/rooklug/placement/forecast.py
@@ -1,10 +1,9 @@
-"""Demand forecast: a decayed maximum of the averaged demand, by demand key.
+"""Demand forecast by demand key: a decaying maximum of the smoothed demand.
 
-As simple as it can justify itself: ``python -m rooklug_lab.placement.forecasts`` compares it
-with simpler and richer ones by the cost of being wrong both ways. Too low costs refused or
-slow requests until the next solve and load; too high costs idle replicas; a count that
-changes with every measurement costs loads. A trend, and yesterday's curve, cost more than
-they saved there.
+A forecast that is too low costs rejected or slow requests until the next solve and load; one that
+is too high costs idle replicas; one that changes with every measurement costs model loads.
+``python -m rooklug_lab.placement.forecasts`` compares forecasts by these costs. There, adding a
+trend or the curve of the previous day cost more than it saved.
 """
 
 from math import exp
@@ -17,10 +16,10 @@
 
 @attrs.frozen
 class ForecastSettings:
-    """Times in seconds.
+    """Parameters of the forecast.
 
-    ``smoothing_s``: time constant of the averaged demand. ``decay_s``: time constant with
-    which a past peak is forgotten. ``floor``: demand below it (tokens/s) counts as none.
+    ``smoothing_s`` is the time constant of the smoothed demand and ``decay_s`` that of the decay of
+    a past peak. A key below ``floor`` (tokens/s) is dropped.
     """
 
     smoothing_s: float = 15.0
@@ -36,14 +35,14 @@
 
 
 class DemandForecast:
-    """Pure state: feed it what fronts count, ask it what to plan for."""
+    """The forecasts of all keys, without I/O: fed by ``observe``, read by ``predict``."""
 
     def __init__(self, settings: ForecastSettings | None = None) -> None:
         self._settings = settings if settings is not None else ForecastSettings()
         self._series: dict[DemandKey, _Series] = {}
 
     def observe(self, demand: dict[DemandKey, float], now: float) -> None:
-        """Take the demand (tokens/s) measured up to ``now``; keys left out count as 0."""
+        """Add the demand (tokens/s) measured at ``now``; a missing key counts as 0."""
         for key in sorted({*demand, *self._series}, key=key_order):
             self._observe_key(key, demand.get(key, 0.0), now)
 
@@ -62,7 +61,7 @@
             del self._series[key]
 
     def predict(self) -> dict[DemandKey, float]:
-        """Return the demand (tokens/s) to plan for."""
+        """Return the demand (tokens/s) to plan for, by key."""
         return {key: series.peak for key, series in self._series.items()}
 
 
--- a/rooklug/placement/greedy.py
+++ b/rooklug/placement/greedy.py
@@ -1,7 +1,8 @@
-"""A greedy placement: the fallback where the integer program has no answer in time.
+"""Greedy placement: the fallback if the integer program has no answer in time.
 
-Demand is walked by priority, then by size. Each key fills open replicas of eligible regions,
-nearest first, and only then opens new ones; what is loaded already is opened first.
+Demand keys are handled by priority, then by size. Each key first uses the replicas already placed
+in eligible regions, nearest first, and then places new ones, preferring slots that have the model
+loaded.
 """
 
 from rooklug.placement.assembly import assemble
@@ -14,13 +15,13 @@
 
 
 def plan_greedily(problem: PlacementProblem) -> PlacementPlan:
-    """Return a legal plan, not the best one; never raises on a legal problem."""
+    """Return a valid plan, which may not be optimal; never raises for a valid problem."""
     capacity = fill(problem, allowed_loads(problem))
     return assemble(problem, capacity.assignments, capacity.flow_list(), SOLVER_NAME)
 
 
 def fill(problem: PlacementProblem, moves: int) -> CapacityTracker:
-    """Return the capacity that a greedy placement uses, with at most ``moves`` loads."""
+    """Return the tracker of a greedy placement with at most ``moves`` loads."""
     capacity = CapacityTracker(problem, moves)
     keys = [key for key in problem.demand if key.model in problem.models]
     keys.sort(key=lambda key: _urgency(problem, key))
--- a/rooklug/placement/groups.py
+++ b/rooklug/placement/groups.py
@@ -1,6 +1,6 @@
-"""Aggregation: identical slots as one group, identical demand as one commodity.
+"""Aggregation of equivalent slots into groups and of equivalent demand into commodities.
 
-The program's size follows the number of kinds, not the number of replicas.
+So the size of the program depends on the number of different kinds, not on that of replicas.
 """
 
 import attrs
@@ -13,7 +13,10 @@
 
 @attrs.frozen
 class SlotGroup:
-    """Slots that differ only in zone and in what they hold."""
+    """Slots that differ only in their zone and their loaded models.
+
+    ``units`` are the resource units of each slot. No new model is loaded on ``avoided`` slots.
+    """
 
     region: str
     resource: str
@@ -22,13 +25,16 @@
     slots: tuple[ReplicaSlot, ...]
 
     def holding(self, model: str) -> int:
-        """Return how many of the slots hold ``model`` now."""
+        """Return how many of the slots have ``model`` loaded now."""
         return sum(model in slot.loaded_models for slot in self.slots)
 
 
 @attrs.frozen
 class Commodity:
-    """Demand that may flow in exactly the same ways. ``load`` is in tokens/s."""
+    """The demand of all keys that share model, source region and destinations.
+
+    ``load`` is its sum in tokens/s.
+    """
 
     model: str
     source_region: str
@@ -39,14 +45,17 @@
 
 @attrs.frozen
 class PackingPatterns:
-    """Ways to fill one slot: each is a count for each of ``sizes`` (units, largest first)."""
+    """Ways to fill one slot: each pattern has one count per entry of ``sizes``.
+
+    Sizes are in resource units, largest first.
+    """
 
     sizes: list[float]
     patterns: list[tuple[int, ...]]
 
 
 def slot_groups(problem: PlacementProblem) -> list[SlotGroup]:
-    """Return the groups of slots, in a fixed order."""
+    """Return the groups of slots in configured regions, in a fixed order."""
     members: dict[tuple[str, str, float, bool], list[ReplicaSlot]] = {}
     for slot in sorted(problem.slots, key=lambda slot: slot.replica_id):
         if slot.region in problem.regions:
@@ -57,7 +66,7 @@
 
 
 def commodities(problem: PlacementProblem) -> list[Commodity]:
-    """Return the demand above zero that some region may serve."""
+    """Return the demand above zero that at least one region may serve."""
     merged: dict[tuple[str, str, tuple[Destination, ...]], list[DemandKey]] = {}
     for key, load in problem.demand.items():
         eligible = tuple(destinations(problem, key))
@@ -85,12 +94,12 @@
 
 
 def sorted_keys(keys: list[DemandKey]) -> list[DemandKey]:
-    """Return demand keys in a fixed order."""
+    """Return demand keys in the order of their fields."""
     return sorted(keys, key=attrs.astuple)
 
 
 def runnable_models(problem: PlacementProblem, group: SlotGroup) -> dict[str, float]:
-    """Return by model the units one replica takes on this group's slots."""
+    """Return the units that a replica takes on this group's slots, by model that can run there."""
     found = {}
     for model in sorted(problem.models):
         need = need_on(problem, model, group.slots[0])
@@ -102,9 +111,9 @@
 def packing_patterns(
     group: SlotGroup, sizes: list[float], models_per_size: dict[float, int]
 ) -> PackingPatterns | None:
-    """Return the maximal ways to fill one slot; None if there are too many.
+    """Return the maximal ways to fill one slot, or None if there are more than ``MAX_PATTERNS``.
 
-    Without them, counts that fit the group's total could still not fit its slots.
+    Without patterns, replica counts that fit the group's total units may not fit its slots.
     """
     patterns: list[tuple[int, ...]] = []
     sizes = sorted(sizes, reverse=True)
--- a/rooklug/placement/guardrail.py
+++ b/rooklug/placement/guardrail.py
@@ -1,4 +1,4 @@
-"""How many loads one solve may ask for."""
+"""The guardrail on moves: how many loads and unloads one solve may ask for."""
 
 from math import ceil
 
@@ -7,22 +7,22 @@
 
 
 def allowed_loads(problem: PlacementProblem) -> int:
-    """Return the guardrail on loads of this solve.
+    """Return how many loads this solve may ask for.
 
-    ``max_moves``, plus the loads that only repair: demand that the loaded replicas of its
-    eligible regions can't carry at all, as far as there is free capacity. So a fleet that comes
-    back with nothing loaded is filled in one solve, while loads that displace something stay
-    bounded, under a lasting overload too.
+    That is ``max_moves``, plus repair loads as far as free capacity can take them: loads for
+    demand that the loaded replicas of its eligible regions can't serve. So a fleet that restarts
+    with nothing loaded is filled by one solve, while loads that displace other models stay
+    bounded, even under a lasting overload.
     """
     repair = sum(repair_loads(problem).values())
     return problem.max_moves + min(repair, _loads_into_free_capacity(problem))
 
 
 def repair_loads(problem: PlacementProblem) -> dict[str, int]:
-    """Return by model how many loads are needed to carry demand that nothing carries now.
+    """Return by model how many loads are needed for demand beyond the loaded throughput.
 
-    Counted on the slowest resource and for each set of regions by itself: at least as many
-    as any placement needs.
+    This is an upper bound for any placement: it assumes the slowest resource, and counts each set
+    of eligible regions separately.
     """
     capacity = _loaded_capacity(problem)
     wanted = _demand_by_coverage(problem)
@@ -42,7 +42,8 @@
 ) -> tuple[dict[str, list[str]], int]:
     """Return ``assignments`` with at most ``max_moves`` unloads, and how many are postponed.
 
-    Only where the slot has room; a model that must give way to another one goes at once.
+    An unload is postponed only if the slot has room; a model that must make room for another one
+    is unloaded regardless.
     """
     placed = {name: list(models) for name, models in assignments.items()}
     allowed = problem.max_moves
@@ -81,7 +82,7 @@
 
 
 def _loads_into_free_capacity(problem: PlacementProblem) -> int:
-    """Return how many of the smallest models the slots' free room could take."""
+    """Return how many replicas of each slot's smallest model the free units could take."""
     total = 0
     for slot in problem.slots:
         needs = {model: need_on(problem, model, slot) for model in problem.models}
--- a/rooklug/placement/linear.py
+++ b/rooklug/placement/linear.py
@@ -1,6 +1,7 @@
-"""A small builder of mixed-integer programs over HiGHS (highspy), imported when used.
+"""A small builder for mixed-integer programs, solved by HiGHS (highspy).
 
-Single-threaded and bounded in time, so a solve never takes more than one core.
+highspy and numpy are imported only when a program is solved. The solver is single-threaded and
+bounded in time, so a solve never uses more than one core.
 """
 
 from math import inf
@@ -13,7 +14,7 @@
 
 @attrs.frozen
 class LinearSolution:
-    """Column values, objective and proven relative gap of a solve."""
+    """Column values, objective and proven relative gap of a solution."""
 
     values: list[float]
     objective: float
@@ -22,7 +23,10 @@
 
 @attrs.define
 class LinearModel:
-    """Columns with bounds and costs, rows with bounds; minimised."""
+    """A minimisation problem: columns with bounds and costs, and rows with bounds.
+
+    Rows are stored in compressed form: the entries of row i begin at ``row_starts[i]``.
+    """
 
     costs: list[float] = attrs.field(factory=list)
     lowers: list[float] = attrs.field(factory=list)
@@ -47,7 +51,7 @@
     def row(
         self, entries: list[tuple[int, float]], lower: float = -inf, upper: float = inf
     ) -> None:
-        """Add ``lower <= sum(value * column) <= upper``."""
+        """Add the row ``lower <= sum(value * column) <= upper`` over (column, value) entries."""
         for column, value in entries:
             self.entry_columns.append(column)
             self.entry_values.append(value)
@@ -56,18 +60,18 @@
         self.row_uppers.append(upper)
 
     def relaxed(self) -> "LinearModel":
-        """Return a copy without integrality that may be changed freely."""
+        """Return an independent copy without integrality constraints."""
         lists = {field.name: list(getattr(self, field.name)) for field in attrs.fields(LinearModel)}
         return LinearModel(**{**lists, "integers": []})
 
     def fix(self, column: int, value: float) -> None:
-        """Fix a column to a value."""
+        """Set both bounds of a column to ``value``."""
         self.lowers[column] = value
         self.uppers[column] = value
 
 
 def highs_available() -> bool:
-    """Return whether the solver can be imported."""
+    """Return whether highspy and numpy can be imported."""
     try:
         import highspy  # noqa: F401
         import numpy  # noqa: F401
@@ -77,10 +81,10 @@
 
 
 def minimise(model: LinearModel, limit_s: float) -> LinearSolution | None:
-    """Solve ``model`` within ``limit_s``; None if no feasible point was found in time.
+    """Solve ``model`` within ``limit_s``; return None if no feasible point was found in time.
 
-    No known solution is handed over as a start: HiGHS 1.16 then sometimes returns the
-    start's values as those of a better optimum that it found.
+    No known solution is passed as a start: with one, HiGHS 1.16 sometimes returns the values of
+    the start together with the objective of a better optimum that it found.
     """
     import highspy
     import numpy
@@ -100,7 +104,11 @@
 
 
 class Relaxation:
-    """The linear relaxation of a model, solved again cheaply after changes of bounds."""
+    """The linear relaxation of a model, which is cheap to solve again after changes of bounds.
+
+    The first solve uses the interior-point method, later ones the simplex method, which starts
+    from the previous solution.
+    """
 
     def __init__(self, model: LinearModel) -> None:
         import highspy
@@ -115,7 +123,7 @@
         self.uppers = list(model.uppers)
 
     def solve(self) -> LinearSolution | None:
-        """Solve with the present bounds; None if they leave nothing feasible."""
+        """Solve with the current bounds; return None if there is no optimal solution."""
         self._solver.run()
         self._solver.setOptionValue("solver", "simplex")
         if self._solver.getModelStatus() != self._highspy.HighsModelStatus.kOptimal:
@@ -124,7 +132,7 @@
         return LinearSolution(list(self._solver.getSolution().col_value), objective, 0.0)
 
     def bound(self, bounds: dict[int, tuple[float, float]]) -> None:
-        """Set lower and upper bounds of columns."""
+        """Set the (lower, upper) bounds of columns."""
         numpy = self._numpy
         columns = sorted(bounds)
         for column in columns:
@@ -138,15 +146,15 @@
 
     @property
     def spent_s(self) -> float:
-        """Seconds the solver has run so far, by its own timer."""
+        """The seconds that the solver has run so far, by its own timer."""
         return float(self._solver.getRunTime())
 
 
 def _new_solver(highspy: Any) -> Any:
-    """Return a silent single-threaded solver.
+    """Return a silent, single-threaded solver.
 
-    The binding's core class: ``highspy.Highs`` adds callbacks, not used here, and prints a
-    banner to standard output when it is made, before its output can be switched off.
+    It is the core class of the binding: ``highspy.Highs`` adds callbacks that are not used here,
+    and its constructor prints a banner to standard output before output can be disabled.
     """
     solver = highspy._core._Highs()
     solver.setOptionValue("output_flag", False)  # noqa: FBT003 - the library's signature
--- a/rooklug/placement/live_weights.py
+++ b/rooklug/placement/live_weights.py
@@ -1,4 +1,4 @@
-"""Which weights are live: by model, the last plan whose replicas all reported loaded."""
+"""The live weights: for each model, those of the newest plan whose replicas are all loaded."""
 
 import attrs
 
@@ -10,7 +10,7 @@
 
 @attrs.frozen
 class _Cells:
-    """One model's servable cells, and what they were made from."""
+    """The cached servable cells of one model, with the inputs they were computed from."""
 
     live: tuple[RouteShare, ...]
     planned: tuple[RouteShare, ...]
@@ -23,12 +23,18 @@
         planned: tuple[RouteShare, ...],
         hosts: set[str],
     ) -> bool:
-        """Return whether the cells were made from these very cells and hosts."""
+        """Return whether the cells were computed from these inputs.
+
+        Cells are compared by identity and host regions by value.
+        """
         return self.live is live and self.planned is planned and self.hosts == hosts
 
 
 class LiveWeights:
-    """Moves each model's weights from the old plan's to the new one's, and publishes them."""
+    """Switches each model's weights from the previous plan to the adopted one.
+
+    ``sequence`` numbers the published weights, from 1.
+    """
 
     def __init__(self, fleet: FleetState, guards: MoveGuards) -> None:
         self._fleet = fleet
@@ -42,7 +48,7 @@
         self.sequence = 0
 
     def adopt(self, plan: PlacementPlan) -> None:
-        """Aim at the weights of ``plan``."""
+        """Make the weights of ``plan`` the ones to switch to."""
         cells: dict[str, list[RouteShare]] = {}
         for cell in plan.matrix:
             if within_homes(cell) or not self._guards.within_homes:
@@ -51,7 +57,7 @@
         self._switched = set()
 
     def require_what_serves(self) -> None:
-        """Before the first plan, count every replica that serves as needed."""
+        """Mark every serving replica as required. Called before the first plan is adopted."""
         for model in self._fleet.known_models():
             needed: dict[str, int] = {}
             for slot in self._fleet.serving(model):
@@ -60,11 +66,11 @@
             self._required[model] = needed
 
     def needed(self, model: str, region: str) -> int:
-        """Return how many replicas the live weights need in ``region``."""
+        """Return how many replicas of ``model`` the live weights need in ``region``."""
         return self._required.get(model, {}).get(region, 0)
 
     def needed_in_all(self, model: str) -> int:
-        """Return how many replicas the live weights need in all regions."""
+        """Return how many replicas of ``model`` the live weights need in all regions."""
         return sum(self._required.get(model, {}).values())
 
     def has_switched(self, model: str) -> bool:
@@ -72,9 +78,9 @@
         return model in self._switched
 
     def switch(self, plan: PlacementPlan) -> list[str]:
-        """Make the plan's weights live where its replicas are in place.
+        """Make the plan's weights live for each model whose planned replicas are all loaded.
 
-        Returns the models whose weights change by that.
+        Returns the models whose weights change.
         """
         moved = []
         for model in self._fleet.known_models():
@@ -88,7 +94,7 @@
         return moved
 
     def publish(self, plan: PlacementPlan) -> PublishWeights | None:
-        """Return what to publish, or None if nothing changed."""
+        """Return the weights to publish, or None if they equal the last ones."""
         intended = self._intended(plan)
         matrix: list[RouteShare] = []
         for model in self._fleet.known_models():
@@ -106,7 +112,7 @@
         return self._last
 
     def _servable(self, model: str, hosts: set[str]) -> list[RouteShare]:
-        """Return a model's cells; recomputed only when their inputs have changed."""
+        """Return a model's servable cells; recomputed only if their inputs have changed."""
         live, planned = self._live.get(model, ()), self._planned.get(model, ())
         known = self._cells.get(model)
         if known is not None and known.rests_on(live, planned, hosts):
--- a/rooklug/placement/load_tracking.py
+++ b/rooklug/placement/load_tracking.py
@@ -1,4 +1,4 @@
-"""Loads in flight: sent again until seen, timed, given up; and the slots to avoid."""
+"""Loads in flight: retried until reported, and timed out; and the slots to avoid after that."""
 
 import attrs
 
@@ -7,7 +7,10 @@
 
 @attrs.define
 class PendingLoad:
-    """A load in flight. ``sent_at`` is the last time it was ordered."""
+    """A load in flight. Times are monotonic seconds.
+
+    ``sent_at`` is when the order was last sent, ``seen`` whether a report has shown the load.
+    """
 
     order: Load
     incarnation: str
@@ -24,7 +27,7 @@
 
 
 class LoadTracker:
-    """Keeps the loads in flight and the slots on which loads were given up."""
+    """Tracks the loads in flight, by (slot, model), and the slots on which loads have timed out."""
 
     def __init__(self, settings: MoveSettings) -> None:
         self.settings = settings
@@ -32,12 +35,15 @@
         self._avoided: dict[str, _Avoidance] = {}
 
     def start(self, order: Load, incarnation: str, load_s: float, now: float) -> None:
-        """Note a load ordered at ``now`` that usually takes ``load_s``."""
+        """Track a load ordered at ``now`` that usually takes ``load_s``.
+
+        Its deadline is ``load_timeout_factor`` times that.
+        """
         deadline = now + load_s * self.settings.load_timeout_factor
         self.pending[order.slot, order.model] = PendingLoad(order, incarnation, now, now, deadline)
 
     def observe(self, reports: dict[str, SlotReport]) -> list[PendingLoad]:
-        """Take what reports show; return the loads lost with a restart or a vanished slot."""
+        """Update the loads from reports; return those lost with a restart or a vanished slot."""
         lost = []
         for slot_model, load in sorted(self.pending.items()):
             report = reports.get(load.order.slot)
@@ -52,7 +58,10 @@
         return lost
 
     def overdue(self, now: float) -> list[PendingLoad]:
-        """Give up the loads past their deadline; avoid their slots for a growing time."""
+        """Remove and return the loads past their deadline.
+
+        Their slots are avoided, for a time that doubles with each further timeout.
+        """
         given_up = []
         for slot_model, load in sorted(self.pending.items()):
             if now >= load.deadline:
@@ -62,7 +71,7 @@
         return given_up
 
     def unseen(self, now: float) -> list[Load]:
-        """Return the orders that no report has shown for ``resend_s`` after they were sent."""
+        """Return the orders sent at least ``resend_s`` ago whose load no report has shown."""
         return [
             load.order
             for _, load in sorted(self.pending.items())
@@ -70,19 +79,19 @@
         ]
 
     def sent_again(self, order: Load, now: float) -> None:
-        """Note that an order was sent once more."""
+        """Record that an order was sent again at ``now``."""
         self.pending[order.slot, order.model].sent_at = now
 
     def forget(self, order: Load) -> None:
-        """Drop an order that isn't wanted any more."""
+        """Stop tracking an order that isn't wanted any more."""
         del self.pending[order.slot, order.model]
 
     def avoided_slots(self, now: float) -> frozenset[str]:
-        """Return the slots that get no load now."""
+        """Return the slots that get no load at ``now``."""
         return frozenset(slot for slot, entry in self._avoided.items() if entry.until > now)
 
     def on_slot(self, slot: str) -> set[str]:
-        """Return the models whose load on ``slot`` is in flight."""
+        """Return the models with a load in flight on ``slot``."""
         return {model for name, model in self.pending if name == slot}
 
     def _strike(self, slot: str, now: float) -> None:
--- a/rooklug/placement/matrix.py
+++ b/rooklug/placement/matrix.py
@@ -1,8 +1,8 @@
-"""The source-to-destination routing matrix: preference and weight, as in GSP.
+"""The source-to-destination routing matrix of preferences and weights, as in GSP.
 
-Preference 0 holds the planned destinations within the class's round-trip threshold.
-Higher ones are for spill: other regions in time, then late ones. No cell is ever outside
-a key's homes, or leads to another region whose weights allow no spill.
+Cells with preference 0 are the planned destinations within the round-trip threshold of the latency
+class. Higher preferences are for spill: first other regions in time, then late ones. No cell leads
+outside a key's home regions, or to another region whose weights allow no spill.
 """
 
 import attrs
@@ -35,7 +35,10 @@
     assignments: dict[str, list[str]],
     flows: list[Flow],
 ) -> tuple[RouteShare, ...]:
-    """Return the matrix for a placement and the traffic planned on it."""
+    """Return the matrix for a placement and its planned traffic.
+
+    Within each key and preference, the weights are normalised to a sum of 1.
+    """
     capacity = throughput(problem, assignments)
     planned: dict[DemandKey, dict[str, float]] = {}
     for flow in flows:
@@ -54,7 +57,7 @@
 def throughput(
     problem: PlacementProblem, assignments: dict[str, list[str]]
 ) -> dict[tuple[str, str], float]:
-    """Return the tokens/s of each (model, region) under ``assignments``."""
+    """Return the throughput (tokens/s) of each (model, region) under ``assignments``."""
     capacity: dict[tuple[str, str], float] = {}
     for slot in problem.slots:
         for model in assignments.get(slot.replica_id, ()):
--- a/rooklug/placement/measure.py
+++ b/rooklug/placement/measure.py
@@ -1,4 +1,4 @@
-"""Measurements of the planner: ``python -m rooklug.placement.measure oracle|gap|scale``."""
+"""Measures the planner: ``python -m rooklug.placement.measure oracle|gap|scale``."""
 
 import argparse
 import json
@@ -21,7 +21,10 @@
 
 @attrs.frozen
 class GapFigures:
-    """Relative distance of a solver to the best known objective over many cases."""
+    """Relative gaps of a solver to the best known objective over many cases.
+
+    ``best_found`` counts the cases with a gap of at most ``TOLERANCE``.
+    """
 
     cases: int
     best_found: int
@@ -31,12 +34,12 @@
 
 
 def relative_gap(objective: float, best: float) -> float:
-    """Return how far ``objective`` is above ``best``, relative to it."""
+    """Return how far ``objective`` is above ``best``, relative to ``best`` or to 1 if larger."""
     return (objective - best) / max(1.0, abs(best))
 
 
 def gap_figures(gaps: list[float]) -> GapFigures:
-    """Summarise relative gaps."""
+    """Summarise relative gaps; there must be at least one."""
     return GapFigures(
         len(gaps),
         sum(gap <= TOLERANCE for gap in gaps),
@@ -47,13 +50,13 @@
 
 
 def percentile(values: list[float], share: float) -> float:
-    """Return the value that ``share`` of ``values`` don't exceed (nearest rank)."""
+    """Return the value that a ``share`` of ``values`` don't exceed (nearest rank)."""
     ordered = sorted(values)
     return ordered[min(len(ordered) - 1, max(0, -(-int(share * 1000) * len(ordered) // 1000) - 1))]
 
 
 def measure_oracle(seeds: range) -> dict[str, GapFigures]:
-    """Compare the program and the greedy with every placement tried."""
+    """Compare the planner and the greedy solver with an exhaustive search, on tiny problems."""
     program, greedy = [], []
     for seed in seeds:
         problem = tiny_case(seed)
@@ -64,7 +67,10 @@
 
 
 def measure_gap(seeds: range) -> dict[str, GapFigures]:
-    """Compare the greedy with the program on small cases: objective, and capacity alone."""
+    """Compare the greedy solver with the integer program on small problems.
+
+    Both the objective and the filled units are compared, the latter only if all demand is placed.
+    """
     objective, capacity = [], []
     for seed in seeds:
         problem = random_case(seed)
@@ -80,7 +86,7 @@
 
 
 def filled_units(problem: PlacementProblem, assignments: dict[str, tuple[str, ...]]) -> float:
-    """Return the resource units that a placement fills."""
+    """Return the resource units that the models of a placement fill."""
     return sum(
         problem.models[model].resources[slot.resource].units
         for slot in problem.slots
@@ -89,10 +95,10 @@
 
 
 def measure_scale(seeds: range) -> dict[str, Any]:
-    """Time whole solves of the planned size from three starts.
+    """Time complete solves of the planned size from three starting points.
 
-    ``mismatched``: models loaded at random; ``cold``: none; ``drifted``: a plan is loaded,
-    demand has moved by up to a fifth, and every second time a zone is gone.
+    ``mismatched``: models are loaded at random. ``cold``: none are loaded. ``drifted``: a plan is
+    loaded, demand has changed by up to a fifth, and a zone is lost for every second seed.
     """
     figures: dict[str, Any] = {}
     for start in ("mismatched", "cold", "drifted"):
@@ -130,7 +136,7 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Run one measurement and print it as JSON."""
+    """Run the measurement that the arguments name and print its figures as JSON."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("what", choices=("oracle", "gap", "scale"))
     parser.add_argument("--seeds", type=int, default=100)
--- a/rooklug/placement/moves.py
+++ b/rooklug/placement/moves.py
@@ -1,12 +1,11 @@
-"""The move executor: from reported state to the adopted plan, step by step.
+"""The move executor: brings the reported state to the adopted plan, step by step.
 
-A pure state machine. Per model the dependencies are: load everywhere the plan wants it;
-then, once those replicas report it loaded, move the weights; then unload the rest. A slot
-that is full needs an unload before its load, which ties the graphs of two models together:
-such an unload may go early only if the plan whose weights are live can spare the replica.
+It is a pure state machine. For each model, the steps are: load it on all replicas that the plan
+assigns; once these report it loaded, switch the weights; then unload it elsewhere. A full slot
+needs an unload before its load, which makes one model's load depend on another model's unload:
+such an unload may come before the switch of weights only if the live weights can spare the replica.
 
-It starts from reports: whatever they show is the state, an own order counts only while it
-is in flight.
+Reports are the source of truth; the executor's own orders count only while they are in flight.
 """
 
 from rooklug.config.document import Model
@@ -28,7 +27,11 @@
 
 
 class MoveExecutor:
-    """Carries out placement plans. Call ``observe``, then ``step``, and obey the orders."""
+    """Carries out placement plans.
+
+    The caller passes reports to ``observe``, then calls ``step`` and executes the orders that it
+    returns. ``guards`` lets tests disable single safety checks.
+    """
 
     def __init__(
         self, models: dict[str, Model], settings: MoveSettings, guards: MoveGuards | None = None
@@ -45,13 +48,17 @@
         self._blocked: list[tuple[str, str]] = []
 
     def configure(self, models: dict[str, Model], settings: MoveSettings) -> None:
-        """Take the models and the pace of a new configuration; a plan for it should follow."""
+        """Apply the models and limits of a new configuration; a plan for it should follow."""
         self._settings = settings
         self._loads.settings = settings
         self._fleet.models = models
 
     def adopt(self, plan: PlacementPlan, now: float, cause: str = "") -> None:
-        """Aim at ``plan`` from now on. Weights that are live stay until its loads are done."""
+        """Make ``plan`` the target of all further steps.
+
+        The live weights of a model stay until its planned replicas are loaded. ``cause`` goes into
+        the decisions.
+        """
         if self._plan is EMPTY_PLAN:
             self._weights.require_what_serves()
         self._plan = plan
@@ -60,7 +67,7 @@
         self._blocked = []
 
     def observe(self, reports: dict[str, SlotReport], now: float) -> None:
-        """Take the newest report of every replica that exists."""
+        """Replace all reports by the newest one of each existing replica."""
         for load in self._loads.observe(reports):
             cause = f"{load.order.slot} restarted or vanished"
             self._decide("load_lost", cause, load.order.model, load.order.slot)
@@ -68,7 +75,7 @@
         self._time_foreign_loads(now)
 
     def step(self, now: float) -> list[Order]:
-        """Return the orders that are due, in order. Nothing before the first plan."""
+        """Return the orders to execute now, in sequence; none before the first plan."""
         if self._plan is EMPTY_PLAN:
             return []
         orders: list[Order] = []
@@ -85,9 +92,9 @@
         return orders
 
     def weights_published(self, sequence: int, now: float) -> None:
-        """Take note that the weights of ``sequence`` (and earlier) are accepted by the core.
+        """Record that the core has accepted the weights up to ``sequence``; this starts draining.
 
-        A withdrawal that changed nothing in the newest weights has no weights of its own.
+        A withdrawal that left the published weights unchanged counts as part of the newest ones.
         """
         for withdrawal in self._fleet.withdrawn.values():
             carried_by = min(withdrawal.sequence, self._weights.sequence)
@@ -95,16 +102,19 @@
                 withdrawal.drained_at = now + self._settings.drain_s
 
     def decisions(self) -> list[MoveDecision]:
-        """Return the decisions since the last call."""
+        """Return and clear the decisions since the previous call."""
         taken, self._decisions = self._decisions, []
         return taken
 
     def avoided_slots(self, now: float) -> frozenset[str]:
-        """Return the slots where loads were given up of late: ``PlacementProblem.avoid_slots``."""
+        """Return the slots to avoid after timed-out loads, for ``PlacementProblem.avoid_slots``."""
         return self._loads.avoided_slots(now)
 
     def committed_models(self, slot: str) -> tuple[str, ...]:
-        """Return what a solve should count as loaded on ``slot``: loaded, or being loaded."""
+        """Return the models that a solve should treat as loaded on ``slot``.
+
+        These are the loaded ones and those with a load in flight, without the withdrawn ones.
+        """
         report = self._fleet.reports.get(slot)
         if report is None:
             return ()
@@ -122,7 +132,7 @@
         return orders
 
     def _send_again(self, now: float) -> list[Order]:
-        """Repeat the loads no report shows, if they are still wanted and still fit."""
+        """Send loads again that no report shows; forget those no longer wanted or without room."""
         orders: list[Order] = []
         for order in self._loads.unseen(now):
             wanted = order.model in self._plan.assignments.get(order.slot, ())
@@ -137,7 +147,10 @@
         return orders
 
     def _time_foreign_loads(self, now: float) -> None:
-        """Time the wanted loads that reports show and this executor didn't order."""
+        """Track planned loads that reports show but that this executor didn't order.
+
+        So they time out like its own. Slots to avoid are left out.
+        """
         avoided = self._loads.avoided_slots(now)
         for slot, report in self._fleet.reports.items():
             wanted = set(self._plan.assignments.get(slot, ())) if slot not in avoided else set()
@@ -165,7 +178,10 @@
         return orders
 
     def _is_short(self, model: str) -> bool:
-        """Return whether ``model`` lacks replicas that its demand needs: repair, not a move."""
+        """Return whether ``model`` has fewer serving replicas than its demand needs.
+
+        Its loads then repair a shortage and aren't bounded by ``max_loading``.
+        """
         planned = sum(self._plan.required.get(model, {}).values())
         live = self._weights.needed_in_all(model)
         needed = min(planned, live) if live else planned
@@ -181,7 +197,7 @@
     # Unloads ---------------------------------------------------------------------------
 
     def _withdraw(self, now: float) -> None:
-        """Withdraw what the plan doesn't want and nothing needs; take back what it wants."""
+        """Withdraw models neither planned nor needed; cancel withdrawals of planned ones."""
         for slot, report in self._fleet.reports.items():
             wanted = self._plan.assignments.get(slot, ())
             for model in (*report.loaded, *report.loading):
@@ -236,7 +252,10 @@
         return orders
 
     def _still_spare(self, slot: str, model: str) -> bool:
-        """Check again right before the unload: others may have been lost meanwhile."""
+        """Return whether the replica is still not needed, right before its unload.
+
+        Other replicas may have been lost since its withdrawal.
+        """
         report = self._fleet.reports[slot]
         if not self._guards.keep_required or model not in report.loaded or not report.serving:
             return True
@@ -256,7 +275,7 @@
         self._decisions.append(MoveDecision(kind, cause, f"{kind}: {model} on {where}"))
 
     def _record_blocked(self) -> None:
-        """Record once a plan the loads for which nothing in flight will make room."""
+        """Record, once per plan, the loads for which no order in flight will make room."""
         if self._loads.pending or self._fleet.withdrawn:
             return
         stuck = [
--- a/rooklug/placement/objective.py
+++ b/rooklug/placement/objective.py
@@ -1,8 +1,8 @@
-"""The objective of a placement as one weighted sum, in resource units.
+"""The objective of a placement: a weighted sum of costs in resource units, to be minimised.
 
-Order of importance: unplaced demand by priority, intents out of reach, late traffic,
-missing headroom, capacity, churn. Each step outweighs the next by a fixed ratio a unit
-of capacity, so the order holds up to those ratios.
+In order of importance: unplaced demand by priority, models out of reach of their demand, late
+traffic, missing headroom for a loss, capacity, churn. Each cost has a fixed ratio to a unit of
+capacity, so this order holds up to these ratios.
 """
 
 from collections.abc import Mapping, Sequence
@@ -21,13 +21,13 @@
 LATE_RATIO = 200.0
 READINESS_RATIO = 5.0
 LOAD_SHARE = 0.25
-"""Cost of a load, as a share of the units it fills: a move must save more than this."""
+"""Cost of a load as a share of the units it fills; a move must save more than this."""
 UNLOAD_SHARE = 0.05
 
 
 @attrs.frozen
 class ObjectiveTerms:
-    """The terms of the objective, each already weighted (resource units)."""
+    """The terms of the objective, each already weighted, in resource units."""
 
     unplaced: float
     uncovered: float
@@ -38,12 +38,15 @@
 
     @property
     def total(self) -> float:
-        """The value that solvers minimise."""
+        """The sum of all terms, which the solvers minimise."""
         return sum(attrs.astuple(self))
 
 
 def priority_ranks(problem: PlacementProblem) -> dict[str, int]:
-    """Return each model's rank, 0 lowest, with at most ``PRIORITY_LEVELS`` levels."""
+    """Return each model's priority rank, 0 for the lowest.
+
+    More than ``PRIORITY_LEVELS`` distinct priorities are merged into that many ranks.
+    """
     distinct = sorted({model.priority for model in problem.models.values()})
     steps = max(1, len(distinct) - 1)
     top = min(steps, PRIORITY_LEVELS - 1)
@@ -52,30 +55,30 @@
 
 
 def unplaced_cost(problem: PlacementProblem, model: str, rank: int) -> float:
-    """Return the cost of a token/s of ``model`` that is served nowhere."""
+    """Return the cost of a token/s of ``model`` that no region serves."""
     return UNPLACED_RATIO * PRIORITY_RATIO**rank * unit_cost(problem.models[model])
 
 
 def late_cost(problem: PlacementProblem, model: str) -> float:
-    """Return the cost of a token/s served beyond its round-trip threshold."""
+    """Return the cost of a token/s of ``model`` served beyond its round-trip threshold."""
     return LATE_RATIO * unit_cost(problem.models[model])
 
 
 def coverage_cost(problem: PlacementProblem, model: str, rank: int) -> float:
-    """Return the cost of a demand key with no replica of its model in reach."""
+    """Return the cost of a coverage group (see ``coverage_groups``) that doesn't host ``model``."""
     units = min((need.units for need in problem.models[model].resources.values()), default=1.0)
     return COVERAGE_RATIO * PRIORITY_RATIO**rank * units
 
 
 def readiness_cost(problem: PlacementProblem, model: str) -> float:
-    """Return the cost of a token/s that a planned-for loss would leave unserved."""
+    """Return the cost of a token/s of ``model`` that a loss to be survived would leave unserved."""
     return READINESS_RATIO * unit_cost(problem.models[model])
 
 
 def evaluate(
     problem: PlacementProblem, assignments: Mapping[str, Sequence[str]], flows: list[Flow]
 ) -> ObjectiveTerms:
-    """Return the objective of a placement and its traffic, whoever made it."""
+    """Return the objective of a placement and its traffic, whichever solver found them."""
     ranks = priority_ranks(problem)
     loaded, filled, unloaded = _occupancy(problem, assignments)
     return ObjectiveTerms(
@@ -115,7 +118,11 @@
 
 
 def coverage_groups(problem: PlacementProblem) -> list[tuple[str, tuple[str, ...]]]:
-    """Return (model, regions in time) of which one must host the model, each once."""
+    """Return the distinct (model, regions) of which at least one region should host the model.
+
+    For a demand key, these are the regions within its round-trip threshold; for a model without
+    demand, all regions.
+    """
     groups = set()
     keyed = set()
     for key in problem.demand:
@@ -140,7 +147,7 @@
 def hosting_regions(
     problem: PlacementProblem, assignments: Mapping[str, Sequence[str]]
 ) -> dict[str, set[str]]:
-    """Return by model the regions that host it."""
+    """Return the regions that host each model under ``assignments``."""
     hosts: dict[str, set[str]] = {}
     for slot in problem.slots:
         for model in assignments.get(slot.replica_id, ()):
--- a/rooklug/placement/orders.py
+++ b/rooklug/placement/orders.py
@@ -1,4 +1,4 @@
-"""Inputs and orders of the move executor, as plain values."""
+"""Inputs, orders, settings and decisions of the move executor, as plain values."""
 
 import attrs
 
@@ -7,10 +7,10 @@
 
 @attrs.frozen
 class SlotReport:
-    """What is known of a replica from its last report.
+    """The last reported state of a replica.
 
-    ``serving`` is False for one that is unhealthy or draining: it counts for nothing and
-    gets no load. A replica that isn't reported at all is gone.
+    ``serving`` is False for an unhealthy or draining replica, which isn't counted as serving any
+    model and gets no load. A replica without a report counts as gone.
     """
 
     replica_id: str
@@ -25,7 +25,7 @@
 
 @attrs.frozen
 class Load:
-    """Load ``model`` on replica ``slot``. The same ``order_id`` again is the same order."""
+    """Load ``model`` on the replica with id ``slot``; a retry has the same ``order_id``."""
 
     slot: str
     model: str
@@ -34,7 +34,7 @@
 
 @attrs.frozen
 class Unload:
-    """Unload ``model`` from replica ``slot``, also while it is still loading."""
+    """Unload ``model`` from the replica with id ``slot``, even if it is still loading."""
 
     slot: str
     model: str
@@ -43,9 +43,10 @@
 
 @attrs.frozen
 class PublishWeights:
-    """Publish the routing matrix and the models each replica should serve.
+    """Publish the routing matrix and the models that each replica should serve.
 
-    Every cell leads to a region where some replica serves the model now.
+    Each cell leads to a region where at least one replica serves the model now. ``intended`` is by
+    replica id.
     """
 
     sequence: int
@@ -58,7 +59,10 @@
 
 @attrs.frozen
 class MoveDecision:
-    """One decision of the executor, tied to what caused it."""
+    """One decision of the executor, with its cause.
+
+    ``kind`` is a value of ``rooklug.controller.decision_log.DecisionKind``.
+    """
 
     kind: str
     cause: str
@@ -67,11 +71,15 @@
 
 @attrs.frozen
 class MoveSettings:
-    """Limits and time-outs of the executor; times in seconds.
-
-    ``drain_s`` is from the published withdrawal of a model to its unload: time for every
-    front to see it and for running requests to end. With ``needs_confirmation`` it counts
-    from ``MoveExecutor.weights_published`` instead of from the order to publish.
+    """Limits and timeouts of the executor.
+
+    ``max_loading`` bounds the loads in flight of models that have all needed replicas.
+    ``load_timeout_factor`` is the deadline of a load as a multiple of its usual duration.
+    ``drain_s`` is the time from the published withdrawal of a model to its unload, in which all
+    fronts receive it and running requests end. With ``needs_confirmation``, it starts at
+    ``MoveExecutor.weights_published`` instead of at the order to publish. ``resend_s`` is the retry
+    interval of orders. After a timed-out load, its slot is avoided for ``avoid_s``, doubled with
+    each further one up to ``avoid_limit_s``.
     """
 
     max_loading: int = 2
@@ -85,7 +93,14 @@
 
 @attrs.frozen
 class MoveGuards:
-    """The executor's safety checks. All on; tests switch one off to show that it is needed."""
+    """The executor's safety checks, all enabled; tests disable one to show that it is needed.
+
+    ``wait_for_loaded``: switch weights only once the planned replicas are loaded.
+    ``weights_before_unload``: unload only after the withdrawal is published and drained.
+    ``keep_required``: keep the replicas that the live weights need.
+    ``check_capacity``: load only what fits on the slot.
+    ``within_homes``: drop cells that lead outside a key's home regions.
+    """
 
     wait_for_loaded: bool = True
     weights_before_unload: bool = True
--- a/rooklug/placement/planner.py
+++ b/rooklug/placement/planner.py
@@ -1,4 +1,4 @@
-"""The planner's entry: one problem in, one plan out."""
+"""The entry point of the planner: turns a placement problem into a plan."""
 
 import attrs
 
@@ -13,11 +13,14 @@
 
 SOLVER_NAME = "highs"
 SLOTTING_ROUNDS = 2
-"""Solves at most, each with fewer replicas where the last one's didn't fit the slots."""
+"""Maximum number of solves.
+
+Each further solve limits the replica counts that didn't fit the slots in the previous one.
+"""
 AGAIN_SHARE = 0.4
-"""No further solve begins after this share of the time limit."""
+"""No further solve starts after this share of the time limit."""
 ROUTE_SHARE = 0.15
-"""Share of the time limit that is kept for routing after the slots are assigned."""
+"""Share of the time limit that is reserved for routing after the slots are assigned."""
 
 NO_SOLVER = "the integer solver isn't installed"
 SOLVER_TIMED_OUT = "the integer solver found nothing in time"
@@ -25,10 +28,10 @@
 
 
 def solve(problem: PlacementProblem) -> PlacementPlan:
-    """Return a plan for ``problem``; never raises on a legal one.
+    """Return a plan for ``problem``; never raises for a valid one.
 
-    A module-level function, so that it can run as a ``Compute`` effect in a thread. Falls
-    back to the greedy plan where the integer program has no better answer in time.
+    Falls back to the greedy plan if the integer program has no better answer in time. It is a
+    module-level function, so that it can run as a ``Compute`` effect in a thread.
     """
     capacity = fill(problem, allowed_loads(problem))
     if not highs_available():
@@ -44,7 +47,7 @@
 
 
 def plan_by_program(problem: PlacementProblem) -> PlacementPlan | None:
-    """Return the integer program's plan, or None if it found none in time."""
+    """Return the best plan of the integer program, or None if it found none in time."""
     program = PlacementProgram(problem)
     if not program.groups:
         return None
@@ -66,7 +69,7 @@
 def _finish(
     problem: PlacementProblem, program: PlacementProgram, answer: ProgramAnswer
 ) -> tuple[PlacementPlan | None, dict[Candidate, int]]:
-    """Return the plan of an answer, and what fitted of the candidates that didn't all fit."""
+    """Return the plan of an answer, and the counts that fitted where not all replicas did."""
     assignments = assign_slots(program.groups, answer.counts, program.units, allowed_loads(problem))
     counts = _counts(program, assignments)
     left_out = {
@@ -83,7 +86,7 @@
 
 
 def _gap(objective: float, bound: float) -> float:
-    """Return the proven relative distance of an objective to the best one."""
+    """Return the relative gap of an objective to a proven lower bound."""
     return max(0.0, objective - bound) / max(1e-9, abs(objective))
 
 
--- a/rooklug/placement/problem.py
+++ b/rooklug/placement/problem.py
@@ -1,7 +1,7 @@
 """The placement problem and its solution, as plain values.
 
-After GSP's PlacementSpec and placement plan: one solve gives replica counts and a
-source-to-destination routing matrix of preference and weight.
+Modelled on GSP's PlacementSpec and placement plan: one solve gives replica counts and a
+source-to-destination routing matrix of preferences and weights.
 """
 
 import attrs
@@ -11,7 +11,10 @@
 
 @attrs.frozen
 class DemandKey:
-    """What demand is counted by."""
+    """The key by which demand is counted and routed.
+
+    Traffic may be served only in ``home_regions``; an empty tuple allows all regions.
+    """
 
     model: str
     latency_class: str
@@ -21,7 +24,10 @@
 
 @attrs.frozen
 class ReplicaSlot:
-    """A replica that models can be loaded on (one bin)."""
+    """A replica that models can be loaded on: one bin of the packing problem.
+
+    ``resource_units`` is its capacity.
+    """
 
     replica_id: str
     region: str
@@ -33,7 +39,7 @@
 
 @attrs.frozen
 class RegionFacts:
-    """A region as the planner sees it."""
+    """A region's weights, and its round trips in ms to other regions by name."""
 
     weights: RegionWeights
     round_trip_ms: dict[str, float]
@@ -41,11 +47,12 @@
 
 @attrs.frozen
 class PlacementProblem:
-    """Everything one solve reads. Demand is in load tokens/s (prompt/8 + answer tokens).
+    """The complete input of one solve. Demand is in load tokens/s (prompt/8 + answer tokens).
 
-    A demand of 0 says: configured, keep a replica in reach. No new model is loaded on
-    ``avoid_slots``; what they hold may stay. ``ReplicaSlot.loaded_models`` should also hold
-    the models whose load is under way, so that two solves don't ask for it twice.
+    A demand of 0 asks to keep a replica of the model in reach. No new model is loaded on
+    ``avoid_slots``, but their loaded models may stay. ``ReplicaSlot.loaded_models`` should include
+    the models with a load in flight, so that a second solve doesn't ask for the same load again.
+    ``max_moves`` bounds loads and unloads (see ``guardrail.py``).
     """
 
     models: dict[str, Model]
@@ -60,7 +67,11 @@
 
 @attrs.frozen
 class RouteShare:
-    """One cell of the routing matrix. ``planned`` is the load (tokens/s) that the plan sends."""
+    """One cell of the routing matrix.
+
+    Lower preferences are used first; ``weight`` is the share within a preference. ``planned`` is
+    the traffic (tokens/s) that the plan assigns to the cell.
+    """
 
     demand_key: DemandKey
     destination_region: str
@@ -71,7 +82,11 @@
 
 @attrs.frozen
 class Violation:
-    """An intent that the plan doesn't meet. ``amount`` is in tokens/s or replicas."""
+    """An intent that the plan doesn't meet.
+
+    ``intent`` is "demand", "latency", "reach" or "readiness", ``subject`` the model. ``amount`` is
+    in tokens/s, or in replicas for "reach".
+    """
 
     intent: str
     subject: str
@@ -81,10 +96,11 @@
 
 @attrs.frozen
 class PlacementPlan:
-    """The solution: models for each slot, the matrix, and what could not be placed.
+    """The solution: the models of each slot, the routing matrix, and what could not be placed.
 
-    ``required`` is, by model and region, how many replicas the planned traffic needs there;
-    ``gap`` the proven relative distance to the best objective (0 where none is known).
+    ``assignments`` is by replica id, ``unplaced`` in tokens/s. ``required`` is how many replicas
+    the planned traffic needs, by model and region. ``gap`` is the proven relative distance to the
+    best objective (0 if none is known).
     """
 
     assignments: dict[str, tuple[str, ...]]
--- a/rooklug/placement/program.py
+++ b/rooklug/placement/program.py
@@ -1,10 +1,10 @@
-"""The integer program: replicas by model and slot group, and traffic, in one solve.
+"""The integer program, which finds replica counts and traffic in one solve.
 
-Columns: integer replicas; loads and unloads against what is loaded; the share of the
-replicas that serves the region's own and other regions' traffic; traffic (tokens/s) by
-commodity and destination; slacks for demand, coverage and headroom.
-Rows: demand, throughput, the weights serve, spill and reserve, capacity of slots,
-the guardrail on loads, coverage, and headroom for a loss.
+Columns: the integer number of replicas by model and slot group; loads and unloads relative to what
+is loaded; how many of the replicas serve the region's own and other regions' traffic; traffic
+(tokens/s) by commodity and destination; slacks for demand, coverage and headroom.
+Rows: demand, throughput, the weights serve, spill and reserve, the capacity of slots, the guardrail
+on loads, coverage, and headroom for a loss.
 """
 
 import attrs
@@ -29,13 +29,13 @@
 from rooklug.placement.slot_capacity import add_slot_capacity
 
 BRANCHING_LIMIT = 100
-"""Up to this many replica columns HiGHS branches; beyond, the relaxation is dived into."""
+"""Up to this many replica columns, HiGHS solves by branch and bound; above it, by diving."""
 REPACKING_SHARE = 0.12
 
 
 @attrs.frozen
 class Candidate:
-    """A model that may be placed on a group of equal slots."""
+    """A model that can run on a group of slots, given by its index in ``groups``."""
 
     model: str
     group_index: int
@@ -43,7 +43,7 @@
 
 @attrs.frozen
 class ProgramAnswer:
-    """Replica counts by candidate, traffic, and the proven relative gap."""
+    """A solution of the program: replica counts by candidate, traffic, and proven relative gap."""
 
     counts: dict[Candidate, int]
     flows: list[Flow]
@@ -52,7 +52,11 @@
 
 
 class PlacementProgram:
-    """Builds the program of one problem and reads its solution back."""
+    """Builds the program of one problem, solves it and reads its solutions.
+
+    ``replicas`` holds the column of each candidate's replica count, ``units`` the resource units of
+    each candidate's replica.
+    """
 
     def __init__(self, problem: PlacementProblem) -> None:
         self.problem = problem
@@ -71,7 +75,7 @@
         self._build()
 
     def solve(self, limit_s: float) -> ProgramAnswer | None:
-        """Return the best answer found within ``limit_s``, or None."""
+        """Return the best answer found within ``limit_s``, or None if there is none."""
         if len(self.replicas) > BRANCHING_LIMIT:
             return self._dive(limit_s)
         return self._read(minimise(self.model, limit_s))
@@ -82,7 +86,7 @@
 
     @property
     def spent_s(self) -> float:
-        """Seconds the solver has run so far, by its own timer; 0 where it branches."""
+        """The seconds that the solver has run so far, by its own timer; 0 unless it dives."""
         return self._diver.spent_s if self._diver is not None else 0.0
 
     def _dive(self, limit_s: float) -> ProgramAnswer | None:
@@ -105,11 +109,12 @@
         return {column: self._ranks[candidate.model] for candidate, column in self.replicas.items()}
 
     def route(self, counts: dict[Candidate, int], limit_s: float) -> list[Flow] | None:
-        """Return the best traffic for fixed replica counts, as even as it can be.
+        """Return the best traffic for fixed replica counts, with utilisation balanced.
 
-        The program's own traffic fills some replicas to the limit and leaves others idle;
-        here each model's fullest region is made as empty as the weights allow, and among
-        equals the nearer region is taken.
+        The traffic that the program itself finds may fill some replicas completely and leave
+        others idle. Here, the highest utilisation of each model's regions is minimised as far as
+        the weights allow, and nearer regions are preferred. Returns None if nothing is found
+        within ``limit_s``.
         """
         fixed = self.model.relaxed()
         for candidate, column in self.replicas.items():
@@ -149,7 +154,10 @@
         self.model.row(self._loads, upper=float(self._guardrail()))
 
     def _guardrail(self) -> int:
-        """Large problems keep some loads back for repacking slots afterwards."""
+        """Return the limit on loads.
+
+        Large problems reserve ``REPACKING_SHARE`` of it for repacking slots afterwards.
+        """
         allowed = allowed_loads(self.problem)
         if len(self.replicas) <= BRANCHING_LIMIT:
             return allowed
@@ -267,7 +275,10 @@
     def _add_headroom(
         self, demand: CoverageDemand, left: list[tuple[int, float]], losses: int
     ) -> None:
-        """Ask that what is ``left`` after one of ``losses`` like losses carries the demand."""
+        """Add a row: the throughput ``left`` after a loss must serve the demand, or costs apply.
+
+        The row stands for ``losses`` equivalent losses, whose costs are added up.
+        """
         price = cost.readiness_cost(self.problem, demand.model) * losses
         missing = self.model.column(price)
         self.model.row([*left, (missing, 1.0)], lower=demand.load)
@@ -290,7 +301,10 @@
         )
 
     def _lost_in_zone(self, model: str, region: str) -> list[tuple[int, float]]:
-        """Add the replicas that go with one zone, spread evenly and rounded up."""
+        """Add columns for the replicas lost with one zone: an even share, rounded up.
+
+        Returns the entries of their throughput, which are negative.
+        """
         zones = self._domains((region,))
         usable = usable_share(self.problem.regions[region])
         entries = []
--- a/rooklug/placement/published.py
+++ b/rooklug/placement/published.py
@@ -1,4 +1,4 @@
-"""The matrix that may be published now: planned cells, as far as replicas serve them."""
+"""The cells that may be published now: those that lead to a region where replicas serve."""
 
 import attrs
 
@@ -8,10 +8,10 @@
 def servable_cells(
     live: tuple[RouteShare, ...], planned: tuple[RouteShare, ...], hosts: set[str]
 ) -> list[RouteShare]:
-    """Return one model's cells that lead to ``hosts``, weights normalised again.
+    """Return one model's cells that lead to ``hosts``, with weights normalised again.
 
-    ``live`` cells go first. A demand key that they leave with no host gets the ``planned``
-    ones, as far as those have hosts already.
+    ``live`` cells take precedence. A demand key for which none of them leads to a host gets its
+    ``planned`` cells that do.
     """
     rows = _rows(live, hosts)
     for key, cells in _rows(planned, hosts).items():
@@ -35,6 +35,6 @@
 
 
 def within_homes(cell: RouteShare) -> bool:
-    """Return whether a cell stays inside its key's homes."""
+    """Return whether a cell leads to one of its key's home regions, or the key has none."""
     homes = cell.demand_key.home_regions
     return not homes or cell.destination_region in homes
--- a/rooklug/placement/readiness.py
+++ b/rooklug/placement/readiness.py
@@ -1,8 +1,8 @@
-"""Disaster readiness: would what is left after a loss still carry the demand?
+"""Disaster readiness: whether the replicas left after a loss can still serve the demand.
 
-After GSP: the loss of any single region (or, here, zone) should not be noticed. The check
-compares throughput in reach with demand by model; it doesn't route, so it is necessary
-and not sufficient; ``rooklug.placement.whatif`` routes.
+As in GSP, the loss of any single region (or, here, zone) should not be noticed by users. The check
+compares the throughput in reach with the demand, model by model. It doesn't route, so it is a
+necessary condition but not a sufficient one; ``rooklug.placement.whatif`` routes.
 """
 
 from collections.abc import Mapping, Sequence
@@ -18,7 +18,10 @@
 
 @attrs.frozen
 class Shortfall:
-    """What one loss would leave unserved of one model. ``missing`` is in tokens/s."""
+    """The demand of one model that one loss would leave unserved.
+
+    ``lost`` is the region or zone; ``missing`` is in tokens/s.
+    """
 
     model: str
     lost: str
@@ -27,7 +30,7 @@
 
 @attrs.frozen
 class CoverageDemand:
-    """Demand (tokens/s) of a model that the same set of regions may serve."""
+    """The demand (tokens/s) of a model that one set of regions may serve."""
 
     model: str
     regions: tuple[str, ...]
@@ -35,7 +38,7 @@
 
 
 def coverage_demand(problem: PlacementProblem) -> list[CoverageDemand]:
-    """Return the demand of each model by the set of regions that may serve it."""
+    """Return the demand of each model, grouped by the set of regions that may serve it."""
     loads: dict[tuple[str, tuple[str, ...]], float] = {}
     for key, load in problem.demand.items():
         regions = tuple(sorted(destination.region for destination in destinations(problem, key)))
@@ -49,9 +52,9 @@
 def shortfalls(
     problem: PlacementProblem, assignments: Mapping[str, Sequence[str]]
 ) -> list[Shortfall]:
-    """Return what each loss that the problem plans for would leave unserved.
+    """Return what each loss would leave unserved that the problem asks to survive.
 
-    Demand that may live in one region only isn't counted against that region's loss.
+    Demand that only one region (or zone) can serve isn't counted for its loss.
     """
     if problem.readiness is Readiness.NONE:
         return []
@@ -78,7 +81,7 @@
 def readiness_violations(
     problem: PlacementProblem, assignments: Mapping[str, Sequence[str]]
 ) -> list[Violation]:
-    """Return the shortfalls as violations."""
+    """Return the shortfalls as violations of the intent "readiness"."""
     return [
         Violation(
             INTENT,
--- a/rooklug/placement/slot_capacity.py
+++ b/rooklug/placement/slot_capacity.py
@@ -1,4 +1,4 @@
-"""Rows of the program that keep replica counts within the capacity of a group's slots."""
+"""Rows of the integer program that keep replica counts within the capacity of the slots."""
 
 from rooklug.placement.groups import SlotGroup, packing_patterns
 from rooklug.placement.linear import LinearModel
@@ -7,10 +7,10 @@
 def add_slot_capacity(
     model: LinearModel, group: SlotGroup, columns: dict[str, int], units: dict[str, float]
 ) -> None:
-    """Bound the replica ``columns`` of a group by its units, and by patterns of its slots.
+    """Bound a group's replica ``columns`` by its total units and by the patterns of its slots.
 
-    ``units`` is what a replica of each model takes. A pattern is a maximal way to fill one
-    slot, as counts by size; a slot holds a model at most once.
+    ``units`` are the resource units of a replica, by model. A pattern is a maximal way to fill one
+    slot, as counts by size. A slot holds each model at most once.
     """
     used = [(columns[name], size) for name, size in units.items()]
     model.row(used, upper=group.units * len(group.slots))
--- a/rooklug/placement/slotting.py
+++ b/rooklug/placement/slotting.py
@@ -1,7 +1,7 @@
-"""Which slot gets which model, given how many replicas each group of slots should hold.
+"""Assigns models to single slots, given the replica counts of each group of slots.
 
-Keeps what is loaded, spreads a model over zones, and repacks a group only where models
-would otherwise not fit.
+It keeps loaded models, spreads each model over zones, and repacks a group only if the models would
+otherwise not fit.
 """
 
 from enum import Enum
@@ -15,10 +15,10 @@
 
 
 class FillOrder(Enum):
-    """How an attempt goes about it.
+    """The strategy of one attempt to fill a group, from the fewest loads to the best packing.
 
-    Keep everything loaded; keep it and move small models aside where a large one finds no
-    room; or forget what is loaded. The first needs the fewest loads, the last packs best.
+    ``KEEP_ALL`` keeps loaded models in place. ``PACKING`` also moves small models to other slots
+    where a large one doesn't fit. ``FRESH`` ignores what is loaded.
     """
 
     KEEP_ALL = "keep all"
@@ -28,7 +28,11 @@
 
 @attrs.define
 class GroupFill:
-    """One attempt to fill a group: models by slot, and what it left out (units)."""
+    """The result of one attempt to fill a group.
+
+    ``models`` is by replica id. ``left_out_units`` are the units of the replicas that found no
+    slot, ``loads`` the number of models on slots that don't have them loaded.
+    """
 
     models: dict[str, list[str]]
     left_out_units: float = 0.0
@@ -41,9 +45,11 @@
     units: dict[Candidate, float],
     allowed_loads: int,
 ) -> dict[str, list[str]]:
-    """Return the models of each slot for the replica ``counts`` of each model_region.
+    """Return the models of each slot, by replica id, for the replica ``counts`` of each candidate.
 
-    Never more than ``allowed_loads`` models on slots that don't hold them now.
+    ``units`` are the resource units of a replica of each candidate. At most
+    ``allowed_loads`` models are placed on slots that don't have them loaded, unless the counts
+    themselves need more.
     """
     assignments: dict[str, list[str]] = {}
     in_zone: dict[tuple[str, str, str], int] = {}
@@ -70,7 +76,7 @@
     in_zone: dict[tuple[str, str, str], int],
     allowed_loads: int,
 ) -> GroupFill:
-    """Return the first order's fill that leaves nothing out, else the one that leaves least."""
+    """Return the first fill that leaves nothing out, else the one that leaves out least."""
     fills = []
     for order in FillOrder:
         fill = _Filler(group, wanted, sizes, in_zone, allowed_loads).run(order)
@@ -106,7 +112,10 @@
 
 @attrs.frozen
 class _Ejection:
-    """Models of ``slot`` and the slots they move to, so that another one fits there."""
+    """The models to move from ``slot`` to other slots, so that a further model fits there.
+
+    ``loads`` is the number of additional loads, including that of the further model.
+    """
 
     slot: ReplicaSlot
     moved: tuple[tuple[str, ReplicaSlot], ...]
@@ -132,7 +141,7 @@
         self._fill = GroupFill({slot.replica_id: [] for slot in group.slots})
 
     def run(self, order: FillOrder) -> GroupFill:
-        """Fill the group; large models first, and of one size the most numerous first."""
+        """Fill the group: large models first, and among equal sizes the most numerous first."""
         models = sorted(
             self._missing, key=lambda model: (-self._sizes[model], -self._missing[model], model)
         )
@@ -180,7 +189,10 @@
         return True
 
     def _ejection(self, model: str, slot: ReplicaSlot) -> "_Ejection | None":
-        """Find new slots for the smallest models of ``slot`` until ``model`` fits there."""
+        """Find other slots for the smallest models of ``slot`` until ``model`` fits there.
+
+        Returns None if it can't be made to fit.
+        """
         here = self._fill.models[slot.replica_id]
         if model in here or (self._group.avoided and model not in slot.loaded_models):
             return None
--- a/rooklug/placement/whatif.py
+++ b/rooklug/placement/whatif.py
@@ -1,8 +1,8 @@
-"""What a change would do: a region or zone gone, or another number of replicas in a region.
+"""Simulates a change: the loss of a region or zone, or another number of replicas in a region.
 
-After GSP's simulations of disasters, region turn-up and exit. Two answers: *at once*, with
-the replicas that are left and what they hold; and *replanned*, after as many moves as it
-takes. ``python -m rooklug.placement.whatif problem.json --without cairo``.
+Modelled on GSP's simulations of disasters and of the addition and removal of regions. There are two
+outcomes: *at once*, with the remaining replicas and their loaded models; and *replanned*, after as
+many moves as needed. ``python -m rooklug.placement.whatif problem.json --without cairo``.
 """
 
 import argparse
@@ -23,7 +23,7 @@
 
 @attrs.frozen
 class CapacityChange:
-    """A region with ``replicas`` replicas from now on."""
+    """Sets the number of replicas in a region."""
 
     region: str
     replicas: int
@@ -31,7 +31,11 @@
 
 @attrs.frozen
 class Outcome:
-    """How demand fares after a change. Shares are of the demand in tokens/s."""
+    """How well a plan serves the demand.
+
+    ``served_share`` is the served share of all demand (tokens/s); ``units_used`` are resource
+    units; ``loads`` is the number of loads that the plan needs.
+    """
 
     served_share: float
     units_used: float
@@ -41,9 +45,9 @@
 
 @attrs.frozen
 class WhatIf:
-    """A change with its outcome at once and replanned, beside the plan before it.
+    """The outcomes of a change: before it, at once, and replanned.
 
-    ``new_violations``: what even replanning would violate and isn't violated now.
+    ``new_violations`` are those that remain after replanning and don't exist before the change.
     """
 
     change: str
@@ -53,11 +57,11 @@
     new_violations: tuple[Violation, ...]
 
     def to_json(self) -> dict[str, Any]:
-        """Return JSON values."""
+        """Return a JSON document with the field names as keys."""
         return attrs.asdict(self)
 
     def to_text(self) -> str:
-        """Return lines for a terminal."""
+        """Return one line per outcome and new violation, for a terminal."""
         lines = [self.change]
         for name in ("before", "at_once", "replanned"):
             outcome = getattr(self, name)
@@ -73,7 +77,7 @@
 
 
 def without(problem: PlacementProblem, place: str) -> PlacementProblem:
-    """Return the problem without the replicas of a region or a zone."""
+    """Return the problem without the replicas of the region or zone named ``place``."""
     slots = tuple(slot for slot in problem.slots if place not in (slot.region, slot.zone))
     return attrs.evolve(problem, slots=slots)
 
@@ -81,8 +85,8 @@
 def with_capacity(problem: PlacementProblem, change: CapacityChange) -> PlacementProblem:
     """Return the problem with another number of replicas in a region.
 
-    Fewer: the last ones go. More: copies of the region's replicas in turn, with nothing
-    loaded; a region that has none gets copies of any.
+    Surplus replicas are removed from the end. Additional ones are copies of the region's replicas
+    in turn, with nothing loaded; a region without replicas gets copies of other regions'.
     """
     inside = [slot for slot in problem.slots if slot.region == change.region]
     outside = [slot for slot in problem.slots if slot.region != change.region]
@@ -104,7 +108,7 @@
 
 
 def simulate(problem: PlacementProblem, changed: PlacementProblem, name: str) -> WhatIf:
-    """Compare ``problem`` with ``changed``: as planned, at once, and replanned."""
+    """Solve ``problem`` and ``changed``, and return the outcomes; ``name`` describes the change."""
     plan = solve(problem)
     slots_left = tuple(
         attrs.evolve(slot, loaded_models=plan.assignments.get(slot.replica_id, ()))
@@ -140,7 +144,7 @@
 
 
 def parse_capacity(text: str) -> CapacityChange:
-    """Read "REGION=N"; raises ``ValueError`` with a sentence on anything else."""
+    """Parse "REGION=N"; raises ``ValueError`` on anything else."""
     region, separator, count = text.rpartition("=")
     if not separator or not region or not count.isdecimal():
         raise ValueError(f"expected REGION=N, got {text!r}")
@@ -148,7 +152,7 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Explain a problem's plan, or simulate a change of it; exit 1 if it would violate more."""
+    """Explain a problem's plan, or simulate a change; return 1 if that adds violations."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("problem", type=Path, help="JSON document of the placement problem")
     parser.add_argument("--without", metavar="REGION|ZONE")
