--- a/rooklug/front/active_request.py
+++ b/rooklug/front/active_request.py
@@ -28,7 +28,7 @@
     tried: frozenset[str] = frozenset()
     was_decided: bool = False
     may_have_run: bool = False
-    answer_begun: bool = False
+    answer_started: bool = False
     attempt: Attempt | None = None
     chunks: list[str] = attrs.field(factory=list)
     chunk_count: int = 0
--- a/rooklug/front/affinity.py
+++ b/rooklug/front/affinity.py
@@ -45,7 +45,7 @@
     def __len__(self) -> int:
         return sum(len(table) for table in self._tables.values())
 
-    def follow(self, view: RoutingView) -> None:
+    def apply_view(self, view: RoutingView) -> None:
         """Drop the tables that the configuration does not allow here any more."""
         if view.configuration is None:
             return
--- a/rooklug/front/answers.py
+++ b/rooklug/front/answers.py
@@ -35,14 +35,14 @@
     http_id: int, request_id: str, code: str, message: str, retry_after_s: int
 ) -> fx.HttpRespond:
     """Refuse: it certainly never ran; come back in ``retry_after_s``."""
-    return _later_answer(http_id, 503, "not_run", request_id, code, message, retry_after_s)
+    return _retryable_answer(http_id, 503, "not_run", request_id, code, message, retry_after_s)
 
 
 def unknown_answer(
     http_id: int, request_id: str, code: str, message: str, retry_after_s: int
 ) -> fx.HttpRespond:
     """Give up on a request that may have run."""
-    return _later_answer(http_id, 504, "unknown", request_id, code, message, retry_after_s)
+    return _retryable_answer(http_id, 504, "unknown", request_id, code, message, retry_after_s)
 
 
 def redirect_answer(http_id: int, request_id: str, front: FrontNode) -> fx.HttpRespond:
@@ -72,7 +72,7 @@
     return fx.HttpStreamStart(http_id, 200, {**NDJSON_TYPE, REQUEST_ID_HEADER: request_id})
 
 
-def _later_answer(
+def _retryable_answer(
     http_id: int,
     status: int,
     outcome: str,
--- a/rooklug/front/attempt_runner.py
+++ b/rooklug/front/attempt_runner.py
@@ -22,9 +22,9 @@
 
 REPLICA_PATH = "/api/generate"
 CONNECT_DEADLINE_S = 1.0
-STREAM_IDLE_S = 10.0
+STREAM_IDLE_TIMEOUT_S = 10.0
 # An attempt that had less time than this says nothing about its replica.
-MIN_FAIR_WAIT_S = 1.0
+MIN_CONCLUSIVE_WAIT_S = 1.0
 MAX_REFUSAL_BYTES = 16 * 1024
 MAX_ANSWER_BYTES = 32 * 1024 * 1024
 NOT_RUN_CODES = {"busy": AttemptOutcome.BUSY, "not_loaded": AttemptOutcome.NOT_LOADED}
@@ -97,21 +97,21 @@
             not_after=serve_at.until,
         )
 
-    def advance(
+    def handle_event(
         self, request: ActiveRequest, event: ev.Event, now: float
     ) -> Progress | Finished | Failed:
         """Take one event of the running attempt."""
         attempt = request.running_attempt
         if isinstance(event, ev.HttpFailed):
-            return self._call_failed(request, event, now)
+            return self._handle_call_failure(request, event, now)
         if isinstance(event, ev.HttpResponseStarted):
             attempt.status = event.status
             return Progress([])
         if attempt.status != 200:
-            return self._take_refusal(request, event, now)
+            return self._handle_refusal(request, event, now)
         if isinstance(event, ev.HttpBodyChunk):
             return self._handle_chunk(request, event.data, now)
-        return self._take_end(request, now)
+        return self._handle_end(request, now)
 
     def cancel(self, request: ActiveRequest, now: float) -> Failed:
         """End an attempt whose caller has gone."""
@@ -119,11 +119,11 @@
             request, AttemptOutcome.CANCELLED, "caller gone", now, may_have_run=True, cancel=True
         )
 
-    def stalled(self, request: ActiveRequest, now: float) -> Failed | None:
+    def fail_if_stalled(self, request: ActiveRequest, now: float) -> Failed | None:
         """End an attempt whose first or next chunk takes too long; the head alone is none."""
         attempt = request.running_attempt
         has_started = attempt.first_chunk_at is not None
-        limit = STREAM_IDLE_S if has_started else attempt.first_chunk_timeout_s
+        limit = STREAM_IDLE_TIMEOUT_S if has_started else attempt.first_chunk_timeout_s
         if now - attempt.last_progress_at < limit:
             return None
         # A stream may also stand still because its caller reads slowly: not the replica's fault.
@@ -155,11 +155,11 @@
                     request, outcome, "answer too long", now, may_have_run=True, cancel=True
                 )
             return Progress([])
-        effects: list[fx.Effect] = self._begin_answer(request)
+        effects: list[fx.Effect] = self._start_answer(request)
         effects.append(fx.HttpStreamChunk(request.http_id, checked.lines))
         return Progress(effects)
 
-    def _take_end(self, request: ActiveRequest, now: float) -> Finished | Failed:
+    def _handle_end(self, request: ActiveRequest, now: float) -> Finished | Failed:
         end_line = request.running_attempt.checker.finish()
         if end_line.is_error():
             message = end_line.error.message
@@ -169,18 +169,18 @@
         if not request.generate_body.stream:
             answer = answers.complete_answer(request.http_id, head.request_id, request.chunks)
             return Finished(report, [answer])
-        effects = self._begin_answer(request)
+        effects = self._start_answer(request)
         effects.append(fx.HttpStreamChunk(request.http_id, end_line.ok))
         effects.append(fx.HttpStreamEnd(request.http_id))
         return Finished(report, effects)
 
-    def _begin_answer(self, request: ActiveRequest) -> list[fx.Effect]:
-        if request.answer_begun:
+    def _start_answer(self, request: ActiveRequest) -> list[fx.Effect]:
+        if request.answer_started:
             return []
-        request.answer_begun = True
+        request.answer_started = True
         return [answers.stream_start(request.http_id, request.head.request_id)]
 
-    def _take_refusal(
+    def _handle_refusal(
         self, request: ActiveRequest, event: ev.Event, now: float
     ) -> Progress | Failed:
         """Collect an answer other than 200; it counts as not run only if it says so."""
@@ -194,7 +194,9 @@
             request, outcome, f"status {attempt.status}", now, may_have_run=may_have_run
         )
 
-    def _call_failed(self, request: ActiveRequest, event: ev.HttpFailed, now: float) -> Failed:
+    def _handle_call_failure(
+        self, request: ActiveRequest, event: ev.HttpFailed, now: float
+    ) -> Failed:
         outcome = _failure_outcome(request.running_attempt, event.send_state, now)
         may_have_run = event.send_state is not ev.SendState.NOT_SENT
         return self._fail(request, outcome, event.reason, now, may_have_run=may_have_run)
@@ -234,15 +236,15 @@
         )
 
 
-def _failure_outcome(attempt: Attempt, sent: ev.SendState, now: float) -> AttemptOutcome:
+def _failure_outcome(attempt: Attempt, send_state: ev.SendState, now: float) -> AttemptOutcome:
     """Judge a call that failed; one that ran out of time too soon says nothing."""
-    time_was_over = now >= attempt.serve_at.until
-    had_a_fair_wait = now - attempt.started_at >= MIN_FAIR_WAIT_S
-    if sent is ev.SendState.NOT_SENT:
-        return AttemptOutcome.CANCELLED if time_was_over else AttemptOutcome.CONNECT_FAILED
-    if attempt.first_chunk_at is None and (had_a_fair_wait or not time_was_over):
+    deadline_passed = now >= attempt.serve_at.until
+    wait_was_conclusive = now - attempt.started_at >= MIN_CONCLUSIVE_WAIT_S
+    if send_state is ev.SendState.NOT_SENT:
+        return AttemptOutcome.CANCELLED if deadline_passed else AttemptOutcome.CONNECT_FAILED
+    if attempt.first_chunk_at is None and (wait_was_conclusive or not deadline_passed):
         return AttemptOutcome.TIMED_OUT
-    return AttemptOutcome.CANCELLED if time_was_over else AttemptOutcome.BROKEN
+    return AttemptOutcome.CANCELLED if deadline_passed else AttemptOutcome.BROKEN
 
 
 def _refusal_outcome(status: int, body: bytes) -> AttemptOutcome:
--- a/rooklug/front/balancer.py
+++ b/rooklug/front/balancer.py
@@ -19,7 +19,7 @@
 from rooklug.front.verdicts import PlacementRequest, ServeAt
 
 HASH_RANGE = 2.0**64
-EJECTIONS_THAT_MEAN_LOST = 2
+LOST_AFTER_EJECTIONS = 2
 UNLOADED_BACKOFF_S = 1.0
 BACKOFF_JITTER = 0.25
 
@@ -58,12 +58,12 @@
         self._spilled: Counter[str] = Counter()
         self._unloaded_until: dict[tuple[str, str], float] = {}
 
-    def follow(self, view: RoutingView, now: float) -> None:
+    def apply_view(self, view: RoutingView, now: float) -> None:
         """Take a new view."""
-        self.states.follow(view)
-        self.slow_starts.follow(view, now)
-        self.affinity.follow(view)
-        self._slow_start_admission.follow(view)
+        self.states.apply_view(view)
+        self.slow_starts.apply_view(view, now)
+        self.affinity.apply_view(view)
+        self._slow_start_admission.apply_view(view)
         self._unloaded_until = {
             key: until for key, until in self._unloaded_until.items() if until > now
         }
@@ -83,7 +83,7 @@
             return NoChoice.ALL_TRIED
         usable = self._usable(untried, route.model, now)
         regions = self._by_region(usable)
-        self._consider_first_choices(levels, regions, route.model, now)
+        self._start_first_choice_clocks(levels, regions, route.model, now)
         draw = xxh3_64_intdigest(request.head.request_id.encode()) / HASH_RANGE
         shares = {
             region: self.slow_starts.region_share(inside, route.model, now)
@@ -120,7 +120,7 @@
         if report.outcome is AttemptOutcome.NOT_LOADED:
             self._record_unloaded(replica.replica_id, report.serve_at.model, now)
         elif ejected and self._is_lost(replica, now):
-            self.slow_starts.lost(replica.replica_id, now)
+            self.slow_starts.record_loss(replica.replica_id, now)
 
     def _record_unloaded(self, replica_id: str, model: str, now: float) -> None:
         """Back off from the model there: unloaded by the plan, or a new process."""
@@ -128,7 +128,7 @@
             1 - BACKOFF_JITTER, 1 + BACKOFF_JITTER
         )
         self._unloaded_until[(replica_id, model)] = now + backoff_s
-        self.slow_starts.lost(replica_id, now, model)
+        self.slow_starts.record_loss(replica_id, now, model)
 
     def _is_lost(self, replica: ServingReplica, now: float) -> bool:
         """Return whether an ejected replica will come back in slow start.
@@ -136,8 +136,8 @@
         Connections fail for moments too, so it takes a second ejection; and while most
         replicas fail, this front may be the one that is cut off.
         """
-        ejections = self.states[replica].health.ejections_in_row
-        return ejections >= EJECTIONS_THAT_MEAN_LOST and not self.states.most_are_ejected(now)
+        ejections = self.states[replica].health.consecutive_ejections
+        return ejections >= LOST_AFTER_EJECTIONS and not self.states.most_are_ejected(now)
 
     def _usable(
         self, replicas: list[ServingReplica], model: str, now: float
@@ -161,7 +161,7 @@
             regions.setdefault(entry.region, []).append(entry)
         return regions
 
-    def _consider_first_choices(
+    def _start_first_choice_clocks(
         self,
         levels: DestinationLevels,
         regions: dict[str, list[ServingReplica]],
@@ -184,7 +184,7 @@
             inside = regions[step.region]
             if step.spilled and not self._spill_allowed(placement, inside, step.region):
                 continue
-            replica = self._choose_inside(placement, inside)
+            replica = self._choose_in_region(placement, inside)
             if replica is not None:
                 until = placement.request.head.deadline
                 return ServeAt(replica, placement.route.model, until, step.spilled)
@@ -203,7 +203,7 @@
         capacity = share * sum(entry.concurrency for entry in inside) / max(1, fronts)
         return share > 0 and self._spilled[region] + 1 <= max(1.0, capacity)
 
-    def _choose_inside(
+    def _choose_in_region(
         self, placement: _Placement, inside: list[ServingReplica]
     ) -> ServingReplica | None:
         model, now = placement.route.model, placement.now
@@ -271,4 +271,6 @@
     def _admits_slow_start(self, placement: _Placement, replica: ServingReplica) -> bool:
         model, now = placement.route.model, placement.now
         free = self.states[replica].has_capacity
-        return free and self._slow_start_admission.may_take(replica, model, placement.view, now)
+        return free and self._slow_start_admission.has_capacity_token(
+            replica, model, placement.view, now
+        )
--- a/rooklug/front/decision.py
+++ b/rooklug/front/decision.py
@@ -16,11 +16,11 @@
 from rooklug.front.requests import GenerateBody, RequestHead
 from rooklug.front.routing_view import FrontNode, RoutingView, ServingReplica
 from rooklug.front.verdicts import (
-    GoTo,
     HeadVerdict,
     PlacementRequest,
     QueueOutlook,
     ReadBody,
+    RedirectTo,
     Refuse,
     ServeAt,
     Verdict,
@@ -49,7 +49,7 @@
 
     def view_changed(self, view: RoutingView, now: float) -> None:
         """Take a new view."""
-        self._balancer.follow(view, now)
+        self._balancer.apply_view(view, now)
 
     def check_head(self, head: RequestHead, outlook: QueueOutlook, now: float) -> HeadVerdict:
         """Decide from the head alone: elsewhere, refused, or read the body."""
@@ -88,7 +88,7 @@
 
     def refusal(self, code: str, message: str, now: float) -> Refuse:
         """Return a refusal with a time to come back."""
-        return Refuse(code, message, self._overload.retry_after(now))
+        return Refuse(code, message, self._overload.record_refusal(now))
 
     def queue_capacity(self) -> int:
         """Return how many requests may wait."""
@@ -100,7 +100,7 @@
 
     def may_retry(self, now: float) -> bool:
         """Spend one retry of the budget, if there is one."""
-        return self._budget.take(now)
+        return self._budget.try_spend(now)
 
     def first_chunk_timeout(self, serve_at: ServeAt, body: GenerateBody, now: float) -> float:
         """Return the seconds an attempt may take to its first chunk, by the replica's average."""
@@ -121,7 +121,7 @@
         """Count an attempt that is over."""
         self._balancer.record_end(report, now)
         if report.outcome is AttemptOutcome.SUCCESS:
-            self._overload.served(now)
+            self._overload.record_served(now)
 
     def record_cached_blocks(
         self, head: RequestHead, body: GenerateBody, replica: ServingReplica
@@ -164,20 +164,20 @@
         wait_s = min(self._view_component.view.limits.queue_wait_s, head.deadline - now)
         if not outlook.has_capacity:
             return self.refusal("overloaded", "the queue is full", now)
-        if self._overload.expected_wait(outlook.ahead, now) > wait_s:
+        if self._overload.expected_wait_s(outlook.ahead, now) > wait_s:
             return self.refusal("overloaded", "the queue is too slow", now)
         return Wait(now + wait_s)
 
-    def _leave_home(self, route: Route, now: float) -> GoTo | Refuse | None:
+    def _leave_home(self, route: Route, now: float) -> RedirectTo | Refuse | None:
         """Send away what this front must not carry; None: it may."""
         if self._view_component.view.serves_home(route):
             return None
         front = self._another_front(route.home_regions)
         if front is not None:
-            return GoTo(front)
+            return RedirectTo(front)
         return self.refusal("no_home", "no front of the route's home is ready", now)
 
-    def _leave_front(self, route: Route, now: float) -> GoTo | Refuse | None:
+    def _leave_front(self, route: Route, now: float) -> RedirectTo | Refuse | None:
         """Send away new requests while draining or in a drained zone; None: carry on."""
         view = self._view_component.view
         if not self.draining and not view.own_zone_drained:
@@ -185,7 +185,7 @@
         homes = route.home_regions
         front = self._another_front((view.own_region,)) or self._another_front(homes)
         if front is not None:
-            return GoTo(front)
+            return RedirectTo(front)
         if self.draining:
             return self.refusal("draining", "this front ends and knows no other", now)
         return None
--- a/rooklug/front/demand.py
+++ b/rooklug/front/demand.py
@@ -44,7 +44,7 @@
 
 
 @attrs.define
-class ReplicaRecord:
+class ReplicaCounts:
     """What this front saw of one replica since the last report."""
 
     successes: int = 0
@@ -59,16 +59,16 @@
     def __init__(self) -> None:
         self._routes: dict[tuple[str, str], RouteDemand] = {}
         self._averages: dict[str, AverageSize] = {}
-        self._replicas: dict[tuple[str, str], ReplicaRecord] = {}
+        self._replicas: dict[tuple[str, str], ReplicaCounts] = {}
 
-    def refused(self, head: RequestHead, prompt_tokens: int | None) -> None:
+    def record_refused(self, head: RequestHead, prompt_tokens: int | None) -> None:
         """Count a request that got no answer from any replica."""
         average = self._average(head.route_name)
         known = average.prompt_tokens if prompt_tokens is None else prompt_tokens
         entry = self._count(head, known, average.answer_tokens)
         entry.refused += 1
 
-    def answered(self, head: RequestHead, prompt_tokens: int, answer_tokens: int) -> None:
+    def record_answered(self, head: RequestHead, prompt_tokens: int, answer_tokens: int) -> None:
         """Count a request that ran, with the chunks it really produced."""
         average = self._average(head.route_name)
         average.prompt_tokens += AVERAGE_WEIGHT * (prompt_tokens - average.prompt_tokens)
@@ -79,7 +79,7 @@
         """Count what an attempt says about its replica."""
         replica = report.serve_at.replica
         record = self._replicas.setdefault(
-            (replica.replica_id, replica.incarnation), ReplicaRecord()
+            (replica.replica_id, replica.incarnation), ReplicaCounts()
         )
         if report.outcome is AttemptOutcome.SUCCESS:
             record.successes += 1
--- a/rooklug/front/executor.py
+++ b/rooklug/front/executor.py
@@ -18,14 +18,14 @@
 from rooklug.front.executor_metrics import ExecutorCounters
 from rooklug.front.readiness import DrainingStarted
 from rooklug.front.requests import RequestHead, RequestProblem, read_generate_body, read_head
-from rooklug.front.verdicts import GoTo, QueueOutlook, Refuse, ServeAt, Wait
+from rooklug.front.verdicts import QueueOutlook, RedirectTo, Refuse, ServeAt, Wait
 from rooklug.front.view_component import RoutingViewChanged, RoutingViewComponent
 from rooklug.front.wait_queue import WaitQueue
 
 SWEEP_TIMER = "sweep"
-SWEEP_S = 0.25
-PUMP_TIMER = "pump"
-PUMP_S = 0.05
+SWEEP_INTERVAL_S = 0.25
+QUEUE_TIMER = "pump"
+QUEUE_INTERVAL_S = 0.05
 AttemptEvent = ev.HttpBodyChunk | ev.HttpResponseStarted | ev.HttpResponseCompleted | ev.HttpFailed
 """What comes back from a replica."""
 ALREADY_QUEUED = QueueOutlook(ahead=0, has_capacity=True)
@@ -53,7 +53,7 @@
         self._runner = AttemptRunner(context)
         self._queue = WaitQueue()
         self._active: dict[int, ActiveRequest] = {}
-        self._pump_pending = False
+        self._queue_timer_running = False
         self.counters = ExecutorCounters()
 
     def active_requests(self) -> int:
@@ -69,9 +69,9 @@
         """Take one event of a request, a timer, or a new view."""
         match event:
             case ev.HttpBodyChunk() | ev.HttpResponseStarted() | ev.HttpResponseCompleted():
-                return self._on_attempt(event, now)
+                return self._on_attempt_event(event, now)
             case ev.HttpFailed():
-                return self._on_attempt(event, now)
+                return self._on_attempt_event(event, now)
             case ev.HttpRequestArrived():
                 return self._on_arrival(event, now)
             case ev.HttpRequestBody():
@@ -81,13 +81,13 @@
             case ev.TimerFired():
                 return self._on_timer(event.name, now)
             case ev.Started():
-                return [fx.StartTimer(SWEEP_TIMER, SWEEP_S)]
+                return [fx.StartTimer(SWEEP_TIMER, SWEEP_INTERVAL_S)]
             case RoutingViewChanged():
                 self._decision.view_changed(self._view_component.view, now)
-                return self._pump(now)
+                return self._process_queue(now)
             case DrainingStarted():
                 self._decision.draining = True
-                return self._pump(now)
+                return self._process_queue(now)
         return []
 
     # A request comes in -------------------------------------------------------
@@ -108,8 +108,8 @@
             return [answers.problem_answer(http_id, head.error)]
         request = ActiveRequest(http_id, head.ok)
         verdict = self._decision.check_head(head.ok, self._outlook(head.ok), now)
-        if isinstance(verdict, GoTo | Refuse):
-            return self._obey(request, verdict, now)
+        if isinstance(verdict, RedirectTo | Refuse):
+            return self._execute_verdict(request, verdict, now)
         self._active[http_id] = request
         if event.body_withheld:
             return [fx.ReadRequestBody(http_id)]
@@ -126,7 +126,7 @@
             return [answers.problem_answer(http_id, body.error)]
         request.body = body.ok
         self._decision.record_first_attempt(now)
-        queued = self._pump(now) if len(self._queue) else []
+        queued = self._process_queue(now) if len(self._queue) else []
         return [*queued, *self._decide(request, now)]
 
     def _on_closed(self, http_id: int, now: float) -> list[fx.Effect]:
@@ -139,7 +139,7 @@
             return []
         cancel = self._runner.cancel(request, now)
         self._decision.record_end(cancel.report, now)
-        return [*cancel.effects, *self._pump(now)]
+        return [*cancel.effects, *self._process_queue(now)]
 
     # Verdicts of the decision object --------------------------------------------
 
@@ -147,28 +147,30 @@
         verdict = self._decision.choose(
             request.placement_request(), self._outlook(request.head), now
         )
-        return self._obey(request, verdict, now)
+        return self._execute_verdict(request, verdict, now)
 
     def _outlook(self, head: RequestHead) -> QueueOutlook:
         return self._queue.outlook(head.route.priority, self._decision.queue_capacity())
 
-    def _obey(
-        self, request: ActiveRequest, verdict: ServeAt | GoTo | Refuse | Wait, now: float
+    def _execute_verdict(
+        self, request: ActiveRequest, verdict: ServeAt | RedirectTo | Refuse | Wait, now: float
     ) -> list[fx.Effect]:
         if isinstance(verdict, ServeAt):
-            return self._start(request, verdict, now)
+            return self._start_attempt(request, verdict, now)
         if isinstance(verdict, Wait):
             return self._enqueue(request, verdict, now)
-        if isinstance(verdict, GoTo) and not request.may_have_run:
+        if isinstance(verdict, RedirectTo) and not request.may_have_run:
             self.counters.redirected += 1
             self._active.pop(request.http_id, None)
             head = request.head
             return [answers.redirect_answer(request.http_id, head.request_id, verdict.front)]
-        if isinstance(verdict, GoTo):
+        if isinstance(verdict, RedirectTo):
             verdict = self._decision.refusal("no_home", "the route has moved", now)
-        return [self._give_up(request, verdict)]
+        return [self._fail_request(request, verdict)]
 
-    def _start(self, request: ActiveRequest, serve_at: ServeAt, now: float) -> list[fx.Effect]:
+    def _start_attempt(
+        self, request: ActiveRequest, serve_at: ServeAt, now: float
+    ) -> list[fx.Effect]:
         request.state = RequestState.RUNNING
         self._decision.record_start(serve_at, request.generate_body, now)
         first_chunk_s = self._decision.first_chunk_timeout(serve_at, request.generate_body, now)
@@ -183,15 +185,15 @@
         effects: list[fx.Effect] = []
         for http_id in evicted:
             refusal = self._decision.refusal("overloaded", "the queue is full", now)
-            effects.append(self._give_up(self._active[http_id], refusal))
-        return [*effects, *self._arm_pump()]
+            effects.append(self._fail_request(self._active[http_id], refusal))
+        return [*effects, *self._start_queue_timer()]
 
-    def _give_up(self, request: ActiveRequest, refusal: Refuse) -> fx.Effect:
+    def _fail_request(self, request: ActiveRequest, refusal: Refuse) -> fx.Effect:
         """Answer at once: not run if that is certain, else unknown."""
         self._active.pop(request.http_id, None)
         head = request.head
         prompt_tokens = request.body.prompt_tokens if request.body else None
-        self._demand.refused(head, prompt_tokens)
+        self._demand.record_refused(head, prompt_tokens)
         arguments = (refusal.code, refusal.message, refusal.retry_after_s)
         if request.may_have_run:
             self.counters.unknown += 1
@@ -201,18 +203,20 @@
 
     # The running attempt --------------------------------------------------------------
 
-    def _on_attempt(self, event: AttemptEvent, now: float) -> list[fx.Effect]:
+    def _on_attempt_event(self, event: AttemptEvent, now: float) -> list[fx.Effect]:
         request = self._runner.request_of(event.call_id)
         if request is None:
             return []
-        step = self._runner.advance(request, event, now)
+        step = self._runner.handle_event(request, event, now)
         if isinstance(step, Progress):
             return step.effects
         if isinstance(step, Finished):
-            return self._finish(request, step, now)
-        return self._failed(request, step, now)
+            return self._on_attempt_finished(request, step, now)
+        return self._on_attempt_failed(request, step, now)
 
-    def _finish(self, request: ActiveRequest, step: Finished, now: float) -> list[fx.Effect]:
+    def _on_attempt_finished(
+        self, request: ActiveRequest, step: Finished, now: float
+    ) -> list[fx.Effect]:
         del self._active[request.http_id]
         self.counters.completed += 1
         self._decision.record_end(step.report, now)
@@ -220,48 +224,50 @@
             request.head, request.generate_body, step.report.serve_at.replica
         )
         self._demand.record_attempt(step.report)
-        self._demand.answered(
+        self._demand.record_answered(
             request.head, request.generate_body.prompt_tokens, request.chunk_count
         )
-        return [*step.effects, *self._pump(now)]
+        return [*step.effects, *self._process_queue(now)]
 
-    def _failed(self, request: ActiveRequest, step: Failed, now: float) -> list[fx.Effect]:
+    def _on_attempt_failed(
+        self, request: ActiveRequest, step: Failed, now: float
+    ) -> list[fx.Effect]:
         """Handle a failed attempt: break the caller's stream, retry elsewhere, or give up."""
         self._decision.record_end(step.report, now)
         self._demand.record_attempt(step.report)
         request.may_have_run = request.may_have_run or step.may_have_run
         request.tried |= {step.report.serve_at.replica.replica_id}
         log = fx.Log("warning", "a try failed", step.log_fields)
-        if request.answer_begun:
+        if request.answer_started:
             del self._active[request.http_id]
             self.counters.broken += 1
-            self._demand.answered(
+            self._demand.record_answered(
                 request.head, request.generate_body.prompt_tokens, request.chunk_count
             )
             abort = fx.HttpStreamAbort(request.http_id)
-            return [*step.effects, log, abort, *self._pump(now)]
+            return [*step.effects, log, abort, *self._process_queue(now)]
         request.chunks.clear()
         request.chunk_count = 0
         request.answer_bytes = 0
-        return [*step.effects, log, *self._retry(request, now), *self._pump(now)]
+        return [*step.effects, log, *self._retry(request, now), *self._process_queue(now)]
 
     def _retry(self, request: ActiveRequest, now: float) -> list[fx.Effect]:
         if now >= request.head.deadline:
             refusal = self._decision.refusal("deadline", "its time was over", now)
-            return [self._give_up(request, refusal)]
+            return [self._fail_request(request, refusal)]
         if not self._decision.may_retry(now):
             refusal = self._decision.refusal("replica_failed", "no further try is allowed", now)
-            return [self._give_up(request, refusal)]
+            return [self._fail_request(request, refusal)]
         self.counters.retried += 1
         return self._decide(request, now)
 
     # Timers ----------------------------------------------------------------------
 
     def _on_timer(self, name: str, now: float) -> list[fx.Effect]:
-        if name == PUMP_TIMER:
-            self._pump_pending = False
-            return self._pump(now)
-        return [*self._sweep(now), fx.StartTimer(SWEEP_TIMER, SWEEP_S)]
+        if name == QUEUE_TIMER:
+            self._queue_timer_running = False
+            return self._process_queue(now)
+        return [*self._sweep(now), fx.StartTimer(SWEEP_TIMER, SWEEP_INTERVAL_S)]
 
     def _sweep(self, now: float) -> list[fx.Effect]:
         """End the attempts that make no progress, and bodies that never came."""
@@ -269,18 +275,18 @@
         for request in tuple(self._active.values()):
             if request.state is RequestState.RECEIVING_BODY and now >= request.head.deadline:
                 refusal = self._decision.refusal("deadline", "its body came too late", now)
-                effects.append(self._give_up(request, refusal))
+                effects.append(self._fail_request(request, refusal))
             elif request.attempt is not None:
-                stalled = self._runner.stalled(request, now)
-                effects.extend(self._failed(request, stalled, now) if stalled else ())
+                stalled = self._runner.fail_if_stalled(request, now)
+                effects.extend(self._on_attempt_failed(request, stalled, now) if stalled else ())
         return effects
 
-    def _pump(self, now: float) -> list[fx.Effect]:
+    def _process_queue(self, now: float) -> list[fx.Effect]:
         """Refuse what has waited too long; start what can be placed, in queue order."""
         effects: list[fx.Effect] = []
         for http_id in self._queue.take_expired(now):
             refusal = self._decision.refusal("overloaded", "no replica was free in time", now)
-            effects.append(self._give_up(self._active[http_id], refusal))
+            effects.append(self._fail_request(self._active[http_id], refusal))
         blocked = set()
         for entry in self._queue:
             if entry.lane in blocked:
@@ -291,11 +297,11 @@
                 blocked.add(entry.lane)
                 continue
             self._queue.remove(entry.http_id)
-            effects.extend(self._obey(request, verdict, now))
-        return [*effects, *self._arm_pump()]
+            effects.extend(self._execute_verdict(request, verdict, now))
+        return [*effects, *self._start_queue_timer()]
 
-    def _arm_pump(self) -> list[fx.Effect]:
-        if self._pump_pending or not len(self._queue):
+    def _start_queue_timer(self) -> list[fx.Effect]:
+        if self._queue_timer_running or not len(self._queue):
             return []
-        self._pump_pending = True
-        return [fx.StartTimer(PUMP_TIMER, PUMP_S)]
+        self._queue_timer_running = True
+        return [fx.StartTimer(QUEUE_TIMER, QUEUE_INTERVAL_S)]
--- a/rooklug/front/health.py
+++ b/rooklug/front/health.py
@@ -6,8 +6,8 @@
 
 from rooklug.front.outcomes import AttemptOutcome
 
-FIRST_EJECTION_S = 1.0
-LONGEST_EJECTION_S = 5.0
+INITIAL_EJECTION_S = 1.0
+MAX_EJECTION_S = 5.0
 EJECTION_JITTER = 0.25
 # Failures in a row that eject a replica, by the kind of the last one.
 FAILURES_TO_EJECT = {
@@ -23,13 +23,13 @@
     """One replica's health by this front's attempts.
 
     An ejected replica gets no requests for a time that doubles with each ejection, up to
-    ``LONGEST_EJECTION_S`` (short enough that machines that return are found in time), with
+    ``MAX_EJECTION_S`` (short enough that machines that return are found in time), with
     jitter so that fronts don't come back together. Then it is on probation: one request at
     a time, until one succeeds.
     """
 
-    failures_in_row: int = 0
-    ejections_in_row: int = 0
+    consecutive_failures: int = 0
+    consecutive_ejections: int = 0
     ejected_until: float = 0.0
 
     def is_ejected(self, now: float) -> bool:
@@ -39,12 +39,12 @@
     @property
     def on_probation(self) -> bool:
         """Whether it has been ejected and has not succeeded since."""
-        return self.ejections_in_row > 0
+        return self.consecutive_ejections > 0
 
     def succeeded(self) -> None:
         """Forget all failures."""
-        self.failures_in_row = 0
-        self.ejections_in_row = 0
+        self.consecutive_failures = 0
+        self.consecutive_ejections = 0
         self.ejected_until = 0.0
 
     def failed(self, outcome: AttemptOutcome, now: float, random: Random) -> bool:
@@ -52,14 +52,14 @@
         needed = FAILURES_TO_EJECT.get(outcome)
         if needed is None:
             return False
-        self.failures_in_row += 1
+        self.consecutive_failures += 1
         if self.is_ejected(now):
             return False
-        if self.failures_in_row < needed and not self.on_probation:
+        if self.consecutive_failures < needed and not self.on_probation:
             return False
-        self.ejections_in_row += 1
-        doubled = FIRST_EJECTION_S * 2 ** (min(self.ejections_in_row, 10) - 1)
+        self.consecutive_ejections += 1
+        doubled = INITIAL_EJECTION_S * 2 ** (min(self.consecutive_ejections, 10) - 1)
         jitter = random.uniform(1 - EJECTION_JITTER, 1 + EJECTION_JITTER)
-        self.ejected_until = now + min(doubled, LONGEST_EJECTION_S) * jitter
-        self.failures_in_row = 0
+        self.ejected_until = now + min(doubled, MAX_EJECTION_S) * jitter
+        self.consecutive_failures = 0
         return True
--- a/rooklug/front/limits.py
+++ b/rooklug/front/limits.py
@@ -2,15 +2,15 @@
 
 import attrs
 
-SHORT_WEIGHT = 0.2
-LONG_WEIGHT = 0.02
+RECENT_RATIO_WEIGHT = 0.2
+USUAL_WAIT_WEIGHT = 0.02
 LATENCY_TOLERANCE = 1.5
 MIN_GRADIENT = 0.5
-GROWTH = 1.0
-SMOOTHING = 0.2
+GROWTH_STEP = 1.0
+LIMIT_SMOOTHING = 0.2
 BUSY_FACTOR = 0.7
 TIMEOUT_FACTOR = 0.5
-SLACK_S = 0.02
+WAIT_SLACK_S = 0.02
 
 RETRY_BURST = 10.0
 RETRY_FLOOR_PER_S = 0.5
@@ -54,20 +54,20 @@
         """Follow one measured wait; ``in_flight`` includes the request itself."""
         kind = size_class(prompt_tokens)
         usual = self._usual.setdefault(kind, wait_s)
-        ratio = (wait_s + SLACK_S) / (usual + SLACK_S)
-        self._usual[kind] = usual + LONG_WEIGHT * (wait_s - usual)
-        self._recent_ratio += SHORT_WEIGHT * (ratio - self._recent_ratio)
+        ratio = (wait_s + WAIT_SLACK_S) / (usual + WAIT_SLACK_S)
+        self._usual[kind] = usual + USUAL_WAIT_WEIGHT * (wait_s - usual)
+        self._recent_ratio += RECENT_RATIO_WEIGHT * (ratio - self._recent_ratio)
         gradient = min(1.0, max(MIN_GRADIENT, LATENCY_TOLERANCE / self._recent_ratio))
         if gradient == 1.0 and in_flight < self.value:
             return
-        target = self._limit + GROWTH if gradient == 1.0 else self._limit * gradient
-        self._set(self._limit + SMOOTHING * (target - self._limit))
+        target = self._limit + GROWTH_STEP if gradient == 1.0 else self._limit * gradient
+        self._set(self._limit + LIMIT_SMOOTHING * (target - self._limit))
 
-    def refused_as_busy(self) -> None:
+    def record_busy(self) -> None:
         """Shrink: the replica runs as much as it can."""
         self._set(self._limit * BUSY_FACTOR)
 
-    def timed_out(self) -> None:
+    def record_timeout(self) -> None:
         """Shrink more: the replica did not answer in time."""
         self._set(self._limit * TIMEOUT_FACTOR)
 
@@ -84,16 +84,16 @@
     """
 
     tokens: float = RETRY_BURST / 2
-    _filled_at: float | None = None
+    _refilled_at: float | None = None
 
     def record_first_attempt(self, share: float) -> None:
         """Earn the share of one first attempt."""
         self.tokens = min(RETRY_BURST, self.tokens + share)
 
-    def take(self, now: float) -> bool:
+    def try_spend(self, now: float) -> bool:
         """Spend one retry, if there is one."""
-        since = now - self._filled_at if self._filled_at is not None else 0.0
-        self._filled_at = now
+        since = now - self._refilled_at if self._refilled_at is not None else 0.0
+        self._refilled_at = now
         self.tokens = min(RETRY_BURST, self.tokens + RETRY_FLOOR_PER_S * since)
         if self.tokens < 1.0:
             return False
--- a/rooklug/front/once_only/answers.py
+++ b/rooklug/front/once_only/answers.py
@@ -49,10 +49,12 @@
     return build(http_id, request_id, "no_configuration", message, RETRY_AFTER_S)
 
 
-def given_up_answer(http_id: int, head: OnceHead, why: Refuse, *, not_run: bool) -> fx.HttpRespond:
+def given_up_answer(
+    http_id: int, head: OnceHead, refusal: Refuse, *, not_run: bool
+) -> fx.HttpRespond:
     """Give the final answer without a result, and when to come back, with the same key."""
     build = not_run_answer if not_run else unknown_answer
-    answer = build(http_id, head.request_id, why.code, why.message, why.retry_after_s)
+    answer = build(http_id, head.request_id, refusal.code, refusal.message, refusal.retry_after_s)
     document: dict[str, Any] = {**json.loads(answer.body), "key": head.key}
     return json_answer(http_id, answer.status, document, answer.headers)
 
@@ -64,7 +66,7 @@
     return json_answer(http_id, 409, document, {REQUEST_ID_HEADER: head.request_id})
 
 
-def go_elsewhere_answer(http_id: int, head: OnceHead, front: FrontNode) -> fx.HttpRespond:
+def redirect_answer(http_id: int, head: OnceHead, front: FrontNode) -> fx.HttpRespond:
     """Send the caller to a front inside the route's home."""
     error = {"code": "go_elsewhere", "message": "send it to the front named here"}
     document = {"error": error, "front": front_document(front), "key": head.key}
--- a/rooklug/front/once_only/attempt.py
+++ b/rooklug/front/once_only/attempt.py
@@ -56,7 +56,7 @@
     @property
     def certainly_not_run(self) -> bool:
         """Whether "not run" is true of the key, given that this attempt writes nothing."""
-        return self.key_was_absent or self.head.first_sending
+        return self.key_was_absent or self.head.is_first_attempt
 
     @property
     def claim_deadline(self) -> float:
--- a/rooklug/front/once_only/backend.py
+++ b/rooklug/front/once_only/backend.py
@@ -4,7 +4,7 @@
 
 from rooklug.engine import effects as fx
 from rooklug.front.once_only.attempt import Attempt
-from rooklug.front.once_only.limits import CONNECT_DEADLINE_S, LATE_RESULT_S
+from rooklug.front.once_only.limits import CONNECT_DEADLINE_S, LATE_RESULT_ALLOWANCE_S
 from rooklug.front.once_only.requests import KEY_HEADER
 from rooklug.front.requests import DEADLINE_HEADER, REQUEST_ID_HEADER
 from rooklug.wire.generated.control.ttypes import ListedReplica
@@ -27,7 +27,7 @@
         method="POST",
         path=BACKEND_PATH,
         body=b'{"key":' + key + b',"payload":' + attempt.payload.data + b"}",
-        deadline_s=remaining_s + LATE_RESULT_S,
+        deadline_s=remaining_s + LATE_RESULT_ALLOWANCE_S,
         headers={
             "Content-Type": "application/json",
             REQUEST_ID_HEADER: head.request_id,
--- a/rooklug/front/once_only/claim_components.py
+++ b/rooklug/front/once_only/claim_components.py
@@ -48,14 +48,14 @@
     def handle(self, event: ev.Event, now: float) -> list[fx.Effect]:
         """Take one event."""
         if isinstance(event, GrantsChanged):
-            return self._grants_changed(event, now)
+            return self._on_grants_changed(event, now)
         if isinstance(event, ev.CallArrived):
             shard = self._shards[event.request.shard % CLAIM_SHARDS]
             return shard.claim(event.call_id, event.request, now)
         if isinstance(event, ev.TimerFired):
             kind, _, number = event.name.partition(":")
             shard = self._shards[int(number)]
-            return shard.tick(now) if kind == "tick" else shard.forget(now)
+            return shard.tick(now) if kind == "tick" else shard.free_table(now)
         if isinstance(event, ev.CallAnswered | ev.CallFailed):
             return self._calls.end(event, now)
         return []
@@ -73,12 +73,12 @@
             ),
         )
 
-    def _grants_changed(self, event: GrantsChanged, now: float) -> list[fx.Effect]:
+    def _on_grants_changed(self, event: GrantsChanged, now: float) -> list[fx.Effect]:
         effects: list[fx.Effect] = []
         for grant in event.grants:
             if grant.role_key.startswith(ROLE_CLAIMS_PREFIX):
                 number = int(grant.role_key.removeprefix(ROLE_CLAIMS_PREFIX))
-                effects += self._shards[number].take_grant(grant.token, now)
+                effects += self._shards[number].handle_grant(grant.token, now)
         return effects
 
 
--- a/rooklug/front/once_only/claim_requester.py
+++ b/rooklug/front/once_only/claim_requester.py
@@ -37,7 +37,7 @@
 
 
 @attrs.frozen
-class DoneBefore:
+class AlreadyDone:
     """An earlier attempt has run; ``result`` is its JSON, "" when it isn't stored any more."""
 
     result: bytes
@@ -54,28 +54,28 @@
 
 
 @attrs.frozen
-class NoClaim:
+class ClaimUnavailable:
     """No owner could decide in time; this attempt writes nothing."""
 
 
-Finding = Granted | DoneBefore | MayHaveRun | PayloadDiffers | NoClaim
-OnFinding = Callable[[Attempt, Finding, float], list[fx.Effect]]
+ClaimResolution = Granted | AlreadyDone | MayHaveRun | PayloadDiffers | ClaimUnavailable
+OnResolved = Callable[[Attempt, ClaimResolution, float], list[fx.Effect]]
 
 
 class ClaimRequester:
-    """Requests claims and outcomes for attempts, until there is a ``Finding``."""
+    """Requests claims and outcomes for attempts, until there is a ``ClaimResolution``."""
 
     def __init__(
         self,
         core_link: CoreLink,
         attempts: AttemptTable,
         calls: PendingCalls,
-        on_finding: OnFinding,
+        on_resolved: OnResolved,
     ) -> None:
         self._core_link = core_link
         self._attempts = attempts
         self._calls = calls
-        self._on_finding = on_finding
+        self._on_resolved = on_resolved
         self._outages = Outages()
 
     def proceed(self, attempt: Attempt, now: float) -> list[fx.Effect]:
@@ -91,17 +91,17 @@
     def _request_claim(self, attempt: Attempt, now: float) -> list[fx.Effect]:
         remaining_s = attempt.claim_deadline - now
         if remaining_s <= 0:
-            return self._on_finding(attempt, NoClaim(), now)
+            return self._on_resolved(attempt, ClaimUnavailable(), now)
         owner = self._core_link.role_owner(role_key_of(attempt.shard))
         if owner is None:
-            return self._undecided(attempt, now)
+            return self._retry_or_give_up(attempt, now)
         request = ClaimRequest(shard=attempt.shard, claim=attempt.claim, released=attempt.released)
 
         def on_end(event: CallEnd, at: float) -> list[fx.Effect]:
             if attempt.state is not AttemptState.REQUESTING_CLAIM:
                 return []
             if isinstance(event, ev.CallFailed):
-                return self._undecided(attempt, at)
+                return self._retry_or_give_up(attempt, at)
             return self._owner_answered(attempt, event.answer, at)
 
         deadline_s = min(CLAIM_DEADLINE_S, remaining_s)
@@ -109,10 +109,10 @@
 
     def _owner_answered(self, attempt: Attempt, answer: ClaimAnswer, now: float) -> list[fx.Effect]:
         if answer.outcome == ClaimOutcome.RUN:
-            self._outages.granted(attempt.shard)
+            self._outages.record_grant(attempt.shard)
             attempt.key_was_absent = True
             attempt.claim = answer.claim
-            return self._on_finding(attempt, Granted(), now)
+            return self._on_resolved(attempt, Granted(), now)
         if answer.outcome == ClaimOutcome.CLAIMED_BY_OTHER:
             attempt.state = AttemptState.WAITING
             attempt.competing_claim = answer.claim
@@ -120,12 +120,12 @@
             return self._request_competitor_status(attempt, now)
         if answer.outcome == ClaimOutcome.NOT_RECORDED:
             attempt.key_was_absent = True
-        return self._undecided(attempt, now)
+        return self._retry_or_give_up(attempt, now)
 
-    def _undecided(self, attempt: Attempt, now: float) -> list[fx.Effect]:
+    def _retry_or_give_up(self, attempt: Attempt, now: float) -> list[fx.Effect]:
         """Retry soon; but in an outage that has lasted, refuse at once."""
-        if self._outages.failed(attempt.shard, now):
-            return self._on_finding(attempt, NoClaim(), now)
+        if self._outages.record_failure(attempt.shard, now):
+            return self._on_resolved(attempt, ClaimUnavailable(), now)
         return [self._schedule_retry(attempt, CLAIM_RETRY_S)]
 
     # The competing attempt, or the front with a replica of its result ---------------------------
@@ -141,7 +141,7 @@
             return self._request_replica_status(attempt, now, competitor_is_gone=True)
 
         def on_end(event: CallEnd, at: float) -> list[fx.Effect]:
-            if not _still_waits(attempt, competing_claim):
+            if not _is_waiting_for(attempt, competing_claim):
                 return []
             if isinstance(event, ev.CallAnswered):
                 return self._competitor_answered(attempt, event.answer, at)
@@ -163,7 +163,7 @@
             attempt.competing_claim = None
             attempt.state = AttemptState.REQUESTING_CLAIM
             return self._request_claim(attempt, now)
-        return self._on_finding(attempt, _finding_of(answer), now)
+        return self._on_resolved(attempt, _resolution_of(answer), now)
 
     def _request_replica_status(
         self, attempt: Attempt, now: float, *, competitor_is_gone: bool
@@ -180,7 +180,7 @@
             return self._replica_answered(attempt, None, now, competitor_is_gone=competitor_is_gone)
 
         def on_end(event: CallEnd, at: float) -> list[fx.Effect]:
-            if not _still_waits(attempt, competing_claim):
+            if not _is_waiting_for(attempt, competing_claim):
                 return []
             answer = event.answer if isinstance(event, ev.CallAnswered) else None
             return self._replica_answered(
@@ -198,9 +198,9 @@
         competitor_is_gone: bool,
     ) -> list[fx.Effect]:
         if answer is not None and answer.state != AttemptState.UNKNOWN.value:
-            return self._on_finding(attempt, _finding_of(answer), now)
+            return self._on_resolved(attempt, _resolution_of(answer), now)
         if competitor_is_gone or attempt.status_failures >= MAX_STATUS_FAILURES:
-            return self._on_finding(attempt, MayHaveRun(), now)
+            return self._on_resolved(attempt, MayHaveRun(), now)
         return [self._schedule_retry(attempt, STATUS_POLL_S)]
 
     def _status_call(self, address: str, attempt: Attempt, on_end: OnEnd) -> fx.Call:
@@ -221,13 +221,13 @@
         return fx.StartTimer(f"{NEXT_TIMER}{attempt.number}", delay_s)
 
 
-def _still_waits(attempt: Attempt, competing_claim: ClaimRecord) -> bool:
+def _is_waiting_for(attempt: Attempt, competing_claim: ClaimRecord) -> bool:
     return attempt.state is AttemptState.WAITING and attempt.competing_claim is competing_claim
 
 
-def _finding_of(answer: ClaimStatusAnswer) -> Finding:
+def _resolution_of(answer: ClaimStatusAnswer) -> ClaimResolution:
     if answer.state == AttemptState.DONE.value:
-        return DoneBefore(answer.result)
+        return AlreadyDone(answer.result)
     if answer.state == ClaimStatus.MISMATCH:
         return PayloadDiffers()
     return MayHaveRun()
--- a/rooklug/front/once_only/claim_store.py
+++ b/rooklug/front/once_only/claim_store.py
@@ -73,14 +73,14 @@
     def handle(self, event: ev.Event, now: float) -> list[fx.Effect]:
         """Take one event."""
         if isinstance(event, ev.Started):
-            return self._started(event)
+            return self._on_started(event)
         if isinstance(event, ev.CallArrived):
-            return self._arrived(event)
+            return self._on_call(event)
         if isinstance(event, ev.WriteFinished):
             pending = self._pending.pop(event.ticket, None)
             return [fx.Answer(pending.call_id, pending.make_answer())] if pending else []
         if isinstance(event, ev.WriteFailed):
-            return self._write_failed(event)
+            return self._on_write_failed(event)
         return []
 
     def metrics(self, now: float) -> Iterable[MetricSample]:
@@ -88,7 +88,7 @@
         help_text = "Claims of once-only requests confirmed by this store."
         return (MetricSample("rooklug_claims_stored_total", self._confirmed, "counter", help_text),)
 
-    def _started(self, event: ev.Started) -> list[fx.Effect]:
+    def _on_started(self, event: ev.Started) -> list[fx.Effect]:
         effects: list[fx.Effect] = []
         for shard in range(CLAIM_SHARDS):
             records = event.records.get(claims_file(shard), ())
@@ -102,7 +102,7 @@
                 effects.append(self._rewrite(shard, []))
         return effects
 
-    def _arrived(self, event: ev.CallArrived) -> list[fx.Effect]:
+    def _on_call(self, event: ev.CallArrived) -> list[fx.Effect]:
         request = event.request
         if version_key(request.token) < self._shards[request.shard].fence or self._failed:
             return [fx.Answer(event.call_id, self._refusal(request))]
@@ -125,8 +125,8 @@
         )
 
     def _restore(self, call_id: int, request: RestoreClaimsRequest) -> list[fx.Effect]:
-        for_this_loss = request.incarnation == self._context.incarnation
-        if not for_this_loss or not _all_readable(request.claims):
+        incarnation_matches = request.incarnation == self._context.incarnation
+        if not incarnation_matches or not _all_readable(request.claims):
             return [fx.Answer(call_id, self._record_answer(request, recorded=False))]
         entries = [claim_entry(request.shard, claim) for claim in request.claims]
         entries.append(intact_entry(request.shard))
@@ -168,7 +168,7 @@
         ticket = self._context.identifiers.next()
         return fx.RewriteFile(ticket, claims_file(shard), tuple(entries))
 
-    def _write_failed(self, event: ev.WriteFailed) -> list[fx.Effect]:
+    def _on_write_failed(self, event: ev.WriteFailed) -> list[fx.Effect]:
         """Vouch for nothing from here on: memory may be ahead of the disk."""
         self._failed = True
         pending, self._pending = list(self._pending.values()), {}
--- a/rooklug/front/once_only/front_claim_recovery.py
+++ b/rooklug/front/once_only/front_claim_recovery.py
@@ -16,7 +16,7 @@
 from rooklug.wire.generated.control.ttypes import NodeRecord
 
 
-class FrontInquiry:
+class FrontClaimCollector:
     """One shard's inquiry."""
 
     def __init__(self, shard: int, core_link: CoreLink, calls: PendingCalls) -> None:
--- a/rooklug/front/once_only/once_decision.py
+++ b/rooklug/front/once_only/once_decision.py
@@ -8,15 +8,15 @@
 from rooklug.config.document import Configuration
 from rooklug.front.once_only.attempt import Attempt
 from rooklug.front.once_only.limits import (
-    AVOID_S,
     MAX_ACTIVE_ATTEMPTS,
     MAX_BACKEND_ATTEMPTS,
-    MIN_WRITE_S,
+    MIN_WRITE_TIME_S,
+    REPLICA_AVOIDANCE_S,
     RETRY_AFTER_S,
 )
 from rooklug.front.once_only.requests import OnceHead
 from rooklug.front.routing_view import FrontNode, RoutingView
-from rooklug.front.verdicts import GoTo, HeadVerdict, ReadBody, Refuse
+from rooklug.front.verdicts import HeadVerdict, ReadBody, RedirectTo, Refuse
 from rooklug.wire.generated.control.ttypes import ListedReplica
 
 
@@ -70,16 +70,16 @@
         if not self.view.serves_home(head.route):
             if not fronts:
                 return _refusal("no_home", "no front in the route's home regions is ready")
-            return GoTo(self._random.choice(fronts))
+            return RedirectTo(self._random.choice(fronts))
         if fronts and (self.draining or self.view.own_zone_drained):
-            return GoTo(self._random.choice(fronts))
+            return RedirectTo(self._random.choice(fronts))
         if active >= MAX_ACTIVE_ATTEMPTS:
             return _refusal("overloaded", "too many once-only requests wait here")
         return ReadBody()
 
     def choose_replica(self, attempt: Attempt, now: float) -> WriteTo | Refuse:
         """Decide where a granted attempt writes: never outside the route's home."""
-        if attempt.head.deadline - now < MIN_WRITE_S:
+        if attempt.head.deadline - now < MIN_WRITE_TIME_S:
             return _refusal("deadline", "too late to be written")
         homes = attempt.head.route.home_regions
         candidates = [
@@ -96,9 +96,9 @@
 
     def replica_failed(self, replica_id: str, now: float) -> None:
         """Put a replica last for a while."""
-        self._avoided_until[replica_id] = now + AVOID_S
+        self._avoided_until[replica_id] = now + REPLICA_AVOIDANCE_S
 
-    def replica_front(self, head: OnceHead, digest: bytes) -> str:
+    def choose_result_replica(self, head: OnceHead, digest: bytes) -> str:
         """Return the front that stores a replica of the result, "" without another one.
 
         It is at the route's home, and in another zone if there is one.
--- a/rooklug/front/once_only/once_only_component.py
+++ b/rooklug/front/once_only/once_only_component.py
@@ -18,11 +18,11 @@
 from rooklug.front.once_only.backend import backend_call, result_of
 from rooklug.front.once_only.claim_requester import (
     NEXT_TIMER,
+    AlreadyDone,
     ClaimRequester,
-    DoneBefore,
-    Finding,
+    ClaimResolution,
+    ClaimUnavailable,
     Granted,
-    NoClaim,
     PayloadDiffers,
 )
 from rooklug.front.once_only.claims import key_digest, shard_of
@@ -32,12 +32,14 @@
 from rooklug.front.once_only.requests import OnceHead, read_head, read_payload
 from rooklug.front.readiness import DrainingStarted
 from rooklug.front.requests import RequestProblem
-from rooklug.front.verdicts import GoTo, Refuse
+from rooklug.front.verdicts import RedirectTo, Refuse
 from rooklug.front.view_component import RoutingViewChanged
 from rooklug.wire.generated.claims.ttypes import ClaimRecord, CopyResultRequest
 
 DEADLINE_TIMER = "deadline:"
-_NO_CLAIM = Refuse("claims_unavailable", "no owner of the key's shard could decide", RETRY_AFTER_S)
+_CLAIM_UNAVAILABLE = Refuse(
+    "claims_unavailable", "no owner of the key's shard could decide", RETRY_AFTER_S
+)
 _DEADLINE = Refuse("deadline", "the deadline has passed", RETRY_AFTER_S)
 _NO_ANSWER = Refuse("no_answer", "it was written to a back end that gave no answer", RETRY_AFTER_S)
 _RESULT_GONE = Refuse("result_gone", "it has run; its result isn't kept any more", RETRY_AFTER_S)
@@ -59,7 +61,9 @@
         self._core_link = core_link
         self._attempts = attempts
         self._calls = PendingCalls(context.identifiers)
-        self._claim_requester = ClaimRequester(core_link, attempts, self._calls, self._found)
+        self._claim_requester = ClaimRequester(
+            core_link, attempts, self._calls, self._on_claim_resolved
+        )
         self._decision = OnceDecision(context.node_id, context.random)
         self._heads: dict[int, OnceHead] = {}
         self._writes: dict[int, Attempt] = {}
@@ -78,13 +82,13 @@
             self._decision.draining = True
             return []
         if isinstance(event, ev.HttpRequestArrived):
-            return self._arrived(event, now)
+            return self._on_request(event, now)
         if isinstance(event, ev.HttpRequestBody):
-            return self._body_came(event, now)
+            return self._on_body(event, now)
         if isinstance(event, ev.HttpRequestClosed):
-            return self._closed(event)
+            return self._on_closed(event)
         if isinstance(event, ev.TimerFired):
-            return self._timer_fired(event.name, now)
+            return self._on_timer(event.name, now)
         if isinstance(event, ev.CallAnswered | ev.CallFailed):
             return self._calls.end(event, now)
         if isinstance(event, ev.HttpAnswered | ev.HttpFailed):
@@ -110,7 +114,7 @@
 
     # Head and body -----------------------------------------------------------------------
 
-    def _arrived(self, event: ev.HttpRequestArrived, now: float) -> list[fx.Effect]:
+    def _on_request(self, event: ev.HttpRequestArrived, now: float) -> list[fx.Effect]:
         if event.path != answers.ONCE_PATH or event.method != "POST":
             problem = RequestProblem(405, "wrong_method", "use POST /v1/once")
             return [answers.problem_answer(event.request_id, problem)]
@@ -121,19 +125,19 @@
         if head.is_error():
             return [answers.problem_answer(event.request_id, head.error)]
         verdict = self._decision.check_head(head.ok, len(self._attempts) + len(self._heads))
-        if isinstance(verdict, GoTo):
-            answer = answers.go_elsewhere_answer(event.request_id, head.ok, verdict.front)
-            return [self._counted(answer)]
+        if isinstance(verdict, RedirectTo):
+            answer = answers.redirect_answer(event.request_id, head.ok, verdict.front)
+            return [self._count_answer(answer)]
         if isinstance(verdict, Refuse):
-            not_run = head.ok.first_sending
+            not_run = head.ok.is_first_attempt
             answer = answers.given_up_answer(event.request_id, head.ok, verdict, not_run=not_run)
-            return [self._counted(answer)]
+            return [self._count_answer(answer)]
         self._heads[event.request_id] = head.ok
         if event.body_withheld:
             return [fx.ReadRequestBody(event.request_id)]
-        return self._body_came(ev.HttpRequestBody(event.request_id, event.body), now)
+        return self._on_body(ev.HttpRequestBody(event.request_id, event.body), now)
 
-    def _body_came(self, event: ev.HttpRequestBody, now: float) -> list[fx.Effect]:
+    def _on_body(self, event: ev.HttpRequestBody, now: float) -> list[fx.Effect]:
         head = self._heads.pop(event.request_id, None)
         if head is None:
             return []
@@ -164,29 +168,31 @@
             asker_id=self._attempts.node_id,
             asker_incarnation=self._attempts.incarnation,
             attempt=number,
-            copy_id=self._decision.replica_front(head, digest),
+            copy_id=self._decision.choose_result_replica(head, digest),
         )
 
     # Findings and the back end -----------------------------------------------------------
 
-    def _found(self, attempt: Attempt, finding: Finding, now: float) -> list[fx.Effect]:
-        if isinstance(finding, Granted):
+    def _on_claim_resolved(
+        self, attempt: Attempt, resolution: ClaimResolution, now: float
+    ) -> list[fx.Effect]:
+        if isinstance(resolution, Granted):
             self._attempts.had_claims = True
             attempt.state = AttemptState.WRITING
             return self._write(attempt, now)
-        if isinstance(finding, NoClaim):
-            return self._release(attempt, _NO_CLAIM)
+        if isinstance(resolution, ClaimUnavailable):
+            return self._release(attempt, _CLAIM_UNAVAILABLE)
         effects = self._finish(attempt, AttemptState.RELEASED)
-        if isinstance(finding, DoneBefore) and finding.result:
+        if isinstance(resolution, AlreadyDone) and resolution.result:
             answer = answers.done_answer(
-                attempt.http_id, attempt.head, finding.result, repeated=True
+                attempt.http_id, attempt.head, resolution.result, repeated=True
             )
             return [*effects, *self._respond(attempt, answer, "repeated")]
-        if isinstance(finding, PayloadDiffers):
+        if isinstance(resolution, PayloadDiffers):
             answer = answers.key_reused_answer(attempt.http_id, attempt.head)
             return [*effects, *self._respond(attempt, answer)]
-        why = _RESULT_GONE if isinstance(finding, DoneBefore) else _EARLIER_MAY_HAVE_RUN
-        return [*effects, *self._respond_unknown(attempt, why)]
+        refusal = _RESULT_GONE if isinstance(resolution, AlreadyDone) else _EARLIER_MAY_HAVE_RUN
+        return [*effects, *self._respond_unknown(attempt, refusal)]
 
     def _write(self, attempt: Attempt, now: float) -> list[fx.Effect]:
         verdict = self._decision.choose_replica(attempt, now)
@@ -232,7 +238,7 @@
 
     # Ends --------------------------------------------------------------------------------
 
-    def _timer_fired(self, name: str, now: float) -> list[fx.Effect]:
+    def _on_timer(self, name: str, now: float) -> list[fx.Effect]:
         if name.startswith(NEXT_TIMER):
             attempt = self._attempts.live(int(name.removeprefix(NEXT_TIMER)))
             return self._claim_requester.proceed(attempt, now) if attempt else []
@@ -246,7 +252,7 @@
             return [*effects, *self._respond_unknown(attempt, _DEADLINE)]
         return self._release(attempt, _DEADLINE)
 
-    def _closed(self, event: ev.HttpRequestClosed) -> list[fx.Effect]:
+    def _on_closed(self, event: ev.HttpRequestClosed) -> list[fx.Effect]:
         self._heads.pop(event.request_id, None)
         attempt = self._attempts.by_http(event.request_id)
         if attempt is None:
@@ -256,10 +262,13 @@
             return []
         return self._finish(attempt, AttemptState.RELEASED)
 
-    def _release(self, attempt: Attempt, why: Refuse) -> list[fx.Effect]:
+    def _release(self, attempt: Attempt, refusal: Refuse) -> list[fx.Effect]:
         """End an attempt that has written nothing and never will."""
         effects = self._finish(attempt, AttemptState.RELEASED)
-        return [*effects, *self._respond_given_up(attempt, why, not_run=attempt.certainly_not_run)]
+        return [
+            *effects,
+            *self._respond_given_up(attempt, refusal, not_run=attempt.certainly_not_run),
+        ]
 
     def _finish(
         self, attempt: Attempt, state: AttemptState, result: bytes = b""
@@ -276,15 +285,17 @@
         if attempt.answered:
             return []
         self._attempts.mark_answered(attempt)
-        return [self._counted(answer, outcome)]
+        return [self._count_answer(answer, outcome)]
 
-    def _respond_unknown(self, attempt: Attempt, why: Refuse) -> list[fx.Effect]:
-        return self._respond_given_up(attempt, why, not_run=False)
+    def _respond_unknown(self, attempt: Attempt, refusal: Refuse) -> list[fx.Effect]:
+        return self._respond_given_up(attempt, refusal, not_run=False)
 
-    def _respond_given_up(self, attempt: Attempt, why: Refuse, *, not_run: bool) -> list[fx.Effect]:
-        answer = answers.given_up_answer(attempt.http_id, attempt.head, why, not_run=not_run)
+    def _respond_given_up(
+        self, attempt: Attempt, refusal: Refuse, *, not_run: bool
+    ) -> list[fx.Effect]:
+        answer = answers.given_up_answer(attempt.http_id, attempt.head, refusal, not_run=not_run)
         return self._respond(attempt, answer)
 
-    def _counted(self, answer: fx.HttpRespond, outcome: str = "") -> fx.HttpRespond:
+    def _count_answer(self, answer: fx.HttpRespond, outcome: str = "") -> fx.HttpRespond:
         self._answers[outcome or answers.OUTCOME_OF_STATUS[answer.status]] += 1
         return answer
--- a/rooklug/front/once_only/outages.py
+++ b/rooklug/front/once_only/outages.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from rooklug.front.once_only.limits import OUTAGE_AFTER_S, OUTAGE_FORGOTTEN_S
+from rooklug.front.once_only.limits import OUTAGE_AFTER_S, OUTAGE_RESET_AFTER_S
 
 
 @attrs.define
@@ -19,14 +19,14 @@
     def __init__(self) -> None:
         self._by_shard: dict[int, _Outage] = {}
 
-    def failed(self, shard: int, now: float) -> bool:
+    def record_failure(self, shard: int, now: float) -> bool:
         """Count an attempt without a grant; return whether the outage has lasted."""
         outage = self._by_shard.get(shard)
-        if outage is None or now - outage.last > OUTAGE_FORGOTTEN_S:
+        if outage is None or now - outage.last > OUTAGE_RESET_AFTER_S:
             outage = self._by_shard[shard] = _Outage(now, now)
         outage.last = now
         return now - outage.since >= OUTAGE_AFTER_S
 
-    def granted(self, shard: int) -> None:
+    def record_grant(self, shard: int) -> None:
         """Note that a claim of the shard was granted."""
         self._by_shard.pop(shard, None)
--- a/rooklug/front/once_only/requests.py
+++ b/rooklug/front/once_only/requests.py
@@ -30,7 +30,7 @@
 class OnceHead:
     """The request's headers. ``deadline`` is a monotonic time of this process.
 
-    ``first_sending``: the caller says that it has not sent this key before.
+    ``is_first_attempt``: the caller says that it has not sent this key before.
     """
 
     request_id: str
@@ -39,7 +39,7 @@
     route: Route
     started: float
     deadline: float
-    first_sending: bool
+    is_first_attempt: bool
 
 
 @attrs.frozen
@@ -55,10 +55,10 @@
 ) -> Result[OnceHead, RequestProblem]:
     """Read and check the headers."""
     request_id = headers.get(REQUEST_ID_HEADER, "") or fallback_id
-    if not _is_plain(request_id, MAX_REQUEST_ID_LENGTH):
+    if not _is_printable_ascii(request_id, MAX_REQUEST_ID_LENGTH):
         return _invalid(f"{REQUEST_ID_HEADER} must be printable ASCII, 200 characters at most")
     key = headers.get(KEY_HEADER, "")
-    if not _is_plain(key, MAX_KEY_LENGTH):
+    if not _is_printable_ascii(key, MAX_KEY_LENGTH):
         return _invalid(f"{KEY_HEADER} must be 1 to {MAX_KEY_LENGTH} printable ASCII characters")
     name = headers.get(ROUTE_HEADER, "")
     route = view.route(name)
@@ -67,8 +67,8 @@
     remaining_s = _time_left(headers.get(DEADLINE_HEADER), route.deadline_s)
     if remaining_s is None:
         return _invalid(f"{DEADLINE_HEADER} must be a whole number of milliseconds")
-    first_sending = headers.get(ATTEMPT_HEADER, "") == FIRST_ATTEMPT
-    return Ok(OnceHead(request_id, key, name, route, now, now + remaining_s, first_sending))
+    is_first_attempt = headers.get(ATTEMPT_HEADER, "") == FIRST_ATTEMPT
+    return Ok(OnceHead(request_id, key, name, route, now, now + remaining_s, is_first_attempt))
 
 
 def read_payload(data: bytes) -> Result[Payload, RequestProblem]:
@@ -76,7 +76,7 @@
     if nesting_depth(data) > MAX_JSON_DEPTH:
         return _invalid(f"the body is nested deeper than {MAX_JSON_DEPTH} levels")
     try:
-        value = json.loads(data, parse_constant=_refuse_constant)
+        value = json.loads(data, parse_constant=_reject_constant)
         canonical = json.dumps(value, sort_keys=True, separators=(",", ":"))
     except (ValueError, RecursionError):
         return _invalid("the body must be JSON")
@@ -87,11 +87,11 @@
     return Error(RequestProblem(400, "invalid", message))
 
 
-def _refuse_constant(name: str) -> None:
+def _reject_constant(name: str) -> None:
     raise ValueError(f"{name} is not a JSON number")
 
 
-def _is_plain(text: str, limit: int) -> bool:
+def _is_printable_ascii(text: str, limit: int) -> bool:
     return 0 < len(text) <= limit and text.isascii() and text.isprintable()
 
 
--- a/rooklug/front/once_only/shard_owner.py
+++ b/rooklug/front/once_only/shard_owner.py
@@ -11,7 +11,7 @@
 from rooklug.distribution.core_link import CoreLink
 from rooklug.engine import effects as fx
 from rooklug.front.once_only.claims import role_key_of, same_attempt
-from rooklug.front.once_only.front_claim_recovery import FrontInquiry
+from rooklug.front.once_only.front_claim_recovery import FrontClaimCollector
 from rooklug.front.once_only.limits import (
     DAMAGED_STORE_CHECK_S,
     STORE_CHECK_S,
@@ -75,9 +75,9 @@
         self._role_key = role_key_of(shard)
         self._core_link = core_link
         self._stores = ShardStores(
-            shard, store_addresses, calls, self._heard_of_store, self._fenced
+            shard, store_addresses, calls, self._on_store_answered, self._on_fenced
         )
-        self._inquiry = FrontInquiry(shard, core_link, calls)
+        self._front_claims = FrontClaimCollector(shard, core_link, calls)
         self._token: VersionMark | None = None
         self._sequence = 0
         self._recordings: dict[bytes, _Recording] = {}
@@ -85,11 +85,11 @@
 
     # Grants and ticks --------------------------------------------------------------------
 
-    def take_grant(self, token: VersionMark, now: float) -> list[fx.Effect]:
+    def handle_grant(self, token: VersionMark, now: float) -> list[fx.Effect]:
         """Begin under a new token, or go on under the same one."""
         effects: list[fx.Effect] = []
         if token != self._token:
-            effects += self._begin(token)
+            effects += self._begin_term(token)
         if self._ticking:
             return effects
         self._ticking = True
@@ -100,10 +100,10 @@
         if not self._may_decide(now):
             self._ticking = False
             return [fx.StartTimer(self._timer("forget"), FORGET_AFTER_S)]
-        effects = self._due(now)
+        effects = self._run_phase(now)
         return [*effects, fx.StartTimer(self._timer("tick"), self._tick_delay_s())]
 
-    def forget(self, now: float) -> list[fx.Effect]:
+    def free_table(self, now: float) -> list[fx.Effect]:
         """Free the table when the role has been elsewhere for a while."""
         if not self._may_decide(now):
             self.table = ShardTable()
@@ -111,24 +111,24 @@
             self._token = None
         return []
 
-    def _due(self, now: float) -> list[fx.Effect]:
+    def _run_phase(self, now: float) -> list[fx.Effect]:
         until = self._grant_until(now)
         if self.phase is Phase.QUERYING_STORES:
             return self._stores.read_unanswered(until)
         if self.phase is Phase.RECOVERING:
-            return [*self._inquiry.request_claims(until), *self._recover(now)]
+            return [*self._front_claims.request_claims(until), *self._recover(now)]
         if self.phase is Phase.RESTORING:
-            return self._stores.restore_blank(self.table.encoded, until)
+            return self._stores.restore_damaged(self.table.encoded, until)
         if self.phase is Phase.READY:
             return self._stores.check(self.table.encoded, self._grant_until, now)
         return []
 
-    def _begin(self, token: VersionMark) -> list[fx.Effect]:
+    def _begin_term(self, token: VersionMark) -> list[fx.Effect]:
         effects = self._answer_all_waiting(ClaimOutcome.NOT_READY)
         self._token = token
         self._sequence = 0
-        self._stores.begin(token)
-        self._inquiry.reset()
+        self._stores.begin_token(token)
+        self._front_claims.reset()
         self.phase = Phase.QUERYING_STORES
         self._ticking = False
         return effects
@@ -151,7 +151,7 @@
 
     # Stores ------------------------------------------------------------------------------
 
-    def _heard_of_store(self, now: float) -> list[fx.Effect]:
+    def _on_store_answered(self, now: float) -> list[fx.Effect]:
         if self.phase is Phase.RESTORING and self._stores.has_quorum:
             self.phase = Phase.READY
         if self.phase is not Phase.QUERYING_STORES:
@@ -164,8 +164,8 @@
         if not views.all_answered:
             return []
         self.phase = Phase.RECOVERING
-        self._inquiry.begin(now, no_store_intact=views.intact_count == 0)
-        return [self._recovery_log(), *self._inquiry.request_claims(self._grant_until(now))]
+        self._front_claims.begin(now, no_store_intact=views.intact_count == 0)
+        return [self._recovery_log(), *self._front_claims.request_claims(self._grant_until(now))]
 
     def _recovery_log(self) -> fx.Log:
         intact = self._stores.views.intact_count
@@ -176,13 +176,13 @@
         return fx.Log("error", message, {"shard": self.shard, "intact": intact})
 
     def _recover(self, now: float) -> list[fx.Effect]:
-        if not self._inquiry.is_complete(now):
+        if not self._front_claims.is_complete(now):
             return []
-        self.table.merge([*self._stores.views.claims(), *self._inquiry.claims()])
+        self.table.merge([*self._stores.views.claims(), *self._front_claims.claims()])
         self.phase = Phase.RESTORING
-        return self._stores.restore_blank(self.table.encoded, self._grant_until(now))
+        return self._stores.restore_damaged(self.table.encoded, self._grant_until(now))
 
-    def _fenced(self) -> list[fx.Effect]:
+    def _on_fenced(self) -> list[fx.Effect]:
         self.phase = Phase.FENCED
         return self._answer_all_waiting(ClaimOutcome.NOT_OWNER)
 
--- a/rooklug/front/once_only/shard_stores.py
+++ b/rooklug/front/once_only/shard_stores.py
@@ -20,7 +20,7 @@
 from rooklug.wire.generated.control.ttypes import VersionMark
 
 OnAnswer = Callable[[RecordClaimsAnswer | None, float], list[fx.Effect]]
-OnHeard = Callable[[float], list[fx.Effect]]
+OnStoreAnswered = Callable[[float], list[fx.Effect]]
 OnFenced = Callable[[], list[fx.Effect]]
 GrantUntil = Callable[[float], float]
 MakeClaims = Callable[[], list[bytes]]
@@ -29,7 +29,7 @@
 class ShardStores:
     """Sends under one token at a time; answers to an earlier token are dropped.
 
-    ``on_heard`` is called after each store that was read or restored, ``on_fenced`` when a
+    ``on_store_answered`` is called after each store that was read or restored, ``on_fenced`` when a
     store has seen a higher token. ``not_after`` bounds every send by the owner's grant.
     """
 
@@ -38,18 +38,18 @@
         shard: int,
         addresses: tuple[str, ...],
         calls: PendingCalls,
-        on_heard: OnHeard,
+        on_store_answered: OnStoreAnswered,
         on_fenced: OnFenced,
     ) -> None:
         self.views = StoreViews(addresses)
         self._shard = shard
         self._calls = calls
-        self._on_heard = on_heard
+        self._on_store_answered = on_store_answered
         self._on_fenced = on_fenced
         self._token: VersionMark | None = None
         self._open_checks = 0
 
-    def begin(self, token: VersionMark) -> None:
+    def begin_token(self, token: VersionMark) -> None:
         """Forget what was known under the token before."""
         self._token = token
         self.views.reset()
@@ -68,7 +68,7 @@
         request = RecordClaimsRequest(self._shard, self._token, [encode(claim)])
         return [self._call(view, request, not_after, then) for view in self.views]
 
-    def restore_blank(self, claims: MakeClaims, not_after: float) -> list[fx.Effect]:
+    def restore_damaged(self, claims: MakeClaims, not_after: float) -> list[fx.Effect]:
         """Restore every store that isn't intact; for owners that have just recovered."""
         return [self._restore(view, claims(), not_after) for view in self.views if not view.intact]
 
@@ -88,9 +88,9 @@
                 return self._on_fenced()
             if view.answered:
                 return []
-            view.take(event.answer, self.views.round)
+            view.update(event.answer, self.views.round)
             view.claims = decode_claims(event.answer.claims)
-            return self._on_heard(now)
+            return self._on_store_answered(now)
 
         request = ReadClaimsRequest(shard=self._shard, token=token)
         return self._calls.call(view.address, request, STORE_DEADLINE_S, on_end, not_after)
@@ -122,7 +122,10 @@
             claims=claims,
         )
         return self._call(
-            view, request, not_after, lambda answer, now: self._on_heard(now) if answer else []
+            view,
+            request,
+            not_after,
+            lambda answer, now: self._on_store_answered(now) if answer else [],
         )
 
     def _call(self, view: StoreView, request: Any, not_after: float, then: OnAnswer) -> fx.Call:
@@ -136,7 +139,7 @@
             if answer is not None and not answer.accepted:
                 return self._on_fenced()
             if answer is not None:
-                view.take(answer, round_number)
+                view.update(answer, round_number)
             return then(answer, now)
 
         return self._calls.call(view.address, request, STORE_DEADLINE_S, on_end, not_after)
--- a/rooklug/front/once_only/store_state.py
+++ b/rooklug/front/once_only/store_state.py
@@ -23,7 +23,7 @@
     intact: bool = False
     claims: dict[bytes, bytes] = attrs.field(factory=dict)
 
-    def take_claim(self, encoded: bytes) -> None:
+    def apply_claim(self, encoded: bytes) -> None:
         """Keep a claim unless a later one of the same key is here."""
         claim = decode(ClaimRecord, encoded).ok
         recorded = self.claims.pop(claim.key_digest, None)
@@ -40,7 +40,7 @@
         if entry.fence is not None:
             self.fence = max(self.fence, version_key(entry.fence))
         elif entry.claim is not None:
-            self.take_claim(entry.claim)
+            self.apply_claim(entry.claim)
         elif entry.intact:
             self.intact = True
 
--- a/rooklug/front/once_only/store_views.py
+++ b/rooklug/front/once_only/store_views.py
@@ -13,23 +13,23 @@
 
 @attrs.define
 class StoreView:
-    """One store. ``blank_known_in_round``: the check round that first saw it not intact."""
+    """One store. ``damage_known_in_round``: the check round that first saw it not intact."""
 
     address: str
     answered: bool = False
     intact: bool = False
     incarnation: str = ""
     claims: list[ClaimRecord] = attrs.field(factory=list)
-    blank_known_in_round: int = 0
+    damage_known_in_round: int = 0
     checked_in_round: int = 0
 
-    def take(self, answer: ReadClaimsAnswer | RecordClaimsAnswer, round_number: int) -> None:
+    def update(self, answer: ReadClaimsAnswer | RecordClaimsAnswer, round_number: int) -> None:
         """Note what the store says of itself."""
-        newly_blank = not answer.intact and (
+        newly_damaged = not answer.intact and (
             self.intact or not self.answered or self.incarnation != answer.incarnation
         )
-        if newly_blank:
-            self.blank_known_in_round = round_number
+        if newly_damaged:
+            self.damage_known_in_round = round_number
         self.answered = True
         self.intact = answer.intact
         self.incarnation = answer.incarnation
@@ -82,4 +82,6 @@
         """
         if any(view.checked_in_round != self.round for view in self):
             return []
-        return [view for view in self if not view.intact and view.blank_known_in_round < self.round]
+        return [
+            view for view in self if not view.intact and view.damage_known_in_round < self.round
+        ]
--- a/rooklug/front/regions.py
+++ b/rooklug/front/regions.py
@@ -31,29 +31,29 @@
     share. Shares count relative to the largest one, so that regions that are all in slow start
     lose nothing to one another.
     """
-    alive = [tuple(cell for cell in level if cell.region in shares) for level in levels]
-    alive = [level for level in alive if level]
-    if not alive:
+    usable = [tuple(cell for cell in level if cell.region in shares) for level in levels]
+    usable = [level for level in usable if level]
+    if not usable:
         return []
-    largest = max(shares[cell.region] for level in alive for cell in level)
-    passed: list[RegionStep] = []
+    largest = max(shares[cell.region] for level in usable for cell in level)
+    skipped: list[RegionStep] = []
     all_in_slow_start = largest < FULL_SHARE
-    for number, level in enumerate(alive):
+    for number, level in enumerate(usable):
         weights = [cell.weight * shares[cell.region] / largest for cell in level]
         chance = sum(weights) / sum(cell.weight for cell in level)
-        if draw < chance or number == len(alive) - 1:
+        if draw < chance or number == len(usable) - 1:
             first = _pick(level, weights, min(draw / chance, 1.0))
             preferred = number == 0
             rest = [cell for cell in level if cell is not first]
-            rest.extend(cell for later in alive[number + 1 :] for cell in later)
+            rest.extend(cell for later in usable[number + 1 :] for cell in later)
             return [
                 RegionStep(first.region, not preferred and first.region != source_region),
                 *(RegionStep(cell.region, cell.region != source_region) for cell in rest),
-                *(passed if all_in_slow_start else ()),
+                *(skipped if all_in_slow_start else ()),
             ]
-        passed.extend(RegionStep(cell.region, number > 0) for cell in level)
+        skipped.extend(RegionStep(cell.region, number > 0) for cell in level)
         draw = (draw - chance) / (1.0 - chance)
-    return passed
+    return skipped
 
 
 def _pick(level: tuple[Destination, ...], weights: list[float], draw: float) -> Destination:
--- a/rooklug/front/replica_states.py
+++ b/rooklug/front/replica_states.py
@@ -50,7 +50,7 @@
         """Return the load tokens sent there lately."""
         return self._recent_load * exp((self._recent_at - now) / RECENT_LOAD_S)
 
-    def completed(self, elapsed_s: float) -> None:
+    def record_completion(self, elapsed_s: float) -> None:
         """Count a complete answer."""
         self.health.succeeded()
         usual = self.measured_duration_s if self.measured_duration_s is not None else elapsed_s
@@ -76,14 +76,14 @@
         """Return the states by replica id, sorted."""
         return sorted(self._states.items())
 
-    def follow(self, view: RoutingView) -> None:
+    def apply_view(self, view: RoutingView) -> None:
         """Add what is new, start over at a new incarnation, forget what is gone and idle."""
         fronts = max(1, len(view.fronts_in()))
         listed: set[str] = set()
         for model in view.models():
             for replica in view.serving(model):
                 listed.add(replica.replica_id)
-                self._follow_replica(replica, fronts)
+                self._update_replica(replica, fronts)
         for replica_id in [name for name in self._states if name not in listed]:
             if self._states[replica_id].in_flight == 0:
                 del self._states[replica_id]
@@ -110,12 +110,12 @@
             in_flight = state.in_flight + 1
             state.limit.record_first_chunk(report.first_chunk_s, report.prompt_tokens, in_flight)
         if report.outcome is AttemptOutcome.SUCCESS:
-            state.completed(report.elapsed_s)
+            state.record_completion(report.elapsed_s)
             return False
         if report.outcome is AttemptOutcome.BUSY:
-            state.limit.refused_as_busy()
+            state.limit.record_busy()
         elif report.outcome is AttemptOutcome.TIMED_OUT:
-            state.limit.timed_out()
+            state.limit.record_timeout()
         return state.health.failed(report.outcome, now, self._random)
 
     def _mean_duration(self) -> float | None:
@@ -123,7 +123,7 @@
         known = [duration for duration in measured if duration is not None]
         return sum(known) / len(known) if known else None
 
-    def _follow_replica(self, replica: ServingReplica, fronts: int) -> None:
+    def _update_replica(self, replica: ServingReplica, fronts: int) -> None:
         state = self._states.get(replica.replica_id)
         if state is not None and state.incarnation == replica.incarnation:
             state.limit.set_maximum(replica.concurrency)
--- a/rooklug/front/requests.py
+++ b/rooklug/front/requests.py
@@ -64,7 +64,7 @@
 ) -> Result[RequestHead, RequestProblem]:
     """Read and check a model request's headers."""
     request_id = headers.get(REQUEST_ID_HEADER, "") or fallback_id
-    if len(request_id) > MAX_REQUEST_ID_LENGTH or not _is_plain(request_id):
+    if len(request_id) > MAX_REQUEST_ID_LENGTH or not _is_printable_ascii(request_id):
         return _invalid(f"{REQUEST_ID_HEADER} must be printable ASCII, 200 characters at most")
     name = headers.get(ROUTE_HEADER, "")
     if not name:
@@ -107,7 +107,7 @@
 def read_json_object(data: bytes) -> dict[str, Any] | None:
     """Return the JSON object in ``data``, or None if it isn't one."""
     try:
-        document = json.loads(data, parse_constant=_refuse_constant)
+        document = json.loads(data, parse_constant=_reject_constant)
     except (ValueError, RecursionError):
         return None
     return document if isinstance(document, dict) else None
@@ -130,11 +130,11 @@
     return Error(RequestProblem(400, "invalid", message))
 
 
-def _refuse_constant(name: str) -> None:
+def _reject_constant(name: str) -> None:
     raise ValueError(f"{name} is not a JSON number")
 
 
-def _is_plain(text: str) -> bool:
+def _is_printable_ascii(text: str) -> bool:
     return text.isascii() and text.isprintable()
 
 
--- a/rooklug/front/slow_start_admission.py
+++ b/rooklug/front/slow_start_admission.py
@@ -26,8 +26,8 @@
 
     since: float | None
     earned: float
-    bucket: float
-    filled_at: float
+    tokens: float
+    refilled_at: float
 
 
 class SlowStartAdmission:
@@ -41,7 +41,7 @@
         self._random = random
         self._allowances: dict[tuple[str, str], Allowance] = {}
 
-    def follow(self, view: RoutingView) -> None:
+    def apply_view(self, view: RoutingView) -> None:
         """Forget the replicas that are not served any more."""
         served = {
             (entry.replica_id, model) for model in view.models() for entry in view.serving(model)
@@ -67,14 +67,16 @@
             allowance = self._allowance(replica, model, now)
             allowance.earned = min(ONE_REQUEST, allowance.earned + weight / total)
 
-    def may_take(self, replica: ServingReplica, model: str, view: RoutingView, now: float) -> bool:
+    def has_capacity_token(
+        self, replica: ServingReplica, model: str, view: RoutingView, now: float
+    ) -> bool:
         """Return whether the absolute measure lets one more request through."""
         allowance = self._allowance(replica, model, now)
-        elapsed = now - allowance.filled_at
-        allowance.filled_at = now
+        elapsed = now - allowance.refilled_at
+        allowance.refilled_at = now
         rate = self._rate(replica, model, view, now)
-        allowance.bucket = min(ONE_REQUEST, allowance.bucket + rate * elapsed)
-        return allowance.bucket >= ONE_REQUEST
+        allowance.tokens = min(ONE_REQUEST, allowance.tokens + rate * elapsed)
+        return allowance.tokens >= ONE_REQUEST
 
     def has_earned(self, replica: ServingReplica, model: str, now: float) -> bool:
         """Return whether the relative measure lets one more request through."""
@@ -84,7 +86,7 @@
         """Count a request that goes to a replica in slow start."""
         allowance = self._allowance(replica, model, now)
         allowance.earned = max(0.0, allowance.earned - ONE_REQUEST)
-        allowance.bucket = max(0.0, allowance.bucket - ONE_REQUEST)
+        allowance.tokens = max(0.0, allowance.tokens - ONE_REQUEST)
 
     def _allowance(self, replica: ServingReplica, model: str, now: float) -> Allowance:
         key = (replica.replica_id, model)
@@ -92,8 +94,8 @@
         allowance = self._allowances.get(key)
         if allowance is None or allowance.since != since:
             # Random beginnings, so that the fronts' first requests don't come together.
-            earned, bucket = self._random.random(), self._random.random()
-            allowance = Allowance(since, earned, bucket, now)
+            earned, tokens = self._random.random(), self._random.random()
+            allowance = Allowance(since, earned, tokens, now)
             self._allowances[key] = allowance
         return allowance
 
--- a/rooklug/front/slow_start_tracker.py
+++ b/rooklug/front/slow_start_tracker.py
@@ -36,7 +36,7 @@
     since: float | None
     began_at: float | None = None
 
-    def considered(self, settings: SlowStart, now: float) -> "SlowStartProgress":
+    def with_clock_started(self, settings: SlowStart, now: float) -> "SlowStartProgress":
         """Start the clock; a replica that the plan calls ready meanwhile is ready here, too."""
         if self.since is None or self.began_at is not None:
             return self
@@ -71,7 +71,7 @@
         self._loaded_unplanned: dict[tuple[str, str], SlowStartProgress] = {}
         self._seen_a_plan = False
 
-    def follow(self, view: RoutingView, now: float) -> None:
+    def apply_view(self, view: RoutingView, now: float) -> None:
         """Start slow starts for what is new in the view, forget what is gone."""
         if view.configuration is not None:
             self._settings = view.configuration.slow_start
@@ -94,7 +94,7 @@
         self._replicas = replicas
         self._seen_a_plan = True
 
-    def lost(self, replica_id: str, now: float, model: str = "") -> None:
+    def record_loss(self, replica_id: str, now: float, model: str = "") -> None:
         """Restart a replica's slow starts (of all models, or of one): it was found lost."""
         for key, progress in self._replicas.items():
             if key[0] == replica_id and model in ("", key[1]):
@@ -104,7 +104,7 @@
         """Start the clock of a replica that a request may go to."""
         progress = self._replicas.get((replica_id, model))
         if progress is not None:
-            self._replicas[(replica_id, model)] = progress.considered(self._settings, now)
+            self._replicas[(replica_id, model)] = progress.with_clock_started(self._settings, now)
 
     def replica_share(self, replica_id: str, model: str, now: float) -> float:
         """Return a replica's share for a model."""
--- a/rooklug/front/verdicts.py
+++ b/rooklug/front/verdicts.py
@@ -42,7 +42,7 @@
 
 
 @attrs.frozen
-class GoTo:
+class RedirectTo:
     """Another front must take it."""
 
     front: FrontNode
@@ -69,5 +69,5 @@
     """The head is good: read the body on."""
 
 
-HeadVerdict = ReadBody | GoTo | Refuse
-Verdict = ServeAt | GoTo | Refuse | Wait
+HeadVerdict = ReadBody | RedirectTo | Refuse
+Verdict = ServeAt | RedirectTo | Refuse | Wait
--- a/rooklug/front/view_component.py
+++ b/rooklug/front/view_component.py
@@ -48,7 +48,7 @@
         if not is_newer(event.version, self._versions.get(event.topic, ZERO_VERSION)):
             return []
         self._versions[event.topic] = event.version
-        logs = self._take(event.topic, event.body)
+        logs = self._apply_body(event.topic, event.body)
         self.view = self._build(self.view)
         return [*logs, EmitEvent(RoutingViewChanged(self.view))]
 
@@ -56,9 +56,9 @@
         own = self._settings
         return build_routing_view(own.node_id, own.zone, own.region, self._sources, previous)
 
-    def _take(self, topic: str, body: Any) -> list[fx.Effect]:
+    def _apply_body(self, topic: str, body: Any) -> list[fx.Effect]:
         if topic == topics.CONFIGURATION:
-            return self._take_configuration(body)
+            return self._apply_configuration(body)
         if topic == topics.ZONES:
             zones = frozenset(body.emptied_zones)
             self._sources = attrs.evolve(self._sources, drained_zones=zones)
@@ -70,7 +70,7 @@
             self._sources = attrs.evolve(self._sources, plan=body)
         return []
 
-    def _take_configuration(self, body: ConfigurationBody) -> list[fx.Effect]:
+    def _apply_configuration(self, body: ConfigurationBody) -> list[fx.Effect]:
         result = self._read(body.document)
         if result.is_error():
             fields = {"version": body.version, "problems": str(result.error)}
--- a/tests/once_mutations.py
+++ b/tests/once_mutations.py
@@ -68,14 +68,14 @@
 
 def without_reading() -> AbstractContextManager:
     """A new owner decides before it has read the stores."""
-    begin = ShardOwner._begin
+    begin = ShardOwner._begin_term
 
     def begin_ready(self, token):
         effects = begin(self, token)
         self.phase = Phase.READY
         return effects
 
-    return patch.object(ShardOwner, "_begin", begin_ready)
+    return patch.object(ShardOwner, "_begin_term", begin_ready)
 
 
 def with_grant_before_record() -> AbstractContextManager:
@@ -134,8 +134,8 @@
 def with_refusal_after_writing() -> AbstractContextManager:
     """ "Not run" is said when the deadline passes while writing."""
 
-    def refuse(self, attempt, why):
-        return self._respond_given_up(attempt, why, not_run=True)
+    def refuse(self, attempt, refusal):
+        return self._respond_given_up(attempt, refusal, not_run=True)
 
     return patch.object(once_only_component.OnceOnlyComponent, "_respond_unknown", refuse)
 
--- a/tests/test_front_limits.py
+++ b/tests/test_front_limits.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from rooklug.front.attempt import AttemptOutcome
-from rooklug.front.health import LONGEST_EJECTION_S, ReplicaHealth
+from rooklug.front.health import MAX_EJECTION_S, ReplicaHealth
 from rooklug.front.limits import RETRY_BURST, RETRY_FLOOR_PER_S, ConcurrencyLimit, RetryBudget
 from rooklug.front.overload import Overload
 from rooklug.front.routing_view import RoutingView, ViewSources
@@ -44,9 +44,9 @@
         limit, maximum = ConcurrencyLimit(8, 2), 8
         for step in steps:
             if step == "busy":
-                limit.refused_as_busy()
+                limit.record_busy()
             elif step == "timed out":
-                limit.timed_out()
+                limit.record_timeout()
             elif isinstance(step, int):
                 maximum = step
                 limit.set_maximum(step)
@@ -86,13 +86,13 @@
     @given(st.lists(st.tuples(st.floats(0, 6), REPLICA_STATES), min_size=1, max_size=12))
     def test_shares_against_a_history(self, steps) -> None:
         """The oracle: seconds since the last change that makes a replica cold."""
-        ramps, now, before, began = SlowStartTracker(), 100.0, None, None
+        tracker, now, before, began = SlowStartTracker(), 100.0, None, None
         for number, (pause, state) in enumerate(steps):
             now += pause
             other = loaded("b")
             plan = [other] if state is None else [other, loaded("a", state[1], str(state[0]))]
-            ramps.follow(view_of(plan), now)
-            ramps.start_clock("a", "talk", now)
+            tracker.apply_view(view_of(plan), now)
+            tracker.start_clock("a", "talk", now)
             if state is not None:
                 came = before is None or before[0] != state[0]
                 emptied = before is not None and state[1] and not before[1]
@@ -101,52 +101,52 @@
                 elif came:
                     began = None
                 share = 1.0 if began is None else min(1.0, 0.05 ** (1 - (now - began) / 10))
-                self.assertAlmostEqual(ramps.replica_share("a", "talk", now), share)
-            self.assertEqual(ramps.replica_share("b", "talk", now), 1.0)
+                self.assertAlmostEqual(tracker.replica_share("a", "talk", now), share)
+            self.assertEqual(tracker.replica_share("b", "talk", now), 1.0)
             before = state
 
     def test_a_second_model_keeps_the_first_one_warm(self) -> None:
-        ramps = SlowStartTracker()
-        ramps.follow(view_of([loaded("a")]), 1.0)
+        tracker = SlowStartTracker()
+        tracker.apply_view(view_of([loaded("a")]), 1.0)
         both = ["talk", "other"]
         plan = [loaded("a", True, loaded_models=both, intended_models=both)]
-        ramps.follow(view_of(plan), 2.0)
-        self.assertEqual(ramps.replica_share("a", "talk", 2.0), 1.0)
-        self.assertEqual(ramps.replica_share("a", "other", 2.0), 0.05)
+        tracker.apply_view(view_of(plan), 2.0)
+        self.assertEqual(tracker.replica_share("a", "talk", 2.0), 1.0)
+        self.assertEqual(tracker.replica_share("a", "other", 2.0), 0.05)
 
     def test_a_model_that_rests_stays_warm(self) -> None:
-        ramps = SlowStartTracker()
-        ramps.follow(view_of([loaded("a"), loaded("b")]), 1.0)
-        ramps.follow(view_of([loaded("a", intended_models=[]), loaded("b")]), 2.0)
-        ramps.follow(view_of([loaded("a"), loaded("b")]), 3.0)
-        self.assertEqual(ramps.replica_share("a", "talk", 3.0), 1.0)
-        ramps.follow(view_of([loaded("a", loaded_models=[]), loaded("b")]), 4.0)
-        ramps.follow(view_of([loaded("a"), loaded("b")]), 5.0)
-        self.assertEqual(ramps.replica_share("a", "talk", 5.0), 0.05)
+        tracker = SlowStartTracker()
+        tracker.apply_view(view_of([loaded("a"), loaded("b")]), 1.0)
+        tracker.apply_view(view_of([loaded("a", intended_models=[]), loaded("b")]), 2.0)
+        tracker.apply_view(view_of([loaded("a"), loaded("b")]), 3.0)
+        self.assertEqual(tracker.replica_share("a", "talk", 3.0), 1.0)
+        tracker.apply_view(view_of([loaded("a", loaded_models=[]), loaded("b")]), 4.0)
+        tracker.apply_view(view_of([loaded("a"), loaded("b")]), 5.0)
+        self.assertEqual(tracker.replica_share("a", "talk", 5.0), 0.05)
 
     def test_time_without_traffic_warms_nothing(self) -> None:
-        ramps = SlowStartTracker()
-        ramps.follow(view_of([loaded("b")]), 1.0)
-        ramps.follow(view_of([loaded("a", True), loaded("b")]), 2.0)
-        ramps.start_clock("a", "talk", 60.0)
-        self.assertEqual(ramps.replica_share("a", "talk", 60.0), 0.05)
+        tracker = SlowStartTracker()
+        tracker.apply_view(view_of([loaded("b")]), 1.0)
+        tracker.apply_view(view_of([loaded("a", True), loaded("b")]), 2.0)
+        tracker.start_clock("a", "talk", 60.0)
+        self.assertEqual(tracker.replica_share("a", "talk", 60.0), 0.05)
 
     def test_a_region_whose_only_replica_rested_cold_is_cold(self) -> None:
-        ramps = SlowStartTracker()
-        ramps.follow(view_of([loaded("a", True)]), 1.0)
-        ramps.follow(view_of([loaded("a", True, intended_models=[])]), 2.0)
-        ramps.follow(view_of([loaded("a", True)]), 3.0)
-        ramps.start_clock("a", "talk", 60.0)
+        tracker = SlowStartTracker()
+        tracker.apply_view(view_of([loaded("a", True)]), 1.0)
+        tracker.apply_view(view_of([loaded("a", True, intended_models=[])]), 2.0)
+        tracker.apply_view(view_of([loaded("a", True)]), 3.0)
+        tracker.start_clock("a", "talk", 60.0)
         view = view_of([loaded("a", True)])
-        self.assertEqual(ramps.region_share(view.serving("talk"), "talk", 60.0), 0.05)
+        self.assertEqual(tracker.region_share(view.serving("talk"), "talk", 60.0), 0.05)
 
     def test_what_others_have_warmed_is_warm(self) -> None:
-        ramps = SlowStartTracker()
-        ramps.follow(view_of([loaded("b")]), 1.0)
-        ramps.follow(view_of([loaded("b")]), 61.0)
-        ramps.follow(view_of([loaded("a"), loaded("b")]), 62.0)
-        ramps.start_clock("a", "talk", 90.0)
-        self.assertEqual(ramps.replica_share("a", "talk", 90.0), 1.0)
+        tracker = SlowStartTracker()
+        tracker.apply_view(view_of([loaded("b")]), 1.0)
+        tracker.apply_view(view_of([loaded("b")]), 61.0)
+        tracker.apply_view(view_of([loaded("a"), loaded("b")]), 62.0)
+        tracker.start_clock("a", "talk", 90.0)
+        self.assertEqual(tracker.replica_share("a", "talk", 90.0), 1.0)
 
 
 class RetryBudgetTest(unittest.TestCase):
@@ -160,7 +160,7 @@
                 firsts += 1
                 budget.record_first_attempt(share)
             else:
-                granted += budget.take(now)
+                granted += budget.try_spend(now)
             ceiling = RETRY_BURST / 2 + share * firsts + RETRY_FLOOR_PER_S * now
             self.assertLessEqual(granted, ceiling + 1e-6)
 
@@ -202,7 +202,7 @@
             self.assertFalse(health.is_ejected(now))
         self.assertLess(waits[0], 1.5)
         self.assertGreater(waits[2], waits[0])
-        self.assertLessEqual(max(waits), LONGEST_EJECTION_S * 1.25)
+        self.assertLessEqual(max(waits), MAX_EJECTION_S * 1.25)
         health.succeeded()
         self.assertFalse(health.on_probation)
 
@@ -218,9 +218,9 @@
     def test_retry_after_grows_and_is_spread(self) -> None:
         quiet, loaded = Overload(Random(1)), Overload(Random(1))
         for _ in range(400):
-            quiet.served(1.0)
-        calm = {quiet.retry_after(1.0) for _ in range(20)}
-        stormy = {loaded.retry_after(1.0) for _ in range(200)}
+            quiet.record_served(1.0)
+        calm = {quiet.record_refusal(1.0) for _ in range(20)}
+        stormy = {loaded.record_refusal(1.0) for _ in range(200)}
         self.assertLessEqual(max(calm), 2)
         self.assertGreaterEqual(len(stormy), 4)
         self.assertGreaterEqual(min(stormy | calm), 1)
--- a/tests/test_front_promises.py
+++ b/tests/test_front_promises.py
@@ -232,7 +232,7 @@
 MUTATIONS = [
     ("stream check", StreamChecker, "_check", trust_line, None),
     ("not run is certain", AttemptRunner, "_fail", forget_failures, None),
-    ("no retry after a byte", ActiveRequest, "answer_begun", property(lambda s: False,
+    ("no retry after a byte", ActiveRequest, "answer_started", property(lambda s: False,
      lambda s, value: None), None),
     ("plan's intention", view_building, "_serving_by_model",
      lambda listed, plan, region_of: {"talk": tuple(
@@ -253,7 +253,7 @@
      balancing.SlowStartTest("test_a_second_loss_begins_at_the_bottom")),
     ("region ramp", SlowStartTracker, "region_share", lambda *arguments: 1.0,
      balancing.SlowStartTest("test_a_repaired_region_gets_a_trickle")),
-    ("absolute cold measure", SlowStartAdmission, "may_take", lambda *arguments: True,
+    ("absolute cold measure", SlowStartAdmission, "has_capacity_token", lambda *arguments: True,
      balancing.SlowStartTest("test_cold_fleet_serves_a_quarter_in_time")),
     ("relative cold measure", SlowStartAdmission, "has_earned", lambda *arguments: True,
      balancing.SlowStartTest("test_much_room_does_not_lift_the_trickle")),
@@ -262,16 +262,16 @@
     ("keep trying", Balancer, "_usable", lambda self, replicas, model, now: [
         r for r in replicas if not self.states[r].health.is_ejected(now)],
      balancing.RetryTest("test_one_failing_front_keeps_trying")),
-    ("retry budget", RetryBudget, "take", lambda self, now: True,
+    ("retry budget", RetryBudget, "try_spend", lambda self, now: True,
      balancing.RetryTest("test_budget_ends_a_retry_storm")),
     ("spill bound", Balancer, "_spill_allowed", lambda *arguments: True,
      balancing.MatrixTest("test_spill_stays_within_the_weights")),
     ("bounded affinity", Balancer, "_choose_at_full_share", lambda self, placement, replicas:
      self._ordered(placement, replicas)[0],
      balancing.AffinityTest("test_hot_parts_stay_below_the_bounded_share")),
-    ("table's home", AffinityTable, "follow", lambda self, view: None,
+    ("table's home", AffinityTable, "apply_view", lambda self, view: None,
      balancing.AffinityTest("test_bound_parts_are_dropped_when_the_home_moves")),
-    ("stalls", AttemptRunner, "stalled", lambda *arguments: None,
+    ("stalls", AttemptRunner, "fail_if_stalled", lambda *arguments: None,
      balancing.RetryTest("test_silent_replica_is_left_before_its_first_piece")),
     ("wait bound", WaitQueue, "take_expired", lambda *arguments: [],
      balancing.QueueTest("test_refused_at_the_wait_bound_and_when_full")),
