--- a/rooklug/front/active_request.py
+++ b/rooklug/front/active_request.py
@@ -1,4 +1,4 @@
-"""The state of one request at this front, from its head to its last byte."""
+"""State of one model request at this front, from its headers to the end of its answer."""
 
 from enum import Enum
 
@@ -10,7 +10,7 @@
 
 
 class RequestState(Enum):
-    """How far a request has got."""
+    """Stage of a request that has no final answer yet."""
 
     RECEIVING_BODY = "receiving the body"
     QUEUED = "queued"
@@ -19,7 +19,19 @@
 
 @attrs.define
 class ActiveRequest:
-    """A request that has not got its final answer yet."""
+    """A request without a final answer, changed by the executor and its attempt runner.
+
+    Attributes:
+        http_id: Id of the caller's HTTP request, to which answers are addressed.
+        tried: Ids of the replicas at which an attempt has failed.
+        was_decided: Whether a placement has been requested before.
+        may_have_run: Whether any failed attempt may have run at its replica.
+        answer_started: Whether a streamed answer has begun; after that there are no retries.
+        attempt: The attempt in flight, if any.
+        chunks: Texts received so far, for an answer that is sent as one document.
+        chunk_count: Chunks received in the current attempt.
+        answer_bytes: Size of the received chunks of an answer that is sent as one document.
+    """
 
     http_id: int
     head: RequestHead
@@ -39,7 +51,7 @@
         """The attempt in flight.
 
         Raises:
-            ValueError: There is none.
+            ValueError: No attempt is in flight.
         """
         if self.attempt is None:
             raise ValueError("no attempt of the request is in flight")
@@ -50,14 +62,17 @@
         """The parsed body.
 
         Raises:
-            ValueError: The body has not come yet.
+            ValueError: The body has not been received yet.
         """
         if self.body is None:
-            raise ValueError("the request's body has not come yet")
+            raise ValueError("the request's body has not been received yet")
         return self.body
 
     def placement_request(self) -> PlacementRequest:
-        """Return what the decision object needs; only the first one earns a slow-start share."""
+        """Return the input for ``Decision.choose``; marks the request as decided once.
+
+        Only the first decision of a request earns a share for replicas in slow start.
+        """
         is_first_decision = not self.was_decided
         self.was_decided = True
         return PlacementRequest(self.head, self.generate_body, self.tried, is_first_decision)
--- a/rooklug/front/affinity.py
+++ b/rooklug/front/affinity.py
@@ -1,7 +1,7 @@
 """Prefix affinity: which replica has which shared prefix blocks in its KV cache.
 
-The table is this front's own and bounded. Where it knows nothing, rendezvous hashing gives a
-first choice that all fronts agree on.
+Each front learns its bounded table from its own requests; the table is not shared. For blocks
+that it doesn't know, rendezvous hashing gives the same first choice at every front.
 """
 
 from collections import OrderedDict
@@ -17,25 +17,25 @@
 
 
 def hash_blocks(blocks: tuple[str, ...]) -> tuple[int, ...]:
-    """Return a hash for each prefix block."""
+    """Return the 64-bit hash of each prefix block, in the given order."""
     return tuple(xxh3_64_intdigest(block.encode("utf-8", "surrogatepass")) for block in blocks)
 
 
 def rendezvous_rank(seed: int, replica_id: str) -> int:
-    """Return the rank of a replica for ``seed``; the highest is the first choice."""
+    """Return the rendezvous rank of a replica for ``seed``; the highest rank is preferred."""
     return xxh3_64_intdigest(replica_id.encode(), seed=seed)
 
 
 def combined_hash(block_hashes: tuple[int, ...]) -> int:
-    """Return one hash for the blocks in their order."""
+    """Return one hash that depends on all blocks and their order."""
     return xxh3_64_intdigest(b"".join(block.to_bytes(8, "little") for block in block_hashes))
 
 
 class AffinityTable:
-    """Blocks and the replicas that cache them, in a table of its own for each set of home regions.
+    """Maps prefix blocks to the replicas that cache them, separately for each set of home regions.
 
-    A bound route's blocks are never kept outside its home, and never longer than a route with
-    that home exists.
+    Blocks of a bound route are kept only at fronts inside its home regions, and only while the
+    configuration has a route with those home regions.
     """
 
     def __init__(self, max_blocks: int = MAX_PREFIX_BLOCKS) -> None:
@@ -46,7 +46,7 @@
         return sum(len(table) for table in self._tables.values())
 
     def apply_view(self, view: RoutingView) -> None:
-        """Drop the tables that the configuration does not allow here any more."""
+        """Drop the tables of home regions that no route has any more or that exclude this front."""
         if view.configuration is None:
             return
         allowed = {
@@ -57,7 +57,10 @@
         self._tables = {homes: table for homes, table in self._tables.items() if homes in allowed}
 
     def record(self, homes: Homes, block_hashes: tuple[int, ...], replica: ServingReplica) -> None:
-        """Note that the replica has the blocks cached now."""
+        """Record that the replica caches the blocks, and make them the newest of their table.
+
+        A block keeps its last ``MAX_REPLICAS_PER_BLOCK`` replicas.
+        """
         table = self._tables.setdefault(homes, OrderedDict())
         for block in block_hashes:
             caching = table.setdefault(block, {})
@@ -71,7 +74,7 @@
     def cached_blocks(
         self, homes: Homes, block_hashes: tuple[int, ...], replica: ServingReplica
     ) -> int:
-        """Return how many of the blocks this incarnation of the replica has cached."""
+        """Return how many of the blocks the replica caches; a new incarnation starts with none."""
         table = self._tables.get(homes)
         if not table:
             return 0
@@ -83,7 +86,7 @@
     def rank(
         self, homes: Homes, block_hashes: tuple[int, ...], replicas: list[ServingReplica]
     ) -> list[ServingReplica]:
-        """Return the replicas, the one with most cached blocks first."""
+        """Return the replicas sorted by cached blocks, most first, then by rendezvous rank."""
         seed = combined_hash(block_hashes)
         return sorted(
             replicas,
@@ -94,7 +97,7 @@
         )
 
     def _shrink(self, newest: OrderedDict[int, dict[str, str]]) -> None:
-        """Keep the bound over all tables: drop the oldest blocks, of others' tables first."""
+        """Evict the oldest blocks beyond the total limit, from ``newest`` only at last."""
         excess = len(self) - self._max_blocks
         for table in [*(other for other in self._tables.values() if other is not newest), newest]:
             while excess > 0 and table:
--- a/rooklug/front/answers.py
+++ b/rooklug/front/answers.py
@@ -1,4 +1,4 @@
-"""The answers of the request path, as HTTP effects."""
+"""Builds the HTTP answers of the request path as effects."""
 
 import json
 from typing import Any
@@ -13,20 +13,20 @@
 
 
 def front_document(front: FrontNode) -> dict[str, str]:
-    """Return a front as callers see it."""
+    """Return the JSON description of a front in answers to callers."""
     return {"node_id": front.node_id, "address": front.address, "region": front.region}
 
 
 def json_answer(
     http_id: int, status: int, document: dict[str, Any], headers: dict[str, str] | None = None
 ) -> fx.HttpRespond:
-    """Return a complete JSON answer."""
+    """Return a complete answer with a JSON body; ``headers`` may override the content type."""
     body = json.dumps(document).encode()
     return fx.HttpRespond(http_id, status, body, {**JSON_TYPE, **(headers or {})})
 
 
 def problem_answer(http_id: int, problem: RequestProblem) -> fx.HttpRespond:
-    """Answer a request that is at fault itself."""
+    """Reject an invalid request with the status and code of ``problem``; it was not run."""
     error = {"code": problem.code, "message": problem.message}
     return json_answer(http_id, problem.status, {"error": error, "outcome": "not_run"})
 
@@ -34,19 +34,19 @@
 def not_run_answer(
     http_id: int, request_id: str, code: str, message: str, retry_after_s: int
 ) -> fx.HttpRespond:
-    """Refuse: it certainly never ran; come back in ``retry_after_s``."""
+    """Answer 503 for a request that certainly has not run; the caller may retry."""
     return _retryable_answer(http_id, 503, "not_run", request_id, code, message, retry_after_s)
 
 
 def unknown_answer(
     http_id: int, request_id: str, code: str, message: str, retry_after_s: int
 ) -> fx.HttpRespond:
-    """Give up on a request that may have run."""
+    """Answer 504 for a request that has no result but may have run."""
     return _retryable_answer(http_id, 504, "unknown", request_id, code, message, retry_after_s)
 
 
 def redirect_answer(http_id: int, request_id: str, front: FrontNode) -> fx.HttpRespond:
-    """Send the caller to another front; nothing was run here."""
+    """Redirect the caller to another front (307); the request was not run here."""
     headers = {
         "Location": f"http://{front.address}{GENERATE_PATH}",
         REQUEST_ID_HEADER: request_id,
@@ -57,7 +57,7 @@
 
 
 def complete_answer(http_id: int, request_id: str, chunks: list[str]) -> fx.HttpRespond:
-    """Answer a request that wants the complete text at once."""
+    """Answer a request that did not ask for a stream with the complete text."""
     document = {
         "request_id": request_id,
         "text": "".join(chunks),
@@ -68,7 +68,7 @@
 
 
 def stream_start(http_id: int, request_id: str) -> fx.HttpStreamStart:
-    """Begin a streamed answer."""
+    """Start a streamed answer with status 200; chunks follow as JSON lines."""
     return fx.HttpStreamStart(http_id, 200, {**NDJSON_TYPE, REQUEST_ID_HEADER: request_id})
 
 
--- a/rooklug/front/attempt.py
+++ b/rooklug/front/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a request at one replica, and what the executor reports of it."""
+"""One attempt of a request at one replica, and the report that its end leaves."""
 
 import attrs
 
@@ -10,9 +10,10 @@
 
 @attrs.frozen
 class AttemptReport:
-    """The end of an attempt.
+    """How an attempt ended, for the balancer and the demand counts.
 
-    ``first_chunk_s`` is the time from the send to the first chunk, None without one.
+    ``elapsed_s`` counts from the send to the end, ``first_chunk_s`` from the send to the first
+    chunk (None if there was none).
     """
 
     serve_at: ServeAt
@@ -24,7 +25,13 @@
 
 @attrs.define
 class Attempt:
-    """An attempt in flight."""
+    """An attempt in flight. Times are monotonic times of this process.
+
+    Attributes:
+        last_progress_at: When the call was sent or, later, when the last chunk arrived.
+        status: HTTP status of the replica, 0 until its response starts.
+        refusal_body: Body received so far of a response other than 200.
+    """
 
     call_id: int
     serve_at: ServeAt
@@ -38,5 +45,5 @@
 
     @property
     def replica(self) -> ServingReplica:
-        """The replica it runs at."""
+        """The replica that the attempt was sent to."""
         return self.serve_at.replica
--- a/rooklug/front/attempt_runner.py
+++ b/rooklug/front/attempt_runner.py
@@ -1,4 +1,4 @@
-"""Carries one attempt of a request: the call to the replica, its answer, and how it ended."""
+"""Runs the attempts of requests: calls a replica, checks its answer, and reports the outcome."""
 
 import json
 
@@ -23,7 +23,7 @@
 REPLICA_PATH = "/api/generate"
 CONNECT_DEADLINE_S = 1.0
 STREAM_IDLE_TIMEOUT_S = 10.0
-# An attempt that had less time than this says nothing about its replica.
+# A time-out after a shorter wait is not counted against the replica.
 MIN_CONCLUSIVE_WAIT_S = 1.0
 MAX_REFUSAL_BYTES = 16 * 1024
 MAX_ANSWER_BYTES = 32 * 1024 * 1024
@@ -32,14 +32,14 @@
 
 @attrs.frozen
 class Progress:
-    """The attempt goes on."""
+    """The attempt is still running; ``effects`` pass on what has arrived."""
 
     effects: list[fx.Effect]
 
 
 @attrs.frozen
 class Finished:
-    """The attempt gave the complete answer; ``effects`` bring its end to the caller."""
+    """The attempt produced a complete answer; ``effects`` send the rest of it to the caller."""
 
     report: AttemptReport
     effects: list[fx.Effect]
@@ -47,7 +47,10 @@
 
 @attrs.frozen
 class Failed:
-    """The attempt is over without a complete answer. ``may_have_run`` is False only if certain."""
+    """The attempt ended without a complete answer.
+
+    ``may_have_run`` is False only if the request certainly did not run at the replica.
+    """
 
     report: AttemptReport
     may_have_run: bool
@@ -56,20 +59,30 @@
 
 
 class AttemptRunner:
-    """Knows which call belongs to which request."""
+    """Starts attempts and handles their events until they finish or fail.
+
+    Maps the id of each call in flight to its request.
+    """
 
     def __init__(self, context: ProcessContext) -> None:
         self._context = context
         self._by_call_id: dict[int, ActiveRequest] = {}
 
     def request_of(self, call_id: int) -> ActiveRequest | None:
-        """Return the request whose running attempt has that call id."""
+        """Return the request whose attempt has that call id, None if the attempt has ended."""
         return self._by_call_id.get(call_id)
 
     def start(
         self, request: ActiveRequest, serve_at: ServeAt, first_chunk_s: float, now: float
     ) -> fx.Effect:
-        """Start an attempt; return the call to the replica, with the time left carried on."""
+        """Start an attempt and return its call to the replica, which carries the remaining time.
+
+        Args:
+            request: The request; it must have no attempt in flight.
+            serve_at: The verdict with replica, model and deadline.
+            first_chunk_s: How long the replica may take to its first chunk.
+            now: Monotonic time.
+        """
         head = request.head
         call_id = self._context.identifiers.next()
         checker = StreamChecker(head.request_id)
@@ -100,7 +113,7 @@
     def handle_event(
         self, request: ActiveRequest, event: ev.Event, now: float
     ) -> Progress | Finished | Failed:
-        """Take one event of the running attempt."""
+        """Handle one HTTP event of the request's running attempt."""
         attempt = request.running_attempt
         if isinstance(event, ev.HttpFailed):
             return self._handle_call_failure(request, event, now)
@@ -114,19 +127,23 @@
         return self._handle_end(request, now)
 
     def cancel(self, request: ActiveRequest, now: float) -> Failed:
-        """End an attempt whose caller has gone."""
+        """Cancel the attempt of a caller that has disconnected."""
         return self._fail(
             request, AttemptOutcome.CANCELLED, "caller gone", now, may_have_run=True, cancel=True
         )
 
     def fail_if_stalled(self, request: ActiveRequest, now: float) -> Failed | None:
-        """End an attempt whose first or next chunk takes too long; the head alone is none."""
+        """Fail the attempt if its first or next chunk is overdue, else return None.
+
+        Response headers alone are not progress.
+        """
         attempt = request.running_attempt
         has_started = attempt.first_chunk_at is not None
         limit = STREAM_IDLE_TIMEOUT_S if has_started else attempt.first_chunk_timeout_s
         if now - attempt.last_progress_at < limit:
             return None
-        # A stream may also stand still because its caller reads slowly: not the replica's fault.
+        # A started stream may also stall because its caller reads slowly, so it is not counted
+        # against the replica.
         outcome = AttemptOutcome.CANCELLED if has_started else AttemptOutcome.TIMED_OUT
         return self._fail(
             request, outcome, "no piece for too long", now, may_have_run=True, cancel=True
@@ -183,7 +200,7 @@
     def _handle_refusal(
         self, request: ActiveRequest, event: ev.Event, now: float
     ) -> Progress | Failed:
-        """Collect an answer other than 200; it counts as not run only if it says so."""
+        """Collect a response other than 200; only the codes of ``NOT_RUN_CODES`` mean not run."""
         attempt = request.running_attempt
         if isinstance(event, ev.HttpBodyChunk):
             attempt.refusal_body = (attempt.refusal_body + event.data)[:MAX_REFUSAL_BYTES]
@@ -237,7 +254,11 @@
 
 
 def _failure_outcome(attempt: Attempt, send_state: ev.SendState, now: float) -> AttemptOutcome:
-    """Judge a call that failed; one that ran out of time too soon says nothing."""
+    """Classify a failed call.
+
+    A call that was cut off by the request's deadline is CANCELLED, which does not count against
+    the replica, unless the replica had at least ``MIN_CONCLUSIVE_WAIT_S`` for its first chunk.
+    """
     deadline_passed = now >= attempt.serve_at.until
     wait_was_conclusive = now - attempt.started_at >= MIN_CONCLUSIVE_WAIT_S
     if send_state is ev.SendState.NOT_SENT:
--- a/rooklug/front/balancer.py
+++ b/rooklug/front/balancer.py
@@ -1,4 +1,6 @@
-"""Chooses the replica: region by the matrix, then slow start, affinity, and load."""
+"""Chooses the replica of a request: first the region by the routing matrix, then slow start,
+prefix affinity and load within the region.
+"""
 
 from collections import Counter
 from enum import Enum
@@ -25,7 +27,7 @@
 
 
 class NoChoice(Enum):
-    """Why no replica was chosen."""
+    """Why no replica was chosen; the values are messages to the caller."""
 
     NOT_LOADED = "the model is loaded nowhere it may be served"
     ALL_TRIED = "every replica has been tried"
@@ -34,7 +36,7 @@
 
 @attrs.frozen
 class _Placement:
-    """One placement request with what is looked up for it once."""
+    """One placement request with its route, view and time, as passed between the steps."""
 
     request: PlacementRequest
     route: Route
@@ -47,7 +49,10 @@
 
 
 class Balancer:
-    """Keeps the replicas' states and chooses where a request runs."""
+    """Chooses where a request runs, from the view and the results of this front's own attempts.
+
+    The caller must report each attempt with ``record_start`` and ``record_end``.
+    """
 
     def __init__(self, random: Random) -> None:
         self.states = ReplicaStates(random)
@@ -59,7 +64,7 @@
         self._unloaded_until: dict[tuple[str, str], float] = {}
 
     def apply_view(self, view: RoutingView, now: float) -> None:
-        """Take a new view."""
+        """Bring all replica states in line with a new view, and drop expired back-offs."""
         self.states.apply_view(view)
         self.slow_starts.apply_view(view, now)
         self.affinity.apply_view(view)
@@ -71,7 +76,7 @@
     def choose(
         self, request: PlacementRequest, route: Route, view: RoutingView, now: float
     ) -> ServeAt | NoChoice:
-        """Return where the request runs, or why nowhere."""
+        """Return where the request runs, or why it can't run anywhere now."""
         source = request.head.source_region
         levels = view.destinations(route, source)
         allowed = {cell.region for level in levels for cell in level}
@@ -96,7 +101,7 @@
     def has_free_replica(
         self, route: Route, source_region: str, view: RoutingView, now: float
     ) -> bool:
-        """Return whether any replica that the route may use has room."""
+        """Return whether any replica that the route may use accepts another request now."""
         levels = view.destinations(route, source_region)
         allowed = {cell.region for level in levels for cell in level}
         inside = [entry for entry in view.serving(route.model) if entry.region in allowed]
@@ -104,7 +109,7 @@
         return any(self.states[entry].has_capacity for entry in usable)
 
     def record_start(self, serve_at: ServeAt, body: GenerateBody, now: float) -> None:
-        """Count an attempt that is sent."""
+        """Count an attempt that is being sent, and charge it to spill and slow-start limits."""
         self.states.record_start(serve_at.replica, body.load_tokens, now)
         if serve_at.spilled:
             self._spilled[serve_at.replica.region] += 1
@@ -112,7 +117,7 @@
             self._slow_start_admission.spend(serve_at.replica, serve_at.model, now)
 
     def record_end(self, report: AttemptReport, now: float) -> None:
-        """Count an attempt that is over, and judge its replica by it."""
+        """Uncount an attempt that has ended, and update its replica's health and slow start."""
         replica = report.serve_at.replica
         if report.serve_at.spilled:
             self._spilled[replica.region] -= 1
@@ -123,7 +128,10 @@
             self.slow_starts.record_loss(replica.replica_id, now)
 
     def _record_unloaded(self, replica_id: str, model: str, now: float) -> None:
-        """Back off from the model there: unloaded by the plan, or a new process."""
+        """Back off from a model that the replica doesn't have loaded, and restart its slow start.
+
+        The plan has unloaded the model, or the replica has restarted.
+        """
         backoff_s = UNLOADED_BACKOFF_S * self._random.uniform(
             1 - BACKOFF_JITTER, 1 + BACKOFF_JITTER
         )
@@ -131,10 +139,10 @@
         self.slow_starts.record_loss(replica_id, now, model)
 
     def _is_lost(self, replica: ServingReplica, now: float) -> bool:
-        """Return whether an ejected replica will come back in slow start.
+        """Return whether an ejected replica counts as lost and will return in slow start.
 
-        Connections fail for moments too, so it takes a second ejection; and while most
-        replicas fail, this front may be the one that is cut off.
+        One ejection is not enough, because connections also fail for a moment. While most
+        replicas are ejected, this front itself may be cut off, so none counts as lost.
         """
         ejections = self.states[replica].health.consecutive_ejections
         return ejections >= LOST_AFTER_EJECTIONS and not self.states.most_are_ejected(now)
@@ -142,10 +150,10 @@
     def _usable(
         self, replicas: list[ServingReplica], model: str, now: float
     ) -> list[ServingReplica]:
-        """Leave out replicas that said the model isn't loaded, and ejected ones.
+        """Return the replicas without ejected ones and those that refused as not loaded.
 
-        Unless all are ejected: then this front may be what failed. They still get requests, one at
-        a time each (all of them are on probation).
+        If all are ejected, this front itself may be at fault: then the ejected ones are returned,
+        and get one request at a time each because they are on probation.
         """
         loaded = [
             entry
@@ -168,7 +176,10 @@
         model: str,
         now: float,
     ) -> None:
-        """Start the clocks of the regions that the matrix names first, also if not drawn now."""
+        """Start the slow-start clocks of the regions with the highest preference.
+
+        This includes regions that this request is not sent to.
+        """
         named = ([cell.region for cell in level if cell.region in regions] for level in levels)
         for region in next((names for names in named if names), ()):
             for entry in regions[region]:
@@ -193,9 +204,10 @@
     def _spill_allowed(
         self, placement: _Placement, inside: list[ServingReplica], region: str
     ) -> bool:
-        """Keep what spills into a region within the share of it that its weights give away.
+        """Return whether one more request may spill into a region.
 
-        The fronts outside the region divide that share evenly among them.
+        This front's spilled requests there are limited to the region's configured spill share of
+        its concurrency, divided evenly among the fronts outside the region, but at least one.
         """
         view = placement.view
         share = view.spill_share(region)
@@ -228,7 +240,11 @@
     def _choose_at_full_share(
         self, placement: _Placement, replicas: list[ServingReplica]
     ) -> ServingReplica | None:
-        """Return the best replica that has room and is not above its bounded share."""
+        """Return the best free replica whose recent load is within the bounded share.
+
+        The bound is ``affinity_bound`` times the mean load for its concurrency. If all free
+        replicas are above it, the one with the least load for its concurrency is returned.
+        """
         now, tokens = placement.now, placement.load_tokens
         free = [
             entry for entry in self._ordered(placement, replicas) if self.states[entry].has_capacity
@@ -246,7 +262,7 @@
     def _ordered(
         self, placement: _Placement, replicas: list[ServingReplica]
     ) -> list[ServingReplica]:
-        """Return the replicas by affinity, or by load if the request shares no prefix."""
+        """Return the replicas by prefix affinity, or by load for a request without blocks."""
         if len(replicas) < 2:
             return replicas
         hashes = placement.request.body.block_hashes
--- a/rooklug/front/build.py
+++ b/rooklug/front/build.py
@@ -1,4 +1,4 @@
-"""Composes the components of a front's model request path."""
+"""Builds the components of a front that serve model requests."""
 
 from rooklug.distribution.core_link import CoreLink
 from rooklug.engine.component import Component
@@ -18,10 +18,12 @@
     core_link: CoreLink,
     read_configuration: ConfigurationReader | None = None,
 ) -> list[Component]:
-    """Return the components; the ``RoutingViewComponent`` comes first, it must see topics first.
+    """Return the components in the order in which they must handle events.
 
-    Other components with requests of their own find ``Readiness`` in the list and call ``watch``.
-    ``read_configuration`` defaults to the project's reader of configuration documents.
+    ``RoutingViewComponent`` comes first, so that the others see the view of the newest topics.
+    Components with requests of their own must be registered at the ``Readiness`` of the list with
+    ``watch``, so that a drain waits for them. ``read_configuration`` defaults to the project's
+    reader of configuration documents.
     """
     view_component = RoutingViewComponent(settings, read_configuration or _default_reader())
     counts = DemandCounts()
--- a/rooklug/front/decision.py
+++ b/rooklug/front/decision.py
@@ -1,7 +1,7 @@
-"""The decision object of model requests: it chooses where a request goes, and sends nothing.
+"""Decides where model requests go, without sending anything itself.
 
-The executor reports what became of its verdicts (``record_start``, ``record_end``,
-``record_cached_blocks``).
+The executor carries out the verdicts and reports the results with ``record_start``,
+``record_end`` and ``record_cached_blocks``.
 """
 
 from collections.abc import Iterable
@@ -37,7 +37,11 @@
 
 
 class Decision:
-    """Decides on each request: from its head, then with its body, then again while it waits."""
+    """Decides on each request: from its headers, with its body, and again while it is queued.
+
+    ``draining`` is set by the executor when the process begins to drain; new requests are then
+    redirected.
+    """
 
     def __init__(self, view_component: RoutingViewComponent, random: Random) -> None:
         self._view_component = view_component
@@ -48,11 +52,11 @@
         self.draining = False
 
     def view_changed(self, view: RoutingView, now: float) -> None:
-        """Take a new view."""
+        """Update the balancer's replica states for a new view."""
         self._balancer.apply_view(view, now)
 
     def check_head(self, head: RequestHead, outlook: QueueOutlook, now: float) -> HeadVerdict:
-        """Decide from the head alone: elsewhere, refused, or read the body."""
+        """Decide from the headers alone whether to redirect, refuse, or read the body."""
         view = self._view_component.view
         elsewhere = self._leave_home(head.route, now) or self._leave_front(head.route, now)
         if elsewhere is not None:
@@ -66,7 +70,7 @@
         return ReadBody()
 
     def choose(self, request: PlacementRequest, outlook: QueueOutlook, now: float) -> Verdict:
-        """Decide where a request goes, under the newest view."""
+        """Decide where a request goes, by the newest view; its route may have changed meanwhile."""
         view = self._view_component.view
         route = view.route(request.head.route_name)
         if route is None:
@@ -87,23 +91,26 @@
         return self.refusal(code, choice.value, now)
 
     def refusal(self, code: str, message: str, now: float) -> Refuse:
-        """Return a refusal with a time to come back."""
+        """Return a refusal with a ``retry_after_s`` by the present overload, and count it."""
         return Refuse(code, message, self._overload.record_refusal(now))
 
     def queue_capacity(self) -> int:
-        """Return how many requests may wait."""
+        """Return how many requests may wait in the queue, by the configuration."""
         return self._view_component.view.limits.queue_length
 
     def record_first_attempt(self, now: float) -> None:
-        """Count a request's first attempt: it earns a share of a retry."""
+        """Add the configured share of one request to the retry budget."""
         self._budget.record_first_attempt(self._view_component.view.limits.retry_share)
 
     def may_retry(self, now: float) -> bool:
-        """Spend one retry of the budget, if there is one."""
+        """Spend one retry of the budget; return False if the budget is exhausted."""
         return self._budget.try_spend(now)
 
     def first_chunk_timeout(self, serve_at: ServeAt, body: GenerateBody, now: float) -> float:
-        """Return the seconds an attempt may take to its first chunk, by the replica's average."""
+        """Return the seconds that an attempt may take to its first chunk.
+
+        Based on the replica's average wait for prompts of this size, on defaults if unknown.
+        """
         state = self._balancer.states[serve_at.replica]
         average = state.limit.average_wait(body.prompt_tokens)
         if average is None:
@@ -114,11 +121,11 @@
         return max(MIN_FIRST_CHUNK_TIMEOUT_S, FIRST_CHUNK_MARGIN_S + FIRST_CHUNK_FACTOR * average)
 
     def record_start(self, serve_at: ServeAt, body: GenerateBody, now: float) -> None:
-        """Count an attempt that is sent."""
+        """Count an attempt that is being sent."""
         self._balancer.record_start(serve_at, body, now)
 
     def record_end(self, report: AttemptReport, now: float) -> None:
-        """Count an attempt that is over."""
+        """Record the end of an attempt; a success also counts as throughput of this front."""
         self._balancer.record_end(report, now)
         if report.outcome is AttemptOutcome.SUCCESS:
             self._overload.record_served(now)
@@ -126,7 +133,10 @@
     def record_cached_blocks(
         self, head: RequestHead, body: GenerateBody, replica: ServingReplica
     ) -> None:
-        """Note the prefix blocks that a replica has cached; bound ones only at home."""
+        """Record that a replica caches the body's prefix blocks.
+
+        Blocks of a bound route are recorded only at fronts inside its home regions.
+        """
         route = self._view_component.view.route(head.route_name)
         if (
             route is None
@@ -137,7 +147,7 @@
         self._balancer.affinity.record(route.home_regions, body.block_hashes, replica)
 
     def metrics(self, now: float) -> Iterable[MetricSample]:
-        """Return the figures a replica, and the sizes of the tables."""
+        """Yield gauges of the affinity table, the retry budget and each replica."""
         yield MetricSample(
             "front_affinity_parts", len(self._balancer.affinity), "gauge", "Prompt parts known."
         )
@@ -169,7 +179,7 @@
         return Wait(now + wait_s)
 
     def _leave_home(self, route: Route, now: float) -> RedirectTo | Refuse | None:
-        """Send away what this front must not carry; None: it may."""
+        """Redirect or refuse a route whose home excludes this front; None if it may serve it."""
         if self._view_component.view.serves_home(route):
             return None
         front = self._another_front(route.home_regions)
@@ -178,7 +188,10 @@
         return self.refusal("no_home", "no front of the route's home is ready", now)
 
     def _leave_front(self, route: Route, now: float) -> RedirectTo | Refuse | None:
-        """Send away new requests while draining or in a drained zone; None: carry on."""
+        """Redirect new requests while draining or in a drained zone; None to serve them here.
+
+        In a drained zone, requests are still served if no other front is known.
+        """
         view = self._view_component.view
         if not self.draining and not view.own_zone_drained:
             return None
--- a/rooklug/front/demand.py
+++ b/rooklug/front/demand.py
@@ -1,4 +1,4 @@
-"""Counts the demand by route and source region, and reports it to the placer each second."""
+"""Counts the demand by route and source region, and reports it to the placer periodically."""
 
 from collections.abc import Iterable
 from statistics import median
@@ -25,7 +25,7 @@
 
 @attrs.define
 class RouteDemand:
-    """What one route got from one region since the last report."""
+    """Requests and tokens of one route from one source region since the last report."""
 
     model: str
     latency_class: str
@@ -37,7 +37,7 @@
 
 @attrs.define
 class AverageSize:
-    """Moving averages of a route's sizes; they stand in for requests whose size is unknown."""
+    """Moving averages of a route's request sizes, used for requests whose size is unknown."""
 
     prompt_tokens: float = DEFAULT_PROMPT_TOKENS
     answer_tokens: float = DEFAULT_ANSWER_TOKENS
@@ -45,7 +45,10 @@
 
 @attrs.define
 class ReplicaCounts:
-    """What this front saw of one replica since the last report."""
+    """Outcomes of this front's attempts at one replica since the last report.
+
+    At most ``MAX_SAMPLES`` times to the first chunk are kept.
+    """
 
     successes: int = 0
     failures: int = 0
@@ -54,7 +57,7 @@
 
 
 class DemandCounts:
-    """The counters. Refused requests count as demand with their route's average size."""
+    """Counters between two reports; refused requests count with their route's average size."""
 
     def __init__(self) -> None:
         self._routes: dict[tuple[str, str], RouteDemand] = {}
@@ -62,21 +65,21 @@
         self._replicas: dict[tuple[str, str], ReplicaCounts] = {}
 
     def record_refused(self, head: RequestHead, prompt_tokens: int | None) -> None:
-        """Count a request that got no answer from any replica."""
+        """Count a request that no replica answered; ``prompt_tokens`` is None if unknown."""
         average = self._average(head.route_name)
         known = average.prompt_tokens if prompt_tokens is None else prompt_tokens
         entry = self._count(head, known, average.answer_tokens)
         entry.refused += 1
 
     def record_answered(self, head: RequestHead, prompt_tokens: int, answer_tokens: int) -> None:
-        """Count a request that ran, with the chunks it really produced."""
+        """Count a request that ran, with one answer token for each chunk that it produced."""
         average = self._average(head.route_name)
         average.prompt_tokens += AVERAGE_WEIGHT * (prompt_tokens - average.prompt_tokens)
         average.answer_tokens += AVERAGE_WEIGHT * (answer_tokens - average.answer_tokens)
         self._count(head, prompt_tokens, answer_tokens)
 
     def record_attempt(self, report: AttemptReport) -> None:
-        """Count what an attempt says about its replica."""
+        """Count an attempt's outcome for its replica; cancelled attempts count as neither."""
         replica = report.serve_at.replica
         record = self._replicas.setdefault(
             (replica.replica_id, replica.incarnation), ReplicaCounts()
@@ -91,7 +94,7 @@
             record.first_chunk_s.append(report.first_chunk_s)
 
     def take_entries(self, elapsed_s: float) -> list[DemandEntry]:
-        """Return the rates since the last call, sorted, and reset them."""
+        """Return the rates over the last ``elapsed_s``, sorted by route and source, and reset."""
         taken, self._routes = self._routes, {}
         return [
             DemandEntry(
@@ -108,7 +111,7 @@
         ]
 
     def take_observations(self) -> list[ReplicaObservation]:
-        """Return what was seen of replicas since the last call, sorted, and reset them."""
+        """Return the replicas' counts since the last call, sorted by replica, and reset them."""
         taken, self._replicas = self._replicas, {}
         return [
             ReplicaObservation(
@@ -138,7 +141,11 @@
 
 
 class DemandComponent(BaseComponent):
-    """Sends the counts to the placer; a lost report is not sent again, its time is over."""
+    """Sends the counts to the owner of the placer role.
+
+    A lost report is not sent again, as it would be out of date. While the placer's owner is
+    unknown, the counts of the interval are dropped.
+    """
 
     name = "demand"
 
@@ -151,7 +158,7 @@
         self._failed = 0
 
     def handle(self, event: ev.Event, now: float) -> list[fx.Effect]:
-        """Begin at start; report at each tick."""
+        """Start the report timer, send a report at each expiry, and count failed sends."""
         if isinstance(event, ev.Started):
             self._since = now
             first = DEMAND_REPORT_INTERVAL_S * (0.5 + 0.5 * self._context.random.random())
@@ -163,7 +170,7 @@
         return []
 
     def metrics(self, now: float) -> Iterable[MetricSample]:
-        """Return the reports sent and lost."""
+        """Return the numbers of reports sent and failed."""
         return (
             MetricSample(
                 "front_demand_reports_total", self._sequence, "counter", "Demand reports sent."
--- a/rooklug/front/directory.py
+++ b/rooklug/front/directory.py
@@ -1,4 +1,4 @@
-"""Answers ``POST /v1/where``: which front a client should send a request to."""
+"""Answers ``POST /v1/where``: which front a client should send its requests to."""
 
 from random import Random
 
@@ -17,10 +17,11 @@
 
 
 def choose_regions(view: RoutingView, route: Route, source_region: str) -> list[tuple[str, ...]]:
-    """Return groups of regions to look for a front in, the best group first.
+    """Return groups of regions in which to look for a front, the best group first.
 
-    A client stays at the fronts of its own region while any of its traffic is served there
-    or no home forbids it; else it goes where the matrix sends its traffic.
+    The client's own region comes first if the route's home regions allow it and the first level
+    of the matrix sends traffic there (or the matrix has no cell). Then follow the regions of the
+    first level by falling weight, then all home regions (() for an unbound route: any region).
     """
     homes = route.home_regions
     levels = view.destinations(route, source_region) if route.kind is RouteKind.MODEL else ()
@@ -36,7 +37,7 @@
 
 
 class Directory(BaseComponent):
-    """The directory. It names ready fronts only, at random within the best region."""
+    """Names ready fronts to clients, in random order within each group of regions."""
 
     name = "directory"
     http_prefixes = (WHERE_PATH,)
@@ -46,7 +47,7 @@
         self._random = random
 
     def handle(self, event: ev.Event, now: float) -> list[fx.Effect]:
-        """Answer one question."""
+        """Answer one directory request; other events are ignored."""
         if not isinstance(event, ev.HttpRequestArrived):
             return []
         if event.method != "POST" or event.path != WHERE_PATH:
--- a/rooklug/front/executor.py
+++ b/rooklug/front/executor.py
@@ -1,7 +1,7 @@
-"""The executor of model requests: it obeys the decision object.
+"""Executes model requests according to the verdicts of ``Decision``.
 
-A request is retried elsewhere until its first byte went to the caller, never after. A
-request given up on gets its final answer at once, with a time to come back.
+A request is retried at another replica only until the first byte of its answer has gone to the
+caller. A request that can't be served gets a final answer at once, with a ``Retry-After``.
 """
 
 from collections.abc import Iterable
@@ -27,12 +27,12 @@
 QUEUE_TIMER = "pump"
 QUEUE_INTERVAL_S = 0.05
 AttemptEvent = ev.HttpBodyChunk | ev.HttpResponseStarted | ev.HttpResponseCompleted | ev.HttpFailed
-"""What comes back from a replica."""
+"""Events of a call to a replica."""
 ALREADY_QUEUED = QueueOutlook(ahead=0, has_capacity=True)
 
 
 class GenerateComponent(BaseComponent):
-    """Serves ``POST /v1/generate``."""
+    """Serves ``POST /v1/generate``; ``counters`` become metrics."""
 
     name = "generate"
     http_prefixes = (answers.GENERATE_PATH,)
@@ -57,16 +57,16 @@
         self.counters = ExecutorCounters()
 
     def active_requests(self) -> int:
-        """Return how many requests have no final answer yet."""
+        """Return the number of requests without a final answer; a drain waits until it is 0."""
         return len(self._active)
 
     def metrics(self, now: float) -> Iterable[MetricSample]:
-        """Return the figures of the request path."""
+        """Return the counters and gauges of the request path, with those of the decision."""
         gauges = {"active": len(self._active), "queued": len(self._queue)}
         return [*self.counters.samples(gauges), *self._decision.metrics(now)]
 
     def handle(self, event: ev.Event, now: float) -> list[fx.Effect]:
-        """Take one event of a request, a timer, or a new view."""
+        """Handle an event of a request or an attempt, a timer, a new view, or a drain."""
         match event:
             case ev.HttpBodyChunk() | ev.HttpResponseStarted() | ev.HttpResponseCompleted():
                 return self._on_attempt_event(event, now)
@@ -90,7 +90,7 @@
                 return self._process_queue(now)
         return []
 
-    # A request comes in -------------------------------------------------------
+    # Arriving requests --------------------------------------------------------
 
     def _on_arrival(self, event: ev.HttpRequestArrived, now: float) -> list[fx.Effect]:
         http_id = event.request_id
@@ -141,7 +141,7 @@
         self._decision.record_end(cancel.report, now)
         return [*cancel.effects, *self._process_queue(now)]
 
-    # Verdicts of the decision object --------------------------------------------
+    # Verdicts -----------------------------------------------------------------
 
     def _decide(self, request: ActiveRequest, now: float) -> list[fx.Effect]:
         verdict = self._decision.choose(
@@ -189,7 +189,7 @@
         return [*effects, *self._start_queue_timer()]
 
     def _fail_request(self, request: ActiveRequest, refusal: Refuse) -> fx.Effect:
-        """Answer at once: not run if that is certain, else unknown."""
+        """Send the final answer: "not run" if that is certain, else "unknown"."""
         self._active.pop(request.http_id, None)
         head = request.head
         prompt_tokens = request.body.prompt_tokens if request.body else None
@@ -232,12 +232,14 @@
     def _on_attempt_failed(
         self, request: ActiveRequest, step: Failed, now: float
     ) -> list[fx.Effect]:
-        """Handle a failed attempt: break the caller's stream, retry elsewhere, or give up."""
+        """Abort a stream that has started, else retry or send a final answer."""
         self._decision.record_end(step.report, now)
         self._demand.record_attempt(step.report)
         request.may_have_run = request.may_have_run or step.may_have_run
         request.tried |= {step.report.serve_at.replica.replica_id}
-        log = fx.Log("warning", "a try failed", step.log_fields)
+        log = fx.Log(
+            "warning", "attempt failed; retrying if no answer has started", step.log_fields
+        )
         if request.answer_started:
             del self._active[request.http_id]
             self.counters.broken += 1
@@ -270,7 +272,7 @@
         return [*self._sweep(now), fx.StartTimer(SWEEP_TIMER, SWEEP_INTERVAL_S)]
 
     def _sweep(self, now: float) -> list[fx.Effect]:
-        """End the attempts that make no progress, and bodies that never came."""
+        """Fail attempts that make no progress, and requests whose body is overdue."""
         effects: list[fx.Effect] = []
         for request in tuple(self._active.values()):
             if request.state is RequestState.RECEIVING_BODY and now >= request.head.deadline:
@@ -282,7 +284,11 @@
         return effects
 
     def _process_queue(self, now: float) -> list[fx.Effect]:
-        """Refuse what has waited too long; start what can be placed, in queue order."""
+        """Refuse requests that have waited too long, and start those that can be placed.
+
+        Goes in queue order. Once a request must go on waiting, later ones of its lane are
+        skipped, as they wait for the same replicas.
+        """
         effects: list[fx.Effect] = []
         for http_id in self._queue.take_expired(now):
             refusal = self._decision.refusal("overloaded", "no replica was free in time", now)
--- a/rooklug/front/executor_metrics.py
+++ b/rooklug/front/executor_metrics.py
@@ -1,4 +1,4 @@
-"""Counters of the request path."""
+"""Counters of the request path and their metric samples."""
 
 from collections import Counter
 
@@ -9,7 +9,7 @@
 
 @attrs.define
 class ExecutorCounters:
-    """What became of the requests since the start of the process."""
+    """Numbers of requests by what became of them, since the start of the process."""
 
     arrived: int = 0
     invalid: int = 0
@@ -22,11 +22,11 @@
     refusals: Counter = attrs.field(factory=Counter)
 
     def count_refusal(self, code: str) -> None:
-        """Count one request that was refused as not run."""
+        """Count one request that was refused as not run, under its error code."""
         self.refusals[code] += 1
 
     def samples(self, gauges: dict[str, int]) -> list[MetricSample]:
-        """Return the counters, the refusals by code, and the gauges given."""
+        """Return the counters, the refusals by code, and one gauge for each entry of ``gauges``."""
         named = {
             "arrived": (self.arrived, "Model requests that came in."),
             "invalid": (self.invalid, "Requests at fault themselves."),
--- a/rooklug/front/health.py
+++ b/rooklug/front/health.py
@@ -1,4 +1,4 @@
-"""Passive health: what a front learns of replicas from its own attempts."""
+"""Passive health checks: ejects a replica by the outcomes of this process's own attempts."""
 
 from random import Random
 
@@ -9,7 +9,7 @@
 INITIAL_EJECTION_S = 1.0
 MAX_EJECTION_S = 5.0
 EJECTION_JITTER = 0.25
-# Failures in a row that eject a replica, by the kind of the last one.
+# Consecutive failures that eject a replica, by the outcome of the last one.
 FAILURES_TO_EJECT = {
     AttemptOutcome.CONNECT_FAILED: 1,
     AttemptOutcome.RESET: 1,
@@ -20,12 +20,13 @@
 
 @attrs.define
 class ReplicaHealth:
-    """One replica's health by this front's attempts.
+    """Health of one replica, by the outcomes of this process's attempts.
 
-    An ejected replica gets no requests for a time that doubles with each ejection, up to
-    ``MAX_EJECTION_S`` (short enough that machines that return are found in time), with
-    jitter so that fronts don't come back together. Then it is on probation: one request at
-    a time, until one succeeds.
+    An ejected replica gets no requests for a time that doubles with each consecutive ejection up
+    to ``MAX_EJECTION_S``, which is short enough to find a recovered machine in time. Jitter keeps
+    fronts from returning to it all at once. After the ejection it is on probation until one
+    request succeeds: it gets one request at a time, and any failure that counts ejects it again.
+    ``ejected_until`` is a monotonic time.
     """
 
     consecutive_failures: int = 0
@@ -33,22 +34,25 @@
     ejected_until: float = 0.0
 
     def is_ejected(self, now: float) -> bool:
-        """Return whether it gets no requests now."""
+        """Return whether the replica is ejected, so that it must get no requests now."""
         return now < self.ejected_until
 
     @property
     def on_probation(self) -> bool:
-        """Whether it has been ejected and has not succeeded since."""
+        """Whether the replica has been ejected and has had no success since."""
         return self.consecutive_ejections > 0
 
     def succeeded(self) -> None:
-        """Forget all failures."""
+        """Record a success, which ends ejection and probation."""
         self.consecutive_failures = 0
         self.consecutive_ejections = 0
         self.ejected_until = 0.0
 
     def failed(self, outcome: AttemptOutcome, now: float, random: Random) -> bool:
-        """Take a failure; return whether it ejects the replica."""
+        """Record a failure; return whether it ejects the replica.
+
+        Outcomes that are not in ``FAILURES_TO_EJECT`` don't count.
+        """
         needed = FAILURES_TO_EJECT.get(outcome)
         if needed is None:
             return False
--- a/rooklug/front/limits.py
+++ b/rooklug/front/limits.py
@@ -1,4 +1,4 @@
-"""Limits a front keeps by itself: concurrency a replica, and the retry budget."""
+"""Limits that a front adapts by itself: concurrent requests per replica, and the retry budget."""
 
 import attrs
 
@@ -17,17 +17,17 @@
 
 
 def size_class(prompt_tokens: int) -> int:
-    """Return the class of a prompt's size; classes grow by factors of four."""
+    """Return the size class of a prompt; each class is four times as large as the one before."""
     return prompt_tokens.bit_length() // 2
 
 
 class ConcurrencyLimit:
-    """How many requests this front runs at one replica at once.
+    """Adaptive limit of the requests that this front runs at one replica at once.
 
-    It follows the measured wait for the first chunk: while the recent waits are at most
-    ``LATENCY_TOLERANCE`` times the usual ones of the same prompt size, and the limit is in
-    use, it grows by a step; else it shrinks with their ratio. ``maximum`` is what the
-    replica reports to run at once.
+    It follows the measured wait for the first chunk. While recent waits are at most
+    ``LATENCY_TOLERANCE`` times the usual ones for the same prompt size, the limit grows by a step
+    whenever it is fully used; above that it shrinks in proportion. It stays between 1 and
+    ``maximum``, the concurrency that the replica reports.
     """
 
     def __init__(self, maximum: int, initial: float) -> None:
@@ -38,20 +38,20 @@
 
     @property
     def value(self) -> int:
-        """The limit now, at least 1."""
+        """The present limit, rounded down, at least 1."""
         return int(self._limit)
 
     def set_maximum(self, maximum: int) -> None:
-        """Take what the replica reports now."""
+        """Set the concurrency that the replica reports now, and lower the limit to it."""
         self._maximum = maximum
         self._limit = min(self._limit, maximum)
 
     def average_wait(self, prompt_tokens: int) -> float | None:
-        """Return the usual seconds to the first chunk for that size, None if not known."""
+        """Return the average seconds to the first chunk for that prompt size, None if unknown."""
         return self._usual.get(size_class(prompt_tokens))
 
     def record_first_chunk(self, wait_s: float, prompt_tokens: int, in_flight: int) -> None:
-        """Follow one measured wait; ``in_flight`` includes the request itself."""
+        """Adapt the limit to one measured wait; ``in_flight`` includes the request itself."""
         kind = size_class(prompt_tokens)
         usual = self._usual.setdefault(kind, wait_s)
         ratio = (wait_s + WAIT_SLACK_S) / (usual + WAIT_SLACK_S)
@@ -64,11 +64,11 @@
         self._set(self._limit + LIMIT_SMOOTHING * (target - self._limit))
 
     def record_busy(self) -> None:
-        """Shrink: the replica runs as much as it can."""
+        """Shrink the limit after the replica has refused a request as busy."""
         self._set(self._limit * BUSY_FACTOR)
 
     def record_timeout(self) -> None:
-        """Shrink more: the replica did not answer in time."""
+        """Shrink the limit after a time-out, further than after a refusal."""
         self._set(self._limit * TIMEOUT_FACTOR)
 
     def _set(self, limit: float) -> None:
@@ -77,21 +77,21 @@
 
 @attrs.define
 class RetryBudget:
-    """Allows retries as a share of first attempts, plus a small floor for quiet fronts.
+    """Token bucket that limits retries to a share of first attempts.
 
-    The share keeps retries from feeding an overload: when everything fails, the load on
-    the replicas grows by that share only.
+    When everything fails, retries then raise the load on the replicas by that share only. A
+    small constant rate is added, so that fronts with little traffic can retry as well.
     """
 
     tokens: float = RETRY_BURST / 2
     _refilled_at: float | None = None
 
     def record_first_attempt(self, share: float) -> None:
-        """Earn the share of one first attempt."""
+        """Add ``share`` of one retry for a first attempt."""
         self.tokens = min(RETRY_BURST, self.tokens + share)
 
     def try_spend(self, now: float) -> bool:
-        """Spend one retry, if there is one."""
+        """Spend one retry; return False if the budget is exhausted."""
         since = now - self._refilled_at if self._refilled_at is not None else 0.0
         self._refilled_at = now
         self.tokens = min(RETRY_BURST, self.tokens + RETRY_FLOOR_PER_S * since)
--- a/rooklug/front/outcomes.py
+++ b/rooklug/front/outcomes.py
@@ -1,10 +1,10 @@
-"""Outcomes of an attempt of a request at one replica."""
+"""Outcomes of an attempt of a request at one replica, also used by ``rooklug.gateway``."""
 
 from enum import Enum
 
 
 class AttemptOutcome(Enum):
-    """How an attempt ended, as far as the replica is judged by it."""
+    """How an attempt ended, as far as it matters for the replica's health and limits."""
 
     SUCCESS = "success"
     BUSY = "busy"
--- a/rooklug/front/overload.py
+++ b/rooklug/front/overload.py
@@ -1,4 +1,4 @@
-"""How loaded this front is by its own answers, and from it when a refused caller may come back."""
+"""Estimates this front's overload from its own answers, for queue waits and ``Retry-After``."""
 
 from math import exp
 from random import Random
@@ -11,7 +11,7 @@
 
 
 class DecayingCounter:
-    """A count of events that fades over ``DECAY_TIME_S``."""
+    """A count of events that decays exponentially with the time constant ``DECAY_TIME_S``."""
 
     def __init__(self) -> None:
         self._value = 0.0
@@ -23,12 +23,12 @@
         self._at = now
 
     def value_at(self, now: float) -> float:
-        """Return the faded count."""
+        """Return the decayed count at ``now``."""
         return self._value * exp((self._at - now) / DECAY_TIME_S)
 
 
 class Overload:
-    """Counts answers and refusals."""
+    """Recent numbers of served and refused requests, as decaying counts."""
 
     def __init__(self, random: Random) -> None:
         self._random = random
@@ -36,16 +36,23 @@
         self._refused = DecayingCounter()
 
     def record_served(self, now: float) -> None:
-        """Count a request that was answered."""
+        """Count a request that a replica has answered completely."""
         self._served.add(now)
 
     def expected_wait_s(self, ahead: int, now: float) -> float:
-        """Return the seconds until ``ahead`` queued requests are served; 0 while not known."""
+        """Return the seconds until ``ahead`` queued requests are served, 0 if the rate is unknown.
+
+        The rate is unknown while fewer than ``MIN_COUNT_FOR_RATE`` recent requests were served.
+        """
         served = self._served.value_at(now)
         return ahead * DECAY_TIME_S / served if served >= MIN_COUNT_FOR_RATE else 0.0
 
     def record_refusal(self, now: float) -> int:
-        """Count a refusal; return whole seconds, longer and wider spread with the overload."""
+        """Count a refusal and return its ``Retry-After`` in whole seconds.
+
+        The mean grows with the share of refused requests; jitter in proportion to it keeps
+        callers from returning together.
+        """
         self._refused.add(now)
         refused = self._refused.value_at(now)
         level = refused / (refused + self._served.value_at(now))
--- a/rooklug/front/readiness.py
+++ b/rooklug/front/readiness.py
@@ -1,4 +1,4 @@
-"""Answers ``GET /v1/ready`` and ends the process gracefully."""
+"""Answers ``GET /v1/ready`` and drains the front before its process stops."""
 
 from collections.abc import Callable
 
@@ -15,21 +15,21 @@
 DRAIN_TIMER = "drain"
 DRAIN_CHECK_S = 0.1
 DRAIN_PROPAGATION_S = 1.5
-# Below the grace after which the runtime stops the process by itself.
+# Must be below the grace period after which the runtime stops the process by itself.
 DRAIN_LIMIT_S = 25.0
 
 
 @attrs.frozen
 class DrainingStarted(InternalEvent):
-    """This front takes no new requests any more and ends when the running ones are done."""
+    """This front accepts no more new requests and stops once the active ones have ended."""
 
 
 class Readiness(BaseComponent):
-    """Tells the platform and the core whether this front takes requests.
+    """Reports to the platform and to the core whether this front accepts requests.
 
-    At ``StopRequested`` it waits until nothing is active, at least ``DRAIN_PROPAGATION_S`` (so that
-    others see it drain) and at most ``DRAIN_LIMIT_S``, then stops the process. Components with
-    requests of their own register a counter with ``watch``.
+    After ``StopRequested`` it stops the process once no request is active: at the earliest after
+    ``DRAIN_PROPAGATION_S``, so that other nodes learn of the drain first, and at the latest after
+    ``DRAIN_LIMIT_S``. Components with requests of their own register a counter with ``watch``.
     """
 
     name = "readiness"
@@ -44,15 +44,18 @@
 
     @property
     def draining(self) -> bool:
-        """Whether the process is on its way out."""
+        """Whether the drain has started; it never ends except with the process."""
         return self._draining_since is not None
 
     def watch(self, active_requests: Callable[[], int]) -> None:
-        """Let the drain wait until ``active_requests()`` is 0."""
+        """Register a counter of active requests; the drain waits until all counters are 0."""
         self._active_counters.append(active_requests)
 
     def reason_not_ready(self) -> str:
-        """Return "" when ready, else why not. A lost control plane alone is no reason."""
+        """Return why the front is not ready, "" if it is ready.
+
+        Losing the control plane does not make a front unready: it serves on with its last view.
+        """
         view = self._view_component.view
         if self.draining:
             return "draining"
@@ -65,7 +68,7 @@
         return ""
 
     def handle(self, event: ev.Event, now: float) -> list[fx.Effect]:
-        """Answer, follow the view, or drain."""
+        """Answer readiness requests, report readiness after view changes, and run the drain."""
         if isinstance(event, ev.HttpRequestArrived):
             return [self._answer(event)]
         if isinstance(event, RoutingViewChanged):
@@ -89,7 +92,11 @@
             *self._core_link.set_ready(False),
             *self._core_link.set_draining(True),
             EmitEvent(DrainingStarted()),
-            fx.Log("info", "draining", {"active": self._active()}),
+            fx.Log(
+                "info",
+                "drain started; stopping once no request is active",
+                {"active": self._active()},
+            ),
             fx.StartTimer(DRAIN_TIMER, DRAIN_CHECK_S),
         ]
 
--- a/rooklug/front/regions.py
+++ b/rooklug/front/regions.py
@@ -1,4 +1,4 @@
-"""The order of regions for a request, from the matrix's preferences, weights and slow starts."""
+"""Orders the regions for a request by the matrix's preferences and weights and by slow starts."""
 
 from collections.abc import Mapping
 
@@ -10,7 +10,7 @@
 
 @attrs.frozen
 class RegionStep:
-    """One region in the order. ``spilled``: its spill weight bounds what it takes over."""
+    """One region in the order. ``spilled``: the region's spill share limits such requests."""
 
     region: str
     spilled: bool
@@ -24,12 +24,16 @@
 ) -> list[RegionStep]:
     """Return the regions to try, the first choice first.
 
-    ``shares`` are the slow-start shares of the regions with a replica that may get requests;
-    ``draw`` (0..1) is the request's own: the same at each decision.
-    A region in slow start gets its share of what the matrix sends it; the rest goes to the next
-    preferences, and waits for them: it does not come back while another region is at full
-    share. Shares count relative to the largest one, so that regions that are all in slow start
-    lose nothing to one another.
+    A region in slow start gets only its share of the traffic that the matrix sends it. The rest
+    goes to the next preference levels and does not return to the skipped regions, unless all
+    regions are in slow start. Shares are taken relative to the largest one, so that traffic does
+    not move between regions that are equally far in their slow starts.
+
+    Args:
+        levels: Destinations of the matrix, the preferred level first.
+        shares: Slow-start shares of the regions that have a usable replica.
+        source_region: The caller's region.
+        draw: Random number in [0, 1) derived from the request, the same at each decision.
     """
     usable = [tuple(cell for cell in level if cell.region in shares) for level in levels]
     usable = [level for level in usable if level]
--- a/rooklug/front/replica_states.py
+++ b/rooklug/front/replica_states.py
@@ -1,4 +1,4 @@
-"""What this front knows of each replica by its own requests: load, limit, health."""
+"""State of each replica as measured by this front's own requests: load, limit and health."""
 
 from collections.abc import Iterable
 from math import ceil, exp
@@ -20,7 +20,11 @@
 
 @attrs.define
 class ReplicaState:
-    """One replica. ``recent_load`` are load tokens sent there, fading over ``RECENT_LOAD_S``."""
+    """State of one incarnation of a replica.
+
+    ``in_flight`` counts attempts of this front only. The recent load is the number of load
+    tokens sent there, decaying with the time constant ``RECENT_LOAD_S``.
+    """
 
     incarnation: str
     limit: ConcurrencyLimit
@@ -32,38 +36,38 @@
 
     @property
     def allowed(self) -> int:
-        """How many requests may run there at once from this front."""
+        """How many requests this front may run there at once."""
         return PROBATION_LIMIT if self.health.on_probation else self.limit.value
 
     @property
     def duration_s(self) -> float:
-        """The usual seconds of a complete answer there."""
+        """Average duration of a complete answer, ``DEFAULT_DURATION_S`` if none was measured."""
         measured = self.measured_duration_s
         return DEFAULT_DURATION_S if measured is None else measured
 
     @property
     def has_capacity(self) -> bool:
-        """Whether one more request may run there."""
+        """Whether this front may send one more request there now."""
         return self.in_flight < self.allowed
 
     def recent_load(self, now: float) -> float:
-        """Return the load tokens sent there lately."""
+        """Return the decayed number of load tokens sent there."""
         return self._recent_load * exp((self._recent_at - now) / RECENT_LOAD_S)
 
     def record_completion(self, elapsed_s: float) -> None:
-        """Count a complete answer."""
+        """Record a complete answer in health and average duration."""
         self.health.succeeded()
         usual = self.measured_duration_s if self.measured_duration_s is not None else elapsed_s
         self.measured_duration_s = usual + DURATION_WEIGHT * (elapsed_s - usual)
 
     def add_load(self, load_tokens: float, now: float) -> None:
-        """Count a request that is sent there."""
+        """Add a request that is being sent there to the recent load."""
         self._recent_load = self.recent_load(now) + load_tokens
         self._recent_at = now
 
 
 class ReplicaStates:
-    """The states of all replicas that the view lists or that still run something."""
+    """States of all replicas that serve a model in the view or still run attempts."""
 
     def __init__(self, random: Random) -> None:
         self._random = random
@@ -73,11 +77,11 @@
         return self._states[replica.replica_id]
 
     def items(self) -> Iterable[tuple[str, ReplicaState]]:
-        """Return the states by replica id, sorted."""
+        """Return pairs of replica id and state, sorted by id."""
         return sorted(self._states.items())
 
     def apply_view(self, view: RoutingView) -> None:
-        """Add what is new, start over at a new incarnation, forget what is gone and idle."""
+        """Add new replicas, reset restarted ones, and remove idle ones that are gone."""
         fronts = max(1, len(view.fronts_in()))
         listed: set[str] = set()
         for model in view.models():
@@ -89,18 +93,21 @@
                 del self._states[replica_id]
 
     def most_are_ejected(self, now: float) -> bool:
-        """Return whether so many fail at once that this front may be the one cut off."""
+        """Return whether more than half are ejected, so that this front may be the one cut off."""
         ejected = sum(state.health.is_ejected(now) for state in self._states.values())
         return 2 * ejected > len(self._states)
 
     def record_start(self, replica: ServingReplica, load_tokens: float, now: float) -> None:
-        """Count an attempt that is sent."""
+        """Count an attempt that is being sent to the replica."""
         state = self[replica]
         state.in_flight += 1
         state.add_load(load_tokens, now)
 
     def record_end(self, report: AttemptReport, now: float) -> bool:
-        """Count an attempt that is over; return whether it ejects the replica."""
+        """Record the end of an attempt; return whether it ejects the replica.
+
+        An attempt at an earlier incarnation only lowers ``in_flight``.
+        """
         replica = report.serve_at.replica
         state = self[replica]
         state.in_flight -= 1
--- a/rooklug/front/requests.py
+++ b/rooklug/front/requests.py
@@ -1,4 +1,4 @@
-"""Reads the callers' model requests: the head first, the body only where it is served."""
+"""Parses model requests: headers first, the body only at the front that serves the request."""
 
 import json
 from collections.abc import Mapping
@@ -22,7 +22,7 @@
 
 @attrs.frozen
 class RequestProblem:
-    """A request that is answered 400 or 404; it never ran."""
+    """Why a request is rejected, with the HTTP status (400, 404 or 405); it was not run."""
 
     status: int
     code: str
@@ -31,7 +31,7 @@
 
 @attrs.frozen
 class RequestHead:
-    """The request's headers. ``deadline`` is a monotonic time of this process."""
+    """Parsed headers of a request. ``deadline`` is a monotonic time of this process."""
 
     request_id: str
     route_name: str
@@ -42,9 +42,10 @@
 
 @attrs.frozen
 class GenerateBody:
-    """A model request's body; ``document`` is all of it, to be carried on.
+    """Parsed body of a model request.
 
-    ``block_hashes`` name the shared prefix blocks, in their order.
+    ``block_hashes`` are the hashes of the shared prefix blocks in their order; ``document`` is
+    the complete JSON object, which is forwarded to the replica.
     """
 
     prompt_tokens: int
@@ -55,14 +56,14 @@
 
     @property
     def load_tokens(self) -> float:
-        """The size of the request in load tokens (a prompt token costs an eighth)."""
+        """Size of the request in load tokens: one per answer token, an eighth per prompt token."""
         return self.prompt_tokens / PROMPT_TOKENS_PER_LOAD_TOKEN + self.max_tokens
 
 
 def read_head(
     view: RoutingView, headers: Mapping[str, str], fallback_id: str, now: float
 ) -> Result[RequestHead, RequestProblem]:
-    """Read and check a model request's headers."""
+    """Parse and check the headers of a model request; ``fallback_id`` if it has no request id."""
     request_id = headers.get(REQUEST_ID_HEADER, "") or fallback_id
     if len(request_id) > MAX_REQUEST_ID_LENGTH or not _is_printable_ascii(request_id):
         return _invalid(f"{REQUEST_ID_HEADER} must be printable ASCII, 200 characters at most")
@@ -80,7 +81,7 @@
 
 
 def read_generate_body(data: bytes, route: Route) -> Result[GenerateBody, RequestProblem]:
-    """Read and check a model request's body."""
+    """Parse and check the body of a model request on ``route``."""
     document = read_json_object(data)
     if document is None:
         return _invalid("the body must be a JSON object")
@@ -114,7 +115,7 @@
 
 
 def read_prefix_blocks(document: Mapping[str, Any]) -> tuple[str, ...] | None:
-    """Return the shared prefix blocks (none given: empty), or None if malformed."""
+    """Return the shared prefix blocks, () if none are given, None if malformed."""
     blocks = document.get("prompt_parts", [])
     if not isinstance(blocks, list) or len(blocks) > MAX_PROMPT_PREFIX_BLOCKS:
         return None
@@ -122,7 +123,7 @@
 
 
 def encode_attempt_body(body: GenerateBody, request_id: str, model: str) -> bytes:
-    """Return the body that goes to the replica: the caller's with the id and the model."""
+    """Return the body for the replica: the caller's document with request id and model set."""
     return json.dumps({**body.document, "request_id": request_id, "model": model}).encode()
 
 
@@ -143,7 +144,7 @@
 
 
 def _read_time_left(header: str | None, limit_s: float) -> float | None:
-    """Return the seconds left: the caller's, at most the route's; None if malformed."""
+    """Return the seconds until the deadline, at most ``limit_s``; None if malformed."""
     if header is None:
         return limit_s
     if not (header.isascii() and header.isdigit() and len(header) <= 12):
--- a/rooklug/front/routing_view.py
+++ b/rooklug/front/routing_view.py
@@ -1,15 +1,10 @@
-"""A front's routing view: one immutable snapshot of who serves what, rebuilt at topic changes.
+"""A front's routing view: an immutable snapshot of routes, fronts, replicas and routing matrix.
 
-The components of a front hold the ``RoutingViewComponent`` (``rooklug.front.view_component``)
-and read its ``view`` for each request; a snapshot must not be kept between requests.
+``RoutingViewComponent`` (``rooklug.front.view_component``) builds a new one at each topic change.
+Components read its ``view`` anew for each decision and must not keep a snapshot between requests.
 
-Methods that other packages use:
-
-- ``once_replicas(backend)``: the once-only replicas of a back end that may get requests;
-- ``route(name)``: the route, or None;
-- ``region_of_caller(headers)``: where the caller is;
-- ``fronts_in(regions)``: fronts that take requests, () means in any region;
-- ``serves_home(route)``: whether this front may carry the route at all.
+The once-only subpackage uses ``once_replicas``, ``route``, ``region_of_caller``, ``fronts_in``
+and ``serves_home``.
 """
 
 from collections.abc import Iterable, Mapping
@@ -29,7 +24,10 @@
 
 @attrs.frozen
 class ServingReplica:
-    """A model replica that may get requests. ``concurrency`` is what it reports to run at once."""
+    """A model replica that may get requests.
+
+    ``concurrency`` is the number of requests that it reports to run at once.
+    """
 
     replica_id: str
     address: str
@@ -43,7 +41,7 @@
 
 @attrs.frozen
 class FrontNode:
-    """A front that takes requests. ``address`` is its HTTP interface."""
+    """A front that accepts requests. ``address`` is that of its HTTP interface."""
 
     node_id: str
     address: str
@@ -53,7 +51,7 @@
 
 @attrs.frozen
 class Destination:
-    """One region that traffic may go to; ``weight`` is its share within its preference."""
+    """A region that traffic may go to; ``weight`` is relative to the others of its level."""
 
     region: str
     weight: float
@@ -61,7 +59,7 @@
 
 @attrs.frozen
 class MatrixKey:
-    """What a cell of the routing matrix is looked up by; ``home_regions`` are sorted."""
+    """Lookup key of the routing matrix; ``home_regions`` are sorted, () for unbound routes."""
 
     model: str
     latency_class: str
@@ -74,7 +72,7 @@
 
 @attrs.frozen
 class ViewSources:
-    """The bodies a view is built from; None while a topic has not come yet."""
+    """Topic bodies that a view is built from; None for a topic that has not arrived yet."""
 
     configuration: Configuration | None = None
     configuration_version: int = 0
@@ -86,9 +84,10 @@
 
 @attrs.frozen
 class RoutingView:
-    """A snapshot for one front. Build it with ``build_routing_view``.
+    """Snapshot for one front; built by ``build_routing_view``.
 
-    ``loaded_unplanned`` are (replica id, model) that are loaded and healthy, but not intended now.
+    ``loaded_unplanned`` are pairs of replica id and model where the model is loaded at a healthy
+    replica but not intended by the present plan.
     """
 
     own_node_id: str
@@ -103,17 +102,17 @@
 
     @property
     def configuration(self) -> Configuration | None:
-        """The configuration served under, or None."""
+        """The configuration in force, None before the first one has arrived."""
         return self.sources.configuration
 
     @property
     def limits(self) -> Limits:
-        """The limits of the configuration, the defaults before there is one."""
+        """The limits of the configuration, the defaults while there is none."""
         return self.configuration.limits if self.configuration else Limits()
 
     @property
     def has_plan(self) -> bool:
-        """Whether a plan has come; without one no model counts as loaded."""
+        """Whether a plan has arrived; without a plan no model counts as loaded."""
         return self.sources.plan is not None
 
     @property
@@ -122,42 +121,42 @@
         return self.own_zone in self.sources.drained_zones
 
     def route(self, name: str) -> Route | None:
-        """Return the route of that name."""
+        """Return the route of that name, None if the configuration has none."""
         return self.configuration.routes.get(name) if self.configuration else None
 
     def region_of_caller(self, headers: Mapping[str, str]) -> str:
-        """Return the caller's region: the header's if it is a known one, else this front's."""
+        """Return the region named in the headers if it is configured, else this front's own."""
         named = headers.get(REGION_HEADER, "")
         known = self.configuration is not None and named in self.configuration.regions
         return named if known else self.own_region
 
     def serves_home(self, route: Route) -> bool:
-        """Return whether this front is inside the route's home (an unbound route: always)."""
+        """Return whether this front is in the route's home regions; True for unbound routes."""
         return not route.home_regions or self.own_region in route.home_regions
 
     def fronts_in(self, regions: Iterable[str] = ()) -> tuple[FrontNode, ...]:
-        """Return ready fronts outside drained zones, by node id; no regions: in any region."""
+        """Return ready fronts in ``regions`` (() for any) outside drained zones, by node id."""
         wanted = tuple(regions)
         return tuple(front for front in self._fronts if not wanted or front.region in wanted)
 
     def once_replicas(self, backend: str) -> tuple[ListedReplica, ...]:
-        """Return a back end's replicas, without draining ones and those in drained zones."""
+        """Return a back end's once-only replicas, without leaving ones and drained zones."""
         return self._once.get(backend, ())
 
     def serving(self, model: str) -> tuple[ServingReplica, ...]:
-        """Return the replicas on which the model is loaded as reported and intended by the plan."""
+        """Return the replicas that report the model as loaded and whose plan intends it."""
         return self._serving.get(model, ())
 
     def models(self) -> tuple[str, ...]:
-        """Return the models that are served anywhere, sorted."""
+        """Return the sorted names of the models that at least one replica serves."""
         return tuple(sorted(self._serving))
 
     def destinations(self, route: Route, source_region: str) -> DestinationLevels:
-        """Return the regions for a route's traffic: levels of preference, the first one first.
+        """Return the regions for a route's traffic as preference levels, the preferred one first.
 
-        Regions outside the route's home never appear, whatever the matrix says. Traffic that
-        the matrix has no cell for (not seen by the planner yet) goes to its own region, then
-        to the others by round trip, as far as their weights take spilled traffic at all.
+        Regions outside the route's home never appear, whatever the matrix says. Traffic without
+        a cell in the matrix (not seen by the planner yet) goes to its own region, then by round
+        trip to the other regions that accept spilled traffic.
         """
         homes = tuple(sorted(route.home_regions))
         key = MatrixKey(route.model, route.latency_class, source_region, homes)
@@ -168,7 +167,7 @@
         return tuple(level for level in allowed if level)
 
     def spill_share(self, region: str) -> float:
-        """Return the share of a region's capacity that traffic from elsewhere may use."""
+        """Return the share of a region's capacity that other regions' traffic may use."""
         known = self.configuration.regions.get(region) if self.configuration else None
         return known.weights.spill if known else 0.0
 
--- a/rooklug/front/slow_start_admission.py
+++ b/rooklug/front/slow_start_admission.py
@@ -1,11 +1,12 @@
-"""Admits a few requests to replicas in slow start.
+"""Limits the requests that replicas in slow start get.
 
-Two measures, both scaled by the replica's slow-start share:
+Both limits are scaled by the slow start's progress:
 
-- relative: beside replicas at full share, one in slow start earns its share of the requests;
-- absolute: all fronts together keep about ``capacity share x concurrency`` requests running
-  there. This one alone applies when no replica is at full share, so that a fleet that is all in
-  slow start serves as much as its shares allow.
+- relative: next to replicas at full share, one in slow start earns its share of the requests;
+- absolute: a token bucket whose rate lets all fronts together keep about
+  ``capacity share x concurrency`` requests running at the replica. If no replica is at full
+  share, only this limit applies, so that a fleet that is entirely in slow start serves as much
+  as its shares allow.
 """
 
 from random import Random
@@ -22,7 +23,14 @@
 
 @attrs.define
 class Allowance:
-    """What a replica in slow start may still get. ``since`` identifies its slow start."""
+    """Requests that this front may send to a replica in slow start, for one model.
+
+    Attributes:
+        since: Start of the slow start, which identifies it; a new one gets a new allowance.
+        earned: Part of a request earned by the relative limit, at most 1.
+        tokens: Level of the token bucket of the absolute limit, at most 1.
+        refilled_at: When the bucket was last refilled.
+    """
 
     since: float | None
     earned: float
@@ -31,7 +39,7 @@
 
 
 class SlowStartAdmission:
-    """Keeps the allowances of the replicas in slow start."""
+    """Allowances of the replicas in slow start, by replica id and model."""
 
     def __init__(
         self, slow_starts: SlowStartTracker, states: ReplicaStates, random: Random
@@ -42,7 +50,7 @@
         self._allowances: dict[tuple[str, str], Allowance] = {}
 
     def apply_view(self, view: RoutingView) -> None:
-        """Forget the replicas that are not served any more."""
+        """Drop the allowances of replicas and models that the view no longer serves."""
         served = {
             (entry.replica_id, model) for model in view.models() for entry in view.serving(model)
         }
@@ -57,7 +65,10 @@
         slow: list[ServingReplica],
         now: float,
     ) -> None:
-        """Divide one arriving request by capacity; in slow start a replica counts by its share."""
+        """Credit the replicas in slow start with their parts of one arriving request.
+
+        The request is divided by concurrency, that of replicas in slow start scaled by their share.
+        """
         weights = [
             self._slow_starts.replica_share(replica.replica_id, model, now) * replica.concurrency
             for replica in slow
@@ -70,7 +81,7 @@
     def has_capacity_token(
         self, replica: ServingReplica, model: str, view: RoutingView, now: float
     ) -> bool:
-        """Return whether the absolute measure lets one more request through."""
+        """Refill the bucket and return whether the absolute limit admits one more request."""
         allowance = self._allowance(replica, model, now)
         elapsed = now - allowance.refilled_at
         allowance.refilled_at = now
@@ -79,11 +90,11 @@
         return allowance.tokens >= ONE_REQUEST
 
     def has_earned(self, replica: ServingReplica, model: str, now: float) -> bool:
-        """Return whether the relative measure lets one more request through."""
+        """Return whether the relative limit admits one more request."""
         return self._allowance(replica, model, now).earned >= ONE_REQUEST
 
     def spend(self, replica: ServingReplica, model: str, now: float) -> None:
-        """Count a request that goes to a replica in slow start."""
+        """Charge both limits for a request that is sent to a replica in slow start."""
         allowance = self._allowance(replica, model, now)
         allowance.earned = max(0.0, allowance.earned - ONE_REQUEST)
         allowance.tokens = max(0.0, allowance.tokens - ONE_REQUEST)
@@ -93,14 +104,14 @@
         since = self._slow_starts.slow_start_since(*key)
         allowance = self._allowances.get(key)
         if allowance is None or allowance.since != since:
-            # Random beginnings, so that the fronts' first requests don't come together.
+            # Random initial levels keep the first requests of all fronts from arriving together.
             earned, tokens = self._random.random(), self._random.random()
             allowance = Allowance(since, earned, tokens, now)
             self._allowances[key] = allowance
         return allowance
 
     def _rate(self, replica: ServingReplica, model: str, view: RoutingView, now: float) -> float:
-        """Return the requests a second this front may send, its part of all fronts' sum."""
+        """Return this front's part of the requests per second that all fronts may send."""
         here = replica.region == view.own_region
         fronts = view.fronts_in((view.own_region,)) if here else view.fronts_in()
         share = self._slow_starts.capacity_share(replica.replica_id, model, now)
--- a/rooklug/front/slow_start_tracker.py
+++ b/rooklug/front/slow_start_tracker.py
@@ -1,14 +1,15 @@
-"""Slow start: the share of a replica that came up, or of a region that came back, grows in steps.
+"""Slow start: the traffic share of a new replica, or of a returning region, grows over time.
 
-A region's share is the largest of its replicas': one that comes back as a whole starts as one, and
-so does one whose replicas at full share have gone while one in slow start is left.
+A slow start belongs to an incarnation of a replica and a model. A replica that was lost (gone
+from the view, replaced, or its cache lost) starts again from the smallest share, whatever share
+it had before. A model that stays loaded while the plan does not use it is not lost: its slow start
+is suspended.
 
-A slow start belongs to a replica's incarnation and a model. Whatever was lost (gone from the view,
-replaced, its cache lost) starts from the smallest share when it comes back, however far it was. A
-model that stays loaded while the plan does not use it is not lost: its slow start is suspended.
+The share of a region is the largest of its replicas' shares. A region whose replicas all return
+is thus in slow start as a whole, and so is one that has lost its replicas at full share.
 
-The clock of a slow start begins with the first request that may go there: time without traffic
-fills no cache.
+The clock of a slow start runs from the first request that may go to the replica, because a cache
+does not fill without traffic.
 """
 
 from collections.abc import Iterable
@@ -19,16 +20,19 @@
 from rooklug.front.routing_view import RoutingView, ServingReplica
 
 FULL_SHARE = 1.0
-# A configured first share of 0 would never let a replica get any request.
+# With a configured first share of 0, a replica would never get any request.
 MIN_SHARE = 0.01
 
 
 @attrs.frozen
 class SlowStartProgress:
-    """How a share grows.
+    """State of one slow start.
 
-    ``warming_up`` is what the plan says; ``since`` is when the slow start was found (None: the
-    share is full); ``began_at`` when its clock started (None: it waits for the first request).
+    Attributes:
+        incarnation: Incarnation of the replica.
+        warming_up: Whether the plan reports the replica as warming up.
+        since: When the slow start was detected; None if the share is full.
+        began_at: When its clock started; None while it waits for the first request.
     """
 
     incarnation: str
@@ -37,7 +41,11 @@
     began_at: float | None = None
 
     def with_clock_started(self, settings: SlowStart, now: float) -> "SlowStartProgress":
-        """Start the clock; a replica that the plan calls ready meanwhile is ready here, too."""
+        """Return the state with a running clock, if it has not started yet.
+
+        If the plan no longer reports the replica as warming up and the slow start is older than
+        its duration, other fronts have warmed the replica: it gets the full share.
+        """
         if self.since is None or self.began_at is not None:
             return self
         if not self.warming_up and now - self.since >= settings.duration_s:
@@ -46,7 +54,7 @@
 
 
 def progress_of(progress: SlowStartProgress | None, settings: SlowStart, now: float) -> float:
-    """Return how far a slow start has got, 0 to 1."""
+    """Return the elapsed fraction of a slow start, 0 to 1; 1 if there is none."""
     if progress is None or progress.since is None or settings.duration_s <= 0:
         return FULL_SHARE
     if progress.began_at is None:
@@ -55,7 +63,7 @@
 
 
 def share_of(progress: SlowStartProgress | None, settings: SlowStart, now: float) -> float:
-    """Return the share at ``now``: ``first_share``, then doubling evenly until it is 1."""
+    """Return the share at ``now``: grows exponentially from ``first_share`` to 1."""
     if progress is None or progress.since is None:
         return FULL_SHARE
     first = max(settings.first_share, MIN_SHARE)
@@ -63,7 +71,7 @@
 
 
 class SlowStartTracker:
-    """All slow starts of one front, kept in step with its view."""
+    """All slow starts that one front knows, by replica id and model."""
 
     def __init__(self) -> None:
         self._settings = SlowStart()
@@ -72,7 +80,10 @@
         self._seen_a_plan = False
 
     def apply_view(self, view: RoutingView, now: float) -> None:
-        """Start slow starts for what is new in the view, forget what is gone."""
+        """Begin slow starts for new replicas and models, and drop those that are gone.
+
+        Does nothing before the first plan.
+        """
         if view.configuration is not None:
             self._settings = view.configuration.slow_start
         if not view.has_plan:
@@ -95,51 +106,55 @@
         self._seen_a_plan = True
 
     def record_loss(self, replica_id: str, now: float, model: str = "") -> None:
-        """Restart a replica's slow starts (of all models, or of one): it was found lost."""
+        """Restart the slow starts of a replica that was lost, of all models or of ``model``."""
         for key, progress in self._replicas.items():
             if key[0] == replica_id and model in ("", key[1]):
                 self._replicas[key] = attrs.evolve(progress, since=now, began_at=None)
 
     def start_clock(self, replica_id: str, model: str, now: float) -> None:
-        """Start the clock of a replica that a request may go to."""
+        """Start the clock of a replica that a request may be sent to, if it is in slow start."""
         progress = self._replicas.get((replica_id, model))
         if progress is not None:
             self._replicas[(replica_id, model)] = progress.with_clock_started(self._settings, now)
 
     def replica_share(self, replica_id: str, model: str, now: float) -> float:
-        """Return a replica's share for a model."""
+        """Return a replica's traffic share for a model, ``FULL_SHARE`` if not in slow start."""
         return share_of(self._replicas.get((replica_id, model)), self._settings, now)
 
     def capacity_share(self, replica_id: str, model: str, now: float) -> float:
         """Return the share of its capacity that a replica may use; it grows linearly.
 
-        It bounds a replica with none at full share beside it, so it grows faster than the share
-        of traffic that such a one could take as well.
+        It is the only limit when no replica is at full share, so it grows faster than the
+        traffic share, which applies when such replicas can take the rest.
         """
         progress = progress_of(self._replicas.get((replica_id, model)), self._settings, now)
         first = max(self._settings.first_share, MIN_SHARE)
         return first + (FULL_SHARE - first) * progress
 
     def slow_start_since(self, replica_id: str, model: str) -> float | None:
-        """Return since when a replica is in slow start; it identifies this slow start."""
+        """Return when a replica's slow start was detected, which identifies it; None if none."""
         progress = self._replicas.get((replica_id, model))
         return progress.since if progress else None
 
     def region_share(self, replicas: Iterable[ServingReplica], model: str, now: float) -> float:
-        """Return the share of a region with these replicas."""
+        """Return the traffic share of the region that consists of ``replicas``."""
         return max(self.replica_share(entry.replica_id, model, now) for entry in replicas)
 
     def _unplanned_progress(
         self, key: tuple[str, str], replica: ServingReplica
     ) -> SlowStartProgress | None:
-        """Return the progress of a model that stayed loaded, unless its cache was lost."""
+        """Return the suspended progress of a model that stayed loaded while not planned.
+
+        None if there is none or the cache was lost. If the replica still warms up, its clock
+        starts again with the next request.
+        """
         progress = self._loaded_unplanned.get(key)
         if progress is None or (replica.warming_up and not progress.warming_up):
             return None
         return attrs.evolve(progress, began_at=None) if replica.warming_up else progress
 
     def _with_new_models(self, view: RoutingView) -> set[str]:
-        """Return the replicas that serve a model which they did not serve before."""
+        """Return the ids of replicas that serve a model which they did not serve before."""
         return {
             replica.replica_id
             for model in view.models()
@@ -156,11 +171,11 @@
         has_new_model: bool,
     ) -> SlowStartProgress:
         if known is not None and known.incarnation == replica.incarnation:
-            # A replica also warms up for a new model; its other models keep their caches.
+            # Loading a new model also sets ``warming_up``; the other models keep their caches.
             cache_was_lost = replica.warming_up and not known.warming_up and not has_new_model
             if not cache_was_lost:
                 return attrs.evolve(known, warming_up=replica.warming_up)
             return SlowStartProgress(replica.incarnation, replica.warming_up, now)
-        # The first plan that a front sees says which replicas are warming up.
+        # In the first plan that a front sees, only replicas reported as warming up are new.
         is_new = self._seen_a_plan or replica.warming_up
         return SlowStartProgress(replica.incarnation, replica.warming_up, now if is_new else None)
--- a/rooklug/front/streams.py
+++ b/rooklug/front/streams.py
@@ -1,8 +1,8 @@
-"""Checks a replica's streamed answer line by line, before anything of it goes to the caller.
+"""Checks a replica's streamed answer line by line before any of it goes to the caller.
 
-A line is ``{"request_id", "index", "piece"}`` with the index growing by one from 0; the last
-one is ``{"request_id", "index", "end": true, "pieces"}``. Anything else breaks the stream:
-a skipped or repeated index, another request's id, a line after the end, a wrong count.
+Each line is ``{"request_id", "index", "piece"}`` with the index counting up from 0; the last
+line is ``{"request_id", "index", "end": true, "pieces"}``. Everything else is a fault: a skipped
+or repeated index, another request's id, a line after the end line, or a wrong count.
 """
 
 import json
@@ -15,21 +15,21 @@
 
 @attrs.frozen
 class StreamFault:
-    """Why a stream can't be trusted any more."""
+    """Why a stream is invalid; nothing more of it may be forwarded."""
 
     message: str
 
 
 @attrs.frozen
 class CheckedChunks:
-    """Good lines in order: their bytes as they came, and their texts."""
+    """Valid lines in their order: the bytes as received, and the texts in them."""
 
     lines: bytes
     texts: tuple[str, ...]
 
 
 class StreamChecker:
-    """Checks one stream. After a fault it must not be fed again."""
+    """Checks the stream of one request. After a fault it must not be fed again."""
 
     def __init__(self, request_id: str) -> None:
         self._request_id = request_id
@@ -38,9 +38,9 @@
         self._end_line = b""
 
     def feed(self, data: bytes) -> CheckedChunks | StreamFault:
-        """Take bytes as they came; return the lines they complete, without the end line.
+        """Check received bytes; return the lines that they complete, without the end line.
 
-        A plain union in place of a Result: this runs for each chunk of each stream.
+        Returns a plain union instead of a Result, as this runs for each chunk of each stream.
         """
         *lines, self._partial = (self._partial + data).split(b"\n")
         if len(self._partial) > MAX_LINE_BYTES:
@@ -58,7 +58,7 @@
         return CheckedChunks(b"".join(good), tuple(texts))
 
     def finish(self) -> Result[bytes, StreamFault]:
-        """Return the end line, once the answer's connection has ended properly."""
+        """Return the end line; to be called once the response has ended properly."""
         if self._partial.strip():
             return Error(StreamFault("the answer ended within a line"))
         if not self._end_line:
@@ -66,7 +66,7 @@
         return Ok(self._end_line)
 
     def _check(self, line: bytes, texts: list[str]) -> str:
-        """Return "" for a good line, else the fault."""
+        """Return the fault of a line, "" if it is valid; append its text to ``texts``."""
         if self._end_line:
             return "a line after the end line"
         try:
--- a/rooklug/front/verdicts.py
+++ b/rooklug/front/verdicts.py
@@ -1,4 +1,4 @@
-"""The decision object's inputs and verdicts."""
+"""Inputs and verdicts of ``Decision`` and, for headers, of the once-only decision."""
 
 import attrs
 
@@ -8,10 +8,10 @@
 
 @attrs.frozen
 class PlacementRequest:
-    """One request to be placed. ``tried`` are ids of replicas it has already failed at.
+    """One request to be placed. ``tried`` are the ids of replicas where an attempt has failed.
 
-    ``is_first_decision`` is True only once a request: a decision from the queue or for a
-    retry earns no new share of a replica in slow start.
+    ``is_first_decision`` is True only for the first decision on a request: later ones, from the
+    queue or for a retry, must not earn another share for replicas in slow start.
     """
 
     head: RequestHead
@@ -22,7 +22,10 @@
 
 @attrs.frozen
 class QueueOutlook:
-    """What a request would find in the queue. ``ahead``: requests served before it."""
+    """What a request would find in the queue.
+
+    ``ahead`` is the number of queued requests that would be served before it.
+    """
 
     ahead: int
     has_capacity: bool
@@ -30,9 +33,9 @@
 
 @attrs.frozen
 class ServeAt:
-    """Run ``model`` at ``replica``, until the monotonic time ``until``.
+    """Run the request at ``replica`` with ``model``, at most until the monotonic time ``until``.
 
-    ``spilled``: it counts towards what the region takes over from others.
+    ``spilled``: it counts towards the limit of traffic spilled into the replica's region.
     """
 
     replica: ServingReplica
@@ -43,14 +46,14 @@
 
 @attrs.frozen
 class RedirectTo:
-    """Another front must take it."""
+    """Redirect the caller to another front."""
 
     front: FrontNode
 
 
 @attrs.frozen
 class Refuse:
-    """It has not run and will not; come back in ``retry_after_s`` (whole seconds, 1 or more)."""
+    """Don't run the request; the caller may retry after ``retry_after_s`` (whole, at least 1)."""
 
     code: str
     message: str
@@ -59,14 +62,14 @@
 
 @attrs.frozen
 class Wait:
-    """Nothing is free now: queue it until the monotonic time ``until``."""
+    """No replica is free now: queue the request at most until the monotonic time ``until``."""
 
     until: float
 
 
 @attrs.frozen
 class ReadBody:
-    """The head is good: read the body on."""
+    """The headers are acceptable: read the body."""
 
 
 HeadVerdict = ReadBody | RedirectTo | Refuse
--- a/rooklug/front/view_building.py
+++ b/rooklug/front/view_building.py
@@ -21,7 +21,7 @@
 )
 
 RegionOf = Callable[[str, str], str]
-"""Region of a zone, and the region to take where the zone is not known."""
+"""Returns the region of a zone (first argument), or the second argument for an unknown zone."""
 
 
 def build_routing_view(
@@ -31,11 +31,11 @@
     sources: ViewSources,
     previous: RoutingView | None = None,
 ) -> RoutingView:
-    """Build a snapshot. A zone's region is the configuration's, else what the record says.
+    """Build a snapshot. A zone's region comes from the configuration, else from the record.
 
-    What depends only on bodies that ``previous`` (a view of the same front) was built from is
-    taken from there: with hundreds of nodes and replicas, a node that comes or goes must not
-    cost a new matrix.
+    Parts that depend only on unchanged bodies are taken over from ``previous``, a view of the
+    same front: with hundreds of nodes and replicas, a single node that joins or leaves must not
+    cause the matrix to be rebuilt.
     """
     regions = _region_by_zone(sources.configuration)
 
@@ -70,7 +70,7 @@
 def _reusable(
     previous: RoutingView | None, sources: ViewSources, *names: str
 ) -> RoutingView | None:
-    """Return the previous view if these bodies are the very objects it was built from."""
+    """Return the previous view if it was built from the same objects of these bodies."""
     if previous is None:
         return None
     before = previous.sources
@@ -98,7 +98,10 @@
 
 
 def _region_by_zone(configuration: Configuration | None) -> dict[str, str]:
-    """Return the region of each zone; looked up for every node and replica of a view."""
+    """Return the region of each configured zone.
+
+    Computed once per view, because it is looked up for every node and replica.
+    """
     if configuration is None:
         return {}
     zones = sorted({zone for region in configuration.regions.values() for zone in region.zones})
@@ -156,7 +159,7 @@
 
 
 def _healthy_first(replicas: list[ServingReplica]) -> tuple[ServingReplica, ...]:
-    """Drop unhealthy ones, unless all are: then the prober may be the one that is cut off."""
+    """Drop unhealthy replicas, unless all are: then the prober itself may be cut off."""
     healthy = tuple(replica for replica in replicas if replica.healthy)
     return healthy or tuple(replicas)
 
--- a/rooklug/front/view_component.py
+++ b/rooklug/front/view_component.py
@@ -1,4 +1,4 @@
-"""Keeps the front's routing view up to date with the distributed topics."""
+"""Rebuilds the front's routing view when a distributed topic changes."""
 
 from collections.abc import Callable
 from typing import Any
@@ -23,13 +23,13 @@
 
 @attrs.frozen
 class RoutingViewChanged(InternalEvent):
-    """The front has a new routing view."""
+    """The front has a new routing view. At handling time the component may have a newer one."""
 
     view: RoutingView
 
 
 class RoutingViewComponent(BaseComponent):
-    """Holds ``view``, the newest snapshot; never takes an older body of a topic."""
+    """Holds the newest snapshot in ``view``; ignores topic bodies older than the last one."""
 
     name = "routing-view"
     subscribes_to = (TopicChanged,)
@@ -42,7 +42,7 @@
         self.view = self._build(None)
 
     def handle(self, event: ev.Event, now: float) -> list[fx.Effect]:
-        """Take a topic's new body."""
+        """Rebuild the view from a topic's new body and announce it; other events are ignored."""
         if not isinstance(event, TopicChanged):
             return []
         if not is_newer(event.version, self._versions.get(event.topic, ZERO_VERSION)):
@@ -74,9 +74,9 @@
         result = self._read(body.document)
         if result.is_error():
             fields = {"version": body.version, "problems": str(result.error)}
-            return [fx.Log("error", "a committed configuration can't be read; serving on", fields)]
+            return [fx.Log("error", "unreadable configuration ignored", fields)]
         self._sources = attrs.evolve(
             self._sources, configuration=result.ok, configuration_version=body.version
         )
         fields = {"version": body.version, "digest": body.digest}
-        return [fx.Log("info", "serves under a configuration", fields)]
+        return [fx.Log("info", "configuration applied", fields)]
--- a/rooklug/front/wait_queue.py
+++ b/rooklug/front/wait_queue.py
@@ -1,4 +1,4 @@
-"""A bounded queue ordered by priority, then by arrival; each entry has a time it waits until."""
+"""Bounded queue of waiting requests, ordered by priority, then by arrival."""
 
 from bisect import bisect_right, insort
 from collections.abc import Hashable, Iterator
@@ -10,7 +10,10 @@
 
 @attrs.frozen(order=True)
 class QueueEntry:
-    """One waiting request. Sorted by falling priority, then by sequence."""
+    """One waiting request, sorted by ``rank`` (the negative priority), then by arrival.
+
+    ``until`` is the monotonic time at which its wait expires.
+    """
 
     rank: int
     sequence: int
@@ -22,8 +25,8 @@
 class WaitQueue:
     """Holds requests that wait for a free replica.
 
-    A request of a higher priority pushes out the last one of the lowest priority when the
-    queue is full. Requests of one ``lane`` wait for the same replicas.
+    When the queue is full, a request of higher priority evicts the last one of the lowest
+    priority. Requests of the same ``lane`` wait for the same replicas.
     """
 
     def __init__(self) -> None:
@@ -38,20 +41,20 @@
         return iter(tuple(self._entries))
 
     def has_capacity(self, priority: int, capacity: int) -> bool:
-        """Return whether a request of that priority would get a place."""
+        """Return whether a request of that priority would be queued, if need be by eviction."""
         if len(self._entries) < capacity:
             return True
         return bool(self._entries) and capacity > 0 and -self._entries[-1].rank < priority
 
     def outlook(self, priority: int, capacity: int) -> QueueOutlook:
-        """Return what a request of that priority would find."""
+        """Return the queue's state for a new request of that priority."""
         ahead = bisect_right(self._entries, -priority, key=lambda entry: entry.rank)
         return QueueOutlook(ahead, self.has_capacity(priority, capacity))
 
     def add(
         self, http_id: int, priority: int, until: float, lane: Hashable, capacity: int
     ) -> list[int]:
-        """Queue a request; return the requests that lost their place (itself, if no room)."""
+        """Queue a request; return the ids of evicted requests (its own if it is not queued)."""
         if not self.has_capacity(priority, capacity):
             return [http_id]
         self._sequence += 1
@@ -65,7 +68,7 @@
         return evicted
 
     def remove(self, http_id: int) -> bool:
-        """Forget a request; return whether it was queued."""
+        """Remove a request; return whether it was queued."""
         entry = self._by_http_id.pop(http_id, None)
         if entry is None:
             return False
@@ -73,7 +76,7 @@
         return True
 
     def take_expired(self, now: float) -> list[int]:
-        """Remove and return the requests whose wait is over, in queue order."""
+        """Remove the requests whose wait has expired and return their ids in queue order."""
         expired = [entry.http_id for entry in self._entries if entry.until <= now]
         for http_id in expired:
             self.remove(http_id)
