--- a/rooklug/front/once_only/answers.py
+++ b/rooklug/front/once_only/answers.py
@@ -1,4 +1,4 @@
-"""Answers to the callers of once-only requests."""
+"""Builds the HTTP answers to callers of once-only requests."""
 
 import json
 from collections.abc import Mapping
@@ -20,11 +20,11 @@
     503: "not_run",
     504: "unknown",
 }
-"""Labels of the answers' metric."""
+"""Values of the ``outcome`` label of the answers' metric, by HTTP status."""
 
 
 def done_answer(http_id: int, head: OnceHead, result: bytes, *, repeated: bool) -> fx.HttpRespond:
-    """Answer with the back end's result; ``repeated``: an earlier sending had run it."""
+    """Answer with the back end's result; ``repeated``: it is that of an earlier attempt."""
     document = {
         "outcome": "done",
         "request_id": head.request_id,
@@ -36,13 +36,16 @@
 
 
 def problem_answer(http_id: int, problem: RequestProblem) -> fx.HttpRespond:
-    """Answer a request that is at fault itself; nothing is said of its key."""
+    """Reject an invalid request; the answer has no ``outcome``, as it says nothing of the key."""
     error = {"code": problem.code, "message": problem.message}
     return json_answer(http_id, problem.status, {"error": error})
 
 
 def not_ready_answer(http_id: int, headers: Mapping[str, str]) -> fx.HttpRespond:
-    """Refuse at a front without a configuration, which knows nothing of the key."""
+    """Refuse a request at a front that has no configuration yet.
+
+    The front knows nothing of the key, so the outcome is "not run" only for a first attempt.
+    """
     request_id = headers.get(REQUEST_ID_HEADER, "")
     build = not_run_answer if headers.get(ATTEMPT_HEADER) == FIRST_ATTEMPT else unknown_answer
     message = "this front has no configuration yet"
@@ -52,7 +55,7 @@
 def given_up_answer(
     http_id: int, head: OnceHead, refusal: Refuse, *, not_run: bool
 ) -> fx.HttpRespond:
-    """Give the final answer without a result, and when to come back, with the same key."""
+    """Return the final answer for a request without a result; the caller may retry its key."""
     build = not_run_answer if not_run else unknown_answer
     answer = build(http_id, head.request_id, refusal.code, refusal.message, refusal.retry_after_s)
     document: dict[str, Any] = {**json.loads(answer.body), "key": head.key}
@@ -60,14 +63,14 @@
 
 
 def key_reused_answer(http_id: int, head: OnceHead) -> fx.HttpRespond:
-    """Refuse a key that came with another payload before."""
+    """Reject a key that was used with another payload before (409)."""
     error = {"code": "key_reused", "message": "this key was sent before with another payload"}
     document = {"error": error, "key": head.key, "request_id": head.request_id}
     return json_answer(http_id, 409, document, {REQUEST_ID_HEADER: head.request_id})
 
 
 def redirect_answer(http_id: int, head: OnceHead, front: FrontNode) -> fx.HttpRespond:
-    """Send the caller to a front inside the route's home."""
+    """Redirect the caller to a front inside the route's home regions (307)."""
     error = {"code": "go_elsewhere", "message": "send it to the front named here"}
     document = {"error": error, "front": front_document(front), "key": head.key}
     headers = {
--- a/rooklug/front/once_only/attempt.py
+++ b/rooklug/front/once_only/attempt.py
@@ -1,4 +1,4 @@
-"""One sending of a once-only request at this front."""
+"""State of one attempt: one submission of a once-only request that this front serves."""
 
 from enum import Enum
 
@@ -10,7 +10,7 @@
 
 
 class AttemptState(Enum):
-    """Where an attempt is. The last three are final; the values go over the wire."""
+    """Stage of an attempt. The last three are final; the values go over the wire."""
 
     REQUESTING_CLAIM = "asking the shard's owner"
     WAITING = "waiting for another attempt's outcome"
@@ -21,7 +21,7 @@
 
 
 class ClaimStatus:
-    """States of a ``ClaimStatusAnswer`` beside the final ones of ``AttemptState``."""
+    """States of a ``ClaimStatusAnswer`` in addition to the final ones of ``AttemptState``."""
 
     RUNNING = "running"
     MISMATCH = "mismatch"
@@ -29,12 +29,20 @@
 
 @attrs.define
 class Attempt:
-    """The state of one attempt. It may write only while WRITING, and only once.
-
-    ``claim`` is what it asks for, then what it was granted. ``key_was_absent``: the owner,
-    knowing all claims, has said during this attempt that the key had never been written (or
-    was recorded by an attempt that then was found to be released).
-    ``answered``: the caller has its answer or has gone.
+    """One attempt. It may write to a back end only in state WRITING, and only once.
+
+    Attributes:
+        number: Number of the attempt, unique in this incarnation of the front.
+        claim: The claim that is requested and, once it is granted, the granted one.
+        queue_wait_s: How long the operators let a request wait in a queue.
+        competing_claim: Another attempt's claim of the key, while this one waits for its outcome.
+        released: An earlier claim of the key whose attempt certainly has not written.
+        key_was_absent: During this attempt the owner, which knows all claims, has said that the
+            key had never been written, or its only other attempt was found to be released.
+        status_failures: Consecutive failed requests for the competing attempt's outcome.
+        answered: The caller has its answer or has disconnected.
+        tried_replicas: Ids of the back end's replicas that this attempt was sent to.
+        replica_id: The last one of them.
     """
 
     number: int
@@ -55,16 +63,16 @@
 
     @property
     def certainly_not_run(self) -> bool:
-        """Whether "not run" is true of the key, given that this attempt writes nothing."""
+        """Whether "not run" is true for the key, provided that this attempt writes nothing."""
         return self.key_was_absent or self.head.is_first_attempt
 
     @property
     def claim_deadline(self) -> float:
-        """Until when it asks for its claim.
+        """Monotonic time until which the claim is requested.
 
-        Where "not run" is true, a caller loses nothing by coming back: the wait is that of a
-        queue. Else the answer would be "unknown", which a caller may be unable to mend, so
-        it goes on asking as long as there would still be time to write.
+        If the answer would be "not run", the caller can simply retry, so the wait is that of a
+        queue. Otherwise it would be "unknown", which a caller may be unable to resolve, so the
+        claim is requested for as long as there would still be time to write.
         """
         wait_s = self.queue_wait_s if self.certainly_not_run else CLAIM_WAIT_S
         return min(self.head.started + wait_s, self.head.deadline - WRITE_RESERVE_S)
--- a/rooklug/front/once_only/backend.py
+++ b/rooklug/front/once_only/backend.py
@@ -1,4 +1,4 @@
-"""The one request of an attempt to a back end, and what the answer to it is worth."""
+"""Builds the request of an attempt to a back end, and checks the back end's response."""
 
 import json
 
@@ -13,10 +13,10 @@
 
 
 def backend_call(call_id: int, replica: ListedReplica, attempt: Attempt, now: float) -> fx.HttpCall:
-    """Return the only request of an attempt to a back end.
+    """Return the call that writes the attempt's payload to a replica of the back end.
 
-    It may end after the caller's deadline, so that a repeat can have the result; it is not
-    sent after the deadline.
+    It is not sent after the caller's deadline, but may end later than that, so that a repeat of
+    the key can get the result.
     """
     head = attempt.head
     remaining_s = head.deadline - now
@@ -40,7 +40,10 @@
 
 
 def result_of(attempt: Attempt, status: int, body: bytes) -> bytes | None:
-    """Return the result as JSON, or None if this isn't the answer to this request."""
+    """Return the result as JSON; None if the response is not a valid one to this request.
+
+    A valid response has status 200 and repeats the request id and the key.
+    """
     if status != 200:
         return None
     try:
--- a/rooklug/front/once_only/build.py
+++ b/rooklug/front/once_only/build.py
@@ -1,4 +1,4 @@
-"""Composes the components of once-only requests."""
+"""Builds the components of a front that serve once-only requests."""
 
 from rooklug.distribution.core_link import CoreLink
 from rooklug.engine.component import Component
@@ -12,10 +12,10 @@
 def build_once_only_components(
     settings: NodeSettings, context: ProcessContext, core_link: CoreLink
 ) -> list[Component]:
-    """Return a front's components, the one with callers' requests first.
+    """Return the components, the ``OnceOnlyComponent`` first.
 
-    The claim stores are at ``settings.seeds``, the cores (``build_claim_store_components``). The
-    front's ``RoutingViewComponent`` must stand before these components.
+    The claim stores run in the cores (``build_claim_store_components``), at ``settings.seeds``.
+    The front's ``RoutingViewComponent`` must come before these components.
     """
     attempts = AttemptTable(settings.node_id, context.incarnation)
     owner = ClaimOwner(context, core_link, settings.seeds)
--- a/rooklug/front/once_only/claim_components.py
+++ b/rooklug/front/once_only/claim_components.py
@@ -1,4 +1,4 @@
-"""What a front does for other fronts: owns claim shards, and reports outcomes of attempts."""
+"""Components with which a front serves other fronts: claim shards, and outcomes of attempts."""
 
 from collections.abc import Iterable
 
@@ -27,7 +27,7 @@
 
 
 class ClaimOwner(BaseComponent):
-    """Owns the claim shards that this front is granted."""
+    """Decides claim requests of the shards whose role is granted to this front."""
 
     name = "claim-owner"
     call_types = (ClaimRequest,)
@@ -42,11 +42,11 @@
         ]
 
     def shard(self, number: int) -> ShardOwner:
-        """Return one shard's state."""
+        """Return the owner state of one shard, also if the shard is not granted to this front."""
         return self._shards[number]
 
     def handle(self, event: ev.Event, now: float) -> list[fx.Effect]:
-        """Take one event."""
+        """Pass grants, claim requests, timers and ended calls to the shards that they concern."""
         if isinstance(event, GrantsChanged):
             return self._on_grants_changed(event, now)
         if isinstance(event, ev.CallArrived):
@@ -61,7 +61,7 @@
         return []
 
     def metrics(self, now: float) -> Iterable[MetricSample]:
-        """Return the figures of the shards that are decided here."""
+        """Return the number of shards decided here and of claims granted here."""
         deciding = sum(shard.phase is Phase.READY for shard in self._shards)
         granted = sum(shard.granted_claims for shard in self._shards)
         return (
@@ -83,7 +83,7 @@
 
 
 class OutcomeService(BaseComponent):
-    """Reports the outcomes of attempts to other fronts, and stores replicas of their results."""
+    """Reports outcomes and claims to other fronts, and stores replicas of their results."""
 
     name = "claim-outcomes"
     call_types = (ClaimStatusRequest, CopyResultRequest, ReadFrontClaimsRequest)
@@ -93,7 +93,7 @@
         self._owner = owner
 
     def handle(self, event: ev.Event, now: float) -> list[fx.Effect]:
-        """Answer one call."""
+        """Answer one call of another front; other events are ignored."""
         if not isinstance(event, ev.CallArrived):
             return []
         return [fx.Answer(event.call_id, self._answer(event.request))]
--- a/rooklug/front/once_only/claim_requester.py
+++ b/rooklug/front/once_only/claim_requester.py
@@ -1,4 +1,4 @@
-"""How an attempt gets its claim, or learns what became of the attempt that has it."""
+"""Requests an attempt's claim, or the outcome of the attempt that holds the key's claim."""
 
 from collections.abc import Callable
 
@@ -33,29 +33,29 @@
 
 @attrs.frozen
 class Granted:
-    """This attempt, and no other, may write."""
+    """The claim was granted: this attempt, and no other one of the key, may write."""
 
 
 @attrs.frozen
 class AlreadyDone:
-    """An earlier attempt has run; ``result`` is its JSON, "" when it isn't stored any more."""
+    """An earlier attempt has run; ``result`` is its JSON, b"" if it is no longer stored."""
 
     result: bytes
 
 
 @attrs.frozen
 class MayHaveRun:
-    """An earlier attempt may have run, and nobody knows."""
+    """An earlier attempt may have run; its outcome can't be determined."""
 
 
 @attrs.frozen
 class PayloadDiffers:
-    """The key was used for another payload."""
+    """The key was used with another payload before."""
 
 
 @attrs.frozen
 class ClaimUnavailable:
-    """No owner could decide in time; this attempt writes nothing."""
+    """No shard owner decided in time; this attempt must not write."""
 
 
 ClaimResolution = Granted | AlreadyDone | MayHaveRun | PayloadDiffers | ClaimUnavailable
@@ -63,7 +63,10 @@
 
 
 class ClaimRequester:
-    """Requests claims and outcomes for attempts, until there is a ``ClaimResolution``."""
+    """Requests claims and outcomes for attempts until each has a ``ClaimResolution``.
+
+    ``on_resolved`` is called once with the resolution of each attempt.
+    """
 
     def __init__(
         self,
@@ -79,14 +82,14 @@
         self._outages = Outages()
 
     def proceed(self, attempt: Attempt, now: float) -> list[fx.Effect]:
-        """Do the next step of an attempt."""
+        """Send the next request of an attempt that has no resolution yet; called by its timer."""
         if attempt.state is AttemptState.REQUESTING_CLAIM:
             return self._request_claim(attempt, now)
         if attempt.state is AttemptState.WAITING:
             return self._request_competitor_status(attempt, now)
         return []
 
-    # The owner ---------------------------------------------------------------------------
+    # Claim requests to the shard's owner --------------------------------------------------
 
     def _request_claim(self, attempt: Attempt, now: float) -> list[fx.Effect]:
         remaining_s = attempt.claim_deadline - now
@@ -123,12 +126,12 @@
         return self._retry_or_give_up(attempt, now)
 
     def _retry_or_give_up(self, attempt: Attempt, now: float) -> list[fx.Effect]:
-        """Retry soon; but in an outage that has lasted, refuse at once."""
+        """Retry after ``CLAIM_RETRY_S``; give up at once in an outage that has lasted."""
         if self._outages.record_failure(attempt.shard, now):
             return self._on_resolved(attempt, ClaimUnavailable(), now)
         return [self._schedule_retry(attempt, CLAIM_RETRY_S)]
 
-    # The competing attempt, or the front with a replica of its result ---------------------------
+    # Status requests: the competing attempt's front, or the one with a replica of its result ---
 
     def _request_competitor_status(self, attempt: Attempt, now: float) -> list[fx.Effect]:
         competing_claim = attempt.competing_claim
@@ -157,7 +160,7 @@
         if answer.state == ClaimStatus.RUNNING:
             return [self._schedule_retry(attempt, STATUS_POLL_S)]
         if answer.state == AttemptState.RELEASED.value:
-            # The owner knew of no other attempt, and that one has not written.
+            # The owner knows all claims and named this attempt only, which has not written.
             attempt.key_was_absent = True
             attempt.released = attempt.competing_claim
             attempt.competing_claim = None
@@ -210,7 +213,7 @@
         return self._calls.call(address, request, STATUS_DEADLINE_S, on_end)
 
     def _address_of(self, node_id: str, incarnation: str) -> str:
-        """Return where a front is; ``incarnation`` "" means whichever runs now."""
+        """Return a live front's address, "" if unknown; ``incarnation`` "" matches any."""
         for node in self._core_link.members():
             if node.node_id == node_id and incarnation in ("", node.incarnation):
                 return node.internal_address
--- a/rooklug/front/once_only/claim_store.py
+++ b/rooklug/front/once_only/claim_store.py
@@ -1,11 +1,12 @@
-"""The claim store of a core: remembers on its disk which keys have been claimed.
+"""The claim store of a core: stores on disk which keys have been claimed.
 
-A claim holds once two of the three stores have synced it. A store refuses an owner whose
-token is lower than the highest one it has seen (the fence, on disk as well), so that an
-owner whose successor has read two stores can't have a claim confirmed by two any more.
+A claim is valid once two of the three stores have synced it to disk. Each store keeps the highest
+fencing token that it has seen, on disk as well, and rejects owners with a lower one. Once an
+owner's successor has read two stores, the owner can't get a claim confirmed by two stores any
+more.
 
-A store that lost its disk is not *intact*: it confirms nothing and vouches for nothing
-until an owner with complete knowledge has restored it.
+A store that has lost its disk is not *intact*: it confirms no claims, and what it holds does not
+count as complete, until an owner that knows all claims has restored it.
 """
 
 from collections import Counter, defaultdict
@@ -44,20 +45,20 @@
 
 
 def claims_file(shard: int) -> str:
-    """Return the name of a shard's file. Small files are quickly rewritten."""
+    """Return the name of a shard's file; one file for each shard keeps rewrites short."""
     return f"{_FILE_PREFIX}{shard}"
 
 
 @attrs.frozen
 class _Pending:
-    """A call that is answered once its entries are synced."""
+    """A call to be answered once its entries are synced to disk."""
 
     call_id: int
     make_answer: MakeAnswer
 
 
 class ClaimStore(BaseComponent):
-    """One of the three stores."""
+    """One of the three claim stores of a site, with one file for each claim shard."""
 
     name = "claim-store"
     call_types = (ReadClaimsRequest, RecordClaimsRequest, RestoreClaimsRequest)
@@ -71,7 +72,7 @@
         self._confirmed = 0
 
     def handle(self, event: ev.Event, now: float) -> list[fx.Effect]:
-        """Take one event."""
+        """Load the files at start, handle calls, and answer them when their writes end."""
         if isinstance(event, ev.Started):
             return self._on_started(event)
         if isinstance(event, ev.CallArrived):
@@ -84,7 +85,7 @@
         return []
 
     def metrics(self, now: float) -> Iterable[MetricSample]:
-        """Return the figures of the store."""
+        """Return the number of claims that this store has confirmed."""
         help_text = "Claims of once-only requests confirmed by this store."
         return (MetricSample("rooklug_claims_stored_total", self._confirmed, "counter", help_text),)
 
@@ -98,7 +99,13 @@
                 self._entries_in_file[shard] = len(records)
             elif records:
                 reason = event.disk_problem or "an entry can't be read"
-                effects.append(fx.Log("error", "claims are not intact", {"reason": reason}))
+                effects.append(
+                    fx.Log(
+                        "error",
+                        "claim file unusable; shard emptied and not intact",
+                        {"reason": reason},
+                    )
+                )
                 effects.append(self._rewrite(shard, []))
         return effects
 
@@ -141,9 +148,10 @@
         request: ReadClaimsRequest | RecordClaimsRequest | RestoreClaimsRequest,
         make_answer: MakeAnswer,
     ) -> list[fx.Effect]:
-        """Apply the fence and the entries at once, answer when they are synced.
+        """Apply the fence and the entries in memory at once, and answer when they are synced.
 
-        What is read before it is synced only makes an owner more careful.
+        A claim that an owner reads before it is synced can only keep the owner from granting the
+        key again, which is safe.
         """
         shard = request.shard
         written = [fence_entry(shard, request.token), *entries]
@@ -169,11 +177,18 @@
         return fx.RewriteFile(ticket, claims_file(shard), tuple(entries))
 
     def _on_write_failed(self, event: ev.WriteFailed) -> list[fx.Effect]:
-        """Vouch for nothing from here on: memory may be ahead of the disk."""
+        """Confirm nothing and report as not intact from now on: memory may be ahead of the disk."""
         self._failed = True
         pending, self._pending = list(self._pending.values()), {}
         answers = [fx.Answer(entry.call_id, self._failure(entry)) for entry in pending]
-        return [fx.Log("error", "claims can't be written", {"reason": event.reason}), *answers]
+        return [
+            fx.Log(
+                "error",
+                "claim write failed; store not intact until restart",
+                {"reason": event.reason},
+            ),
+            *answers,
+        ]
 
     def _failure(self, pending: _Pending) -> ReadClaimsAnswer | RecordClaimsAnswer:
         if isinstance(pending.make_answer(), ReadClaimsAnswer):
@@ -221,5 +236,5 @@
 
 
 def build_claim_store_components(context: ProcessContext) -> list[Component]:
-    """Return the components that a core needs for once-only requests."""
+    """Return the components with which a core stores claims of once-only requests."""
     return [ClaimStore(context)]
--- a/rooklug/front/once_only/front_claim_recovery.py
+++ b/rooklug/front/once_only/front_claim_recovery.py
@@ -1,8 +1,8 @@
-"""Collects the claims of all fronts, when two or more stores have lost theirs.
+"""Collects the claims of all fronts after two or more stores have lost theirs.
 
-This is beyond what must be survived (one lost disk), so it is done as well as possible: every
-live front announces the claims that it requested, and the owner waits a while before it decides,
-for requests that a lost front may still have written.
+The design guarantees survival of one lost disk only, so this is best effort: every live front
+reports the claims that it knows, and the owner waits ``RECOVERY_WAIT_S`` before it decides, because
+a front that is lost may still have writes in flight.
 """
 
 from rooklug.distribution.core_link import CoreLink
@@ -17,7 +17,7 @@
 
 
 class FrontClaimCollector:
-    """One shard's inquiry."""
+    """Collects the claims of one shard from all fronts; one collection at a time."""
 
     def __init__(self, shard: int, core_link: CoreLink, calls: PendingCalls) -> None:
         self._shard = shard
@@ -30,19 +30,22 @@
         self._any_front_had_claims = False
 
     def reset(self) -> None:
-        """Forget everything, also answers that are still to come."""
+        """Discard all answers, including those to requests that are still in flight."""
         self._generation += 1
         self._answers = {}
         self._any_front_had_claims = False
 
     def begin(self, now: float, *, no_store_intact: bool) -> None:
-        """Start the wait."""
+        """Start a new collection and its wait.
+
+        ``no_store_intact``: no store is intact, as at the first start of a site.
+        """
         self.reset()
         self._began = now
         self._no_store_intact = no_store_intact
 
     def request_claims(self, not_after: float) -> list[fx.Effect]:
-        """Request the claims of every listed front that has not answered."""
+        """Request the claims of every listed front that has not answered yet."""
         return [
             self._request_claims_from(node, not_after)
             for node in self._fronts()
@@ -52,9 +55,9 @@
     def is_complete(self, now: float) -> bool:
         """Return whether every listed front has answered and the wait is over.
 
-        There is no wait at a first start: no store has a claim, and no front has ever had
-        one. A loss of everything looks the same, but then the configuration is lost with
-        the claims, and no front is ready until the operators have submitted it again.
+        There is no wait at a first start, when no store is intact and no front has ever had a
+        claim. The loss of all data looks the same, but then the configuration is lost as well,
+        and no front is ready until the operators have submitted it again.
         """
         fronts = self._fronts()
         identities = [(node.node_id, node.incarnation) for node in fronts]
@@ -64,7 +67,7 @@
         return first_start or now >= self._began + RECOVERY_WAIT_S
 
     def claims(self) -> list[ClaimRecord]:
-        """Return what the fronts announced."""
+        """Return all claims that the fronts have reported."""
         return [claim for claims in self._answers.values() for claim in claims]
 
     def _fronts(self) -> list[NodeRecord]:
--- a/rooklug/front/once_only/limits.py
+++ b/rooklug/front/once_only/limits.py
@@ -1,8 +1,8 @@
-"""Limits and times of once-only requests; units are in the names.
+"""Limits and times of once-only requests.
 
-What is remembered is bounded by number, not by time: clocks jump. ``MAX_CLAIMS_PER_SHARD``
-times ``CLAIM_SHARDS`` keys are known to have been claimed; at 8 requests a second that is
-more than two hours, see docs/once-only.md.
+Claims and outcomes are limited by number and not by age, because clocks can jump. The most recent
+``MAX_CLAIMS_PER_SHARD`` times ``CLAIM_SHARDS`` claimed keys are kept; at 8 requests per second
+that is more than two hours (docs/once-only.md).
 """
 
 MAX_CLAIMS_PER_SHARD = 4096
--- a/rooklug/front/once_only/once_decision.py
+++ b/rooklug/front/once_only/once_decision.py
@@ -1,4 +1,4 @@
-"""Decides about once-only requests: where they are served, and which replica is written to."""
+"""Decides where a once-only request is served, and to which replica it is written."""
 
 from random import Random
 
@@ -22,13 +22,16 @@
 
 @attrs.frozen
 class WriteTo:
-    """Write to this replica, until the caller's deadline."""
+    """Write to this replica; the write must be sent before the caller's deadline."""
 
     replica: ListedReplica
 
 
 class OnceDecision:
-    """Decides on each request: from its head, then when its claim is granted."""
+    """Decides on each request: from its headers, and again when its claim is granted.
+
+    ``OnceOnlyComponent`` sets ``view`` at each change and ``draining`` when the drain starts.
+    """
 
     def __init__(self, own_node_id: str, random: Random) -> None:
         self._view: RoutingView | None = None
@@ -42,10 +45,10 @@
         """The newest view.
 
         Raises:
-            ValueError: None has come yet.
+            ValueError: No view has been set yet.
         """
         if self._view is None:
-            raise ValueError("no routing view has come yet")
+            raise ValueError("no routing view has been received yet")
         return self._view
 
     @view.setter
@@ -54,15 +57,15 @@
 
     @property
     def has_configuration(self) -> bool:
-        """Whether any route is known yet."""
+        """Whether a view with a configuration has arrived; before that no route is known."""
         return self._view is not None and self._view.configuration is not None
 
     def queue_wait_s(self) -> float:
-        """Return how long the operators let a request wait in a queue."""
+        """Return the configured limit of a request's wait in a queue, in seconds."""
         return self.view.limits.queue_wait_s
 
     def check_head(self, head: OnceHead, active: int) -> HeadVerdict:
-        """Decide from the head alone."""
+        """Decide from the headers alone; ``active`` is the number of requests in progress here."""
         homes = head.route.home_regions
         fronts = [
             front for front in self.view.fronts_in(homes) if front.node_id != self._own_node_id
@@ -78,7 +81,7 @@
         return ReadBody()
 
     def choose_replica(self, attempt: Attempt, now: float) -> WriteTo | Refuse:
-        """Decide where a granted attempt writes: never outside the route's home."""
+        """Decide where an attempt with a granted claim writes, never outside the route's home."""
         if attempt.head.deadline - now < MIN_WRITE_TIME_S:
             return _refusal("deadline", "too late to be written")
         homes = attempt.head.route.home_regions
@@ -95,13 +98,14 @@
         return WriteTo(equals[attempt.number % len(equals)])
 
     def replica_failed(self, replica_id: str, now: float) -> None:
-        """Put a replica last for a while."""
+        """Rank a replica last for ``REPLICA_AVOIDANCE_S`` after a failed write."""
         self._avoided_until[replica_id] = now + REPLICA_AVOIDANCE_S
 
     def choose_result_replica(self, head: OnceHead, digest: bytes) -> str:
-        """Return the front that stores a replica of the result, "" without another one.
+        """Return the id of the front that is to store a replica of the result.
 
-        It is at the route's home, and in another zone if there is one.
+        The front is in the route's home regions, and in another zone if possible; "" if there is
+        no other front.
         """
         fronts = [
             front
@@ -119,7 +123,7 @@
     def _configuration(self) -> Configuration:
         configuration = self.view.configuration
         if configuration is None:
-            raise ValueError("no configuration has come yet")
+            raise ValueError("no configuration has been received yet")
         return configuration
 
     def _rank(self, replica: ListedReplica, now: float) -> tuple[bool, bool]:
@@ -127,7 +131,7 @@
         return (avoided, self._region_of(replica) != self.view.own_region)
 
     def _region_of(self, replica: ListedReplica) -> str:
-        """Return a replica's region: its zone's by the configuration, else as listed."""
+        """Return the configured region of a replica's zone, else the region it is listed with."""
         return self._configuration().region_of_zone(replica.zone) or replica.region
 
 
--- a/rooklug/front/once_only/once_only_component.py
+++ b/rooklug/front/once_only/once_only_component.py
@@ -1,7 +1,8 @@
-"""``POST /v1/once``: carries a once-only request from its head to its final answer.
+"""Serves ``POST /v1/once``, from a request's headers to its final answer.
 
-An attempt writes to a back end only after its claim was granted, and at most once. When it
-has to give up it says at once what is certainly true of the key: not run, or unknown.
+An attempt writes to a back end only after its claim has been granted, and at most once. An
+attempt without a result is answered at once: "not run" if that is certain for the key, else
+"unknown".
 """
 
 from collections import Counter
@@ -47,7 +48,10 @@
 
 
 class OnceOnlyComponent(BaseComponent):
-    """Serves once-only requests at this front."""
+    """Serves once-only requests of this front's callers.
+
+    ``_heads`` are requests whose body has not arrived, ``_writes`` the calls to back ends.
+    """
 
     name = "once-only"
     http_prefixes = (answers.ONCE_PATH,)
@@ -70,11 +74,11 @@
         self._answers: Counter[str] = Counter()
 
     def active_requests(self) -> int:
-        """Return how many callers wait for an answer."""
+        """Return the number of callers waiting for an answer; a drain waits until it is 0."""
         return self._attempts.unanswered + len(self._heads)
 
     def handle(self, event: ev.Event, now: float) -> list[fx.Effect]:
-        """Take one event."""
+        """Handle an event of a request, a call or a back end, a timer, a new view, or a drain."""
         if isinstance(event, RoutingViewChanged):
             self._decision.view = event.view
             return []
@@ -96,7 +100,7 @@
         return []
 
     def metrics(self, now: float) -> Iterable[MetricSample]:
-        """Return the figures of once-only requests."""
+        """Yield the number of active requests, and of answers by outcome."""
         yield MetricSample(
             "rooklug_once_active",
             self.active_requests(),
@@ -112,7 +116,7 @@
                 {"outcome": outcome},
             )
 
-    # Head and body -----------------------------------------------------------------------
+    # Headers and body --------------------------------------------------------------------
 
     def _on_request(self, event: ev.HttpRequestArrived, now: float) -> list[fx.Effect]:
         if event.path != answers.ONCE_PATH or event.method != "POST":
@@ -171,7 +175,7 @@
             copy_id=self._decision.choose_result_replica(head, digest),
         )
 
-    # Findings and the back end -----------------------------------------------------------
+    # Claim resolution and the back end ---------------------------------------------------
 
     def _on_claim_resolved(
         self, attempt: Attempt, resolution: ClaimResolution, now: float
@@ -236,7 +240,7 @@
                 return [self._calls.call(address, request, REPLICATION_DEADLINE_S, lambda *_: [])]
         return []
 
-    # Ends --------------------------------------------------------------------------------
+    # Timers and final answers ------------------------------------------------------------
 
     def _on_timer(self, name: str, now: float) -> list[fx.Effect]:
         if name.startswith(NEXT_TIMER):
@@ -263,7 +267,7 @@
         return self._finish(attempt, AttemptState.RELEASED)
 
     def _release(self, attempt: Attempt, refusal: Refuse) -> list[fx.Effect]:
-        """End an attempt that has written nothing and never will."""
+        """End an attempt that has written nothing, so that it never will."""
         effects = self._finish(attempt, AttemptState.RELEASED)
         return [
             *effects,
--- a/rooklug/front/once_only/outages.py
+++ b/rooklug/front/once_only/outages.py
@@ -1,4 +1,7 @@
-"""Notices that no claim of a shard can be had for long, so that new requests don't wait in vain."""
+"""Detects shards whose claims have not been granted for a while.
+
+During such an outage, new requests are answered at once instead of waiting in vain.
+"""
 
 import attrs
 
@@ -7,20 +10,24 @@
 
 @attrs.define
 class _Outage:
-    """Consecutive attempts without a grant."""
+    """First and last of a series of consecutive failures to get a claim of one shard."""
 
     since: float
     last: float
 
 
 class Outages:
-    """Consecutive failed attempts, by shard."""
+    """Current series of failures by shard."""
 
     def __init__(self) -> None:
         self._by_shard: dict[int, _Outage] = {}
 
     def record_failure(self, shard: int, now: float) -> bool:
-        """Count an attempt without a grant; return whether the outage has lasted."""
+        """Record a claim request without a grant; return whether the outage has lasted.
+
+        An outage lasts from ``OUTAGE_AFTER_S`` of consecutive failures on. Failures that are more
+        than ``OUTAGE_RESET_AFTER_S`` apart don't belong together.
+        """
         outage = self._by_shard.get(shard)
         if outage is None or now - outage.last > OUTAGE_RESET_AFTER_S:
             outage = self._by_shard[shard] = _Outage(now, now)
@@ -28,5 +35,5 @@
         return now - outage.since >= OUTAGE_AFTER_S
 
     def record_grant(self, shard: int) -> None:
-        """Note that a claim of the shard was granted."""
+        """Record that a claim of the shard was granted, which ends its outage."""
         self._by_shard.pop(shard, None)
--- a/rooklug/front/once_only/outcome_memory.py
+++ b/rooklug/front/once_only/outcome_memory.py
@@ -1,4 +1,4 @@
-"""What became of attempts: this front's own, and copies for other fronts. Bounded."""
+"""Bounded store of the outcomes of finished attempts, with replicas for other fronts."""
 
 from collections import OrderedDict
 
@@ -16,7 +16,11 @@
 
 @attrs.define
 class Outcome:
-    """A finished attempt. ``result`` is JSON, "" when there is none or it isn't kept."""
+    """A finished attempt.
+
+    ``result`` is JSON, b"" if there is none or it is no longer kept. ``shard`` is -1 for a
+    replica of another front's outcome.
+    """
 
     shard: int
     claim: ClaimRecord
@@ -26,7 +30,10 @@
 
 
 class OutcomeMemory:
-    """Outcomes by attempt, the oldest first; results are dropped before outcomes are."""
+    """Outcomes by attempt, oldest first; results are evicted before the outcomes themselves.
+
+    The number of outcomes and the total size of the results are limited.
+    """
 
     def __init__(self) -> None:
         self._outcomes: OrderedDict[tuple, Outcome] = OrderedDict()
@@ -34,11 +41,11 @@
         self._result_bytes = 0
 
     def __len__(self) -> int:
-        """Return how many outcomes are kept."""
+        """Return the number of stored outcomes."""
         return len(self._outcomes)
 
     def put(self, outcome: Outcome) -> None:
-        """Keep an outcome."""
+        """Store an outcome, without a result that is too large; a known attempt is ignored."""
         identity = attempt_identity(outcome.claim)
         if identity in self._outcomes:
             return
@@ -51,7 +58,7 @@
         self._shrink()
 
     def status(self, claim: ClaimRecord, payload_digest: bytes) -> ClaimStatusAnswer:
-        """Answer what became of an attempt; one that isn't kept is unknown."""
+        """Return the state and result of an attempt; UNKNOWN if it is not stored."""
         outcome = self._outcomes.get(attempt_identity(claim))
         if outcome is None:
             return ClaimStatusAnswer(state=AttemptState.UNKNOWN.value, result=b"")
@@ -61,7 +68,7 @@
         return ClaimStatusAnswer(state=outcome.state.value, result=outcome.result)
 
     def claims_of(self, shard: int) -> list[ClaimRecord]:
-        """Return the claims of a shard that were, or may have been, written."""
+        """Return the claims of a shard whose attempts have written or may have written."""
         return [
             outcome.claim
             for outcome in self._outcomes.values()
--- a/rooklug/front/once_only/pending_calls.py
+++ b/rooklug/front/once_only/pending_calls.py
@@ -1,4 +1,4 @@
-"""Calls in flight of a component, each with its continuation."""
+"""Calls of a component that are in flight, each with a callback for its end."""
 
 from collections.abc import Callable
 from typing import Any
@@ -12,7 +12,7 @@
 
 
 class PendingCalls:
-    """Issues calls and finds the continuation when they end."""
+    """Creates calls and runs their callbacks when they are answered or fail."""
 
     def __init__(self, identifiers: Identifiers) -> None:
         self._identifiers = identifiers
@@ -26,12 +26,15 @@
         on_end: OnEnd,
         not_after: float | None = None,
     ) -> fx.Call:
-        """Return the effect of a call; ``on_end`` gets its answer or failure."""
+        """Return the effect that sends a call; ``on_end`` gets its answer or failure.
+
+        ``not_after`` is a monotonic time after which the call must not be sent.
+        """
         call_id = self._identifiers.next()
         self._open[call_id] = on_end
         return fx.Call(call_id, address, request, deadline_s, not_after)
 
     def end(self, event: CallEnd, now: float) -> list[fx.Effect]:
-        """Run the continuation of a call."""
+        """Run the callback of a call that has ended; an unknown call is ignored."""
         on_end = self._open.pop(event.call_id, None)
         return on_end(event, now) if on_end else []
--- a/rooklug/front/once_only/requests.py
+++ b/rooklug/front/once_only/requests.py
@@ -1,4 +1,4 @@
-"""Reads the callers' once-only requests: the head first, then the payload."""
+"""Parses once-only requests: headers first, then the payload."""
 
 import json
 from collections.abc import Mapping
@@ -28,9 +28,9 @@
 
 @attrs.frozen
 class OnceHead:
-    """The request's headers. ``deadline`` is a monotonic time of this process.
+    """Parsed headers of a request. Times are monotonic times of this process.
 
-    ``is_first_attempt``: the caller says that it has not sent this key before.
+    ``is_first_attempt``: the caller states that it has not sent this key before.
     """
 
     request_id: str
@@ -44,7 +44,7 @@
 
 @attrs.frozen
 class Payload:
-    """The caller's JSON as sent, and the digest of its canonical form."""
+    """The caller's JSON as received, and the digest of its canonical form."""
 
     data: bytes
     digest: bytes
@@ -53,7 +53,7 @@
 def read_head(
     view: RoutingView, headers: Mapping[str, str], fallback_id: str, now: float
 ) -> Result[OnceHead, RequestProblem]:
-    """Read and check the headers."""
+    """Parse and check the headers; ``fallback_id`` is used if there is no request id."""
     request_id = headers.get(REQUEST_ID_HEADER, "") or fallback_id
     if not _is_printable_ascii(request_id, MAX_REQUEST_ID_LENGTH):
         return _invalid(f"{REQUEST_ID_HEADER} must be printable ASCII, 200 characters at most")
@@ -72,7 +72,7 @@
 
 
 def read_payload(data: bytes) -> Result[Payload, RequestProblem]:
-    """Check that the body is JSON; it is carried on as it came."""
+    """Check that the body is JSON; it is forwarded to the back end unchanged."""
     if nesting_depth(data) > MAX_JSON_DEPTH:
         return _invalid(f"the body is nested deeper than {MAX_JSON_DEPTH} levels")
     try:
--- a/rooklug/front/once_only/shard_owner.py
+++ b/rooklug/front/once_only/shard_owner.py
@@ -1,7 +1,7 @@
 """The owner of one claim shard: decides which attempt may write a key.
 
-Under a new token it reads the stores before it decides anything, which also fences its
-predecessor. A claim is granted once a quorum of stores has recorded it.
+With a new fencing token it first reads a quorum of claim stores, which also fences off its
+predecessor. It grants a claim once a quorum of stores has recorded it.
 """
 
 from enum import Enum
@@ -28,11 +28,11 @@
 )
 from rooklug.wire.generated.control.ttypes import VersionMark
 
-FORGET_AFTER_S = 60.0
+FREE_TABLE_AFTER_S = 60.0
 
 
 class Phase(Enum):
-    """What an owner is doing."""
+    """Phase of an owner under its present token. Claims are decided only in READY."""
 
     IDLE = "never granted"
     QUERYING_STORES = "querying the stores"
@@ -43,7 +43,11 @@
 
 
 class ClaimOutcome:
-    """Outcomes of a ``ClaimAnswer``."""
+    """Outcomes of a ``ClaimAnswer``; the values go over the wire.
+
+    ``CLAIMED_BY_OTHER`` answers carry the other attempt's claim. ``NOT_RECORDED``: too few stores
+    have recorded the claim; the request may be repeated.
+    """
 
     RUN = "run"
     CLAIMED_BY_OTHER = "held"
@@ -54,7 +58,7 @@
 
 @attrs.define
 class _Recording:
-    """A claim on its way to the stores, and the calls that wait for it."""
+    """A claim that is being recorded by the stores, and the calls that wait for the outcome."""
 
     claim: ClaimRecord
     waiting: list[int]
@@ -63,7 +67,11 @@
 
 
 class ShardOwner:
-    """One shard. ``core_link`` knows whether this node's grant is valid."""
+    """Owner state of one shard; decides only while ``core_link`` holds a valid grant of the role.
+
+    ``handle_grant`` starts it; from then on ``tick`` is called by a timer while the grant is valid,
+    and ``free_table`` once it has been invalid for ``FREE_TABLE_AFTER_S``.
+    """
 
     def __init__(
         self, shard: int, core_link: CoreLink, calls: PendingCalls, store_addresses: tuple[str, ...]
@@ -83,10 +91,10 @@
         self._recordings: dict[bytes, _Recording] = {}
         self._ticking = False
 
-    # Grants and ticks --------------------------------------------------------------------
+    # Grants and timers -------------------------------------------------------------------
 
     def handle_grant(self, token: VersionMark, now: float) -> list[fx.Effect]:
-        """Begin under a new token, or go on under the same one."""
+        """Start over under a new token, or continue under the same one; starts the tick timer."""
         effects: list[fx.Effect] = []
         if token != self._token:
             effects += self._begin_term(token)
@@ -96,15 +104,18 @@
         return effects + self.tick(now)
 
     def tick(self, now: float) -> list[fx.Effect]:
-        """Do what is due, and again after a while."""
+        """Do the work of the present phase and restart the timer.
+
+        Without a valid grant, a timer to free the table is started instead.
+        """
         if not self._may_decide(now):
             self._ticking = False
-            return [fx.StartTimer(self._timer("forget"), FORGET_AFTER_S)]
+            return [fx.StartTimer(self._timer("forget"), FREE_TABLE_AFTER_S)]
         effects = self._run_phase(now)
         return [*effects, fx.StartTimer(self._timer("tick"), self._tick_delay_s())]
 
     def free_table(self, now: float) -> list[fx.Effect]:
-        """Free the table when the role has been elsewhere for a while."""
+        """Free the table, unless the role has been granted again."""
         if not self._may_decide(now):
             self.table = ShardTable()
             self.phase = Phase.IDLE
@@ -194,7 +205,7 @@
     # Claims ------------------------------------------------------------------------------
 
     def claim(self, call_id: int, request: ClaimRequest, now: float) -> list[fx.Effect]:
-        """Decide one claim request."""
+        """Decide one claim request: answer now, or record the claim and answer later."""
         if not self._may_decide(now) or self.phase is Phase.FENCED:
             return [fx.Answer(call_id, ClaimAnswer(ClaimOutcome.NOT_OWNER))]
         if self.phase is not Phase.READY:
--- a/rooklug/front/once_only/shard_stores.py
+++ b/rooklug/front/once_only/shard_stores.py
@@ -1,4 +1,4 @@
-"""An owner's traffic with the claim stores, for one shard under one token."""
+"""Calls of a shard owner to the claim stores, under one fencing token at a time."""
 
 from collections.abc import Callable
 from typing import Any
@@ -27,10 +27,11 @@
 
 
 class ShardStores:
-    """Sends under one token at a time; answers to an earlier token are dropped.
+    """Reads, records to and restores the stores of one shard; ignores answers to earlier tokens.
 
-    ``on_store_answered`` is called after each store that was read or restored, ``on_fenced`` when a
-    store has seen a higher token. ``not_after`` bounds every send by the owner's grant.
+    ``on_store_answered`` is called after a store has been read or restored, ``on_fenced`` when a
+    store has rejected the token because it knows a higher one. Calls are not sent after
+    ``not_after``, the end of the owner's grant.
     """
 
     def __init__(
@@ -50,30 +51,34 @@
         self._open_checks = 0
 
     def begin_token(self, token: VersionMark) -> None:
-        """Forget what was known under the token before."""
+        """Use a new token, and discard what is known of the stores."""
         self._token = token
         self.views.reset()
 
     @property
     def has_quorum(self) -> bool:
-        """Whether enough stores are intact to decide."""
+        """Whether a majority of the stores is intact, so that claims can be decided."""
         return self.views.intact_count >= self.views.quorum
 
     def read_unanswered(self, not_after: float) -> list[fx.Effect]:
-        """Read every store that has not answered under this token."""
+        """Read every store that has not answered under the present token."""
         return [self._read(view, not_after) for view in self.views if not view.answered]
 
     def record(self, claim: ClaimRecord, not_after: float, then: OnAnswer) -> list[fx.Effect]:
-        """Have every store record a claim; ``then`` gets each answer, None for a failure."""
+        """Send a claim to every store; ``then`` is called with each answer, None for a failure."""
         request = RecordClaimsRequest(self._shard, self._token, [encode(claim)])
         return [self._call(view, request, not_after, then) for view in self.views]
 
     def restore_damaged(self, claims: MakeClaims, not_after: float) -> list[fx.Effect]:
-        """Restore every store that isn't intact; for owners that have just recovered."""
+        """Restore every store that is not intact, after a recovery from the fronts' claims."""
         return [self._restore(view, claims(), not_after) for view in self.views if not view.intact]
 
     def check(self, claims: MakeClaims, grant_until: GrantUntil, now: float) -> list[fx.Effect]:
-        """Ask every store whether it is intact; afterwards restore those that may be."""
+        """Start a check round: ask every store whether it is intact.
+
+        When the round ends, stores that may be restored by then are restored (see
+        ``StoreViews.restorable``).
+        """
         self.views.round += 1
         self._open_checks = len(list(self.views))
         return [self._check(view, claims, grant_until, now) for view in self.views]
--- a/rooklug/front/once_only/shard_table.py
+++ b/rooklug/front/once_only/shard_table.py
@@ -1,4 +1,4 @@
-"""The claims of one shard, as its owner knows them."""
+"""The claims of one shard that its owner knows."""
 
 from collections.abc import Iterable
 
@@ -12,28 +12,28 @@
 
 @attrs.define
 class RecordedClaim:
-    """A claim; ``confirmed`` once enough stores have it under the owner's own token."""
+    """A claim; ``confirmed`` once a quorum has recorded it under the owner's own token."""
 
     claim: ClaimRecord
     confirmed: bool = False
 
 
 class ShardTable:
-    """Claims by key digest, the oldest first, bounded."""
+    """Claims by key digest, oldest first; keeps the newest ``MAX_CLAIMS_PER_SHARD``."""
 
     def __init__(self) -> None:
         self._claims: dict[bytes, RecordedClaim] = {}
 
     def __len__(self) -> int:
-        """Return the number of keys."""
+        """Return the number of claimed keys."""
         return len(self._claims)
 
     def find(self, key_digest: bytes) -> RecordedClaim | None:
-        """Return the claim of a key."""
+        """Return the claim of a key, None if the key is not known to be claimed."""
         return self._claims.get(key_digest)
 
     def put(self, claim: ClaimRecord) -> RecordedClaim:
-        """Set a key's claim, as the newest."""
+        """Set a key's claim and make it the newest, not confirmed yet."""
         self._claims.pop(claim.key_digest, None)
         recorded = self._claims[claim.key_digest] = RecordedClaim(claim)
         if len(self._claims) > MAX_CLAIMS_PER_SHARD:
@@ -41,7 +41,10 @@
         return recorded
 
     def merge(self, claims: Iterable[ClaimRecord]) -> None:
-        """Take claims from several sources; of two of a key the higher one stays."""
+        """Add claims from several sources; the highest claim of each key is kept.
+
+        Afterwards no claim counts as confirmed.
+        """
         newest: dict[bytes, ClaimRecord] = {
             key: recorded.claim for key, recorded in self._claims.items()
         }
@@ -54,5 +57,5 @@
         self._claims = {claim.key_digest: RecordedClaim(claim) for claim in newest_claims}
 
     def encoded(self) -> list[bytes]:
-        """Return all claims, encoded, the oldest first."""
+        """Return all claims as encoded records, oldest first."""
         return [encode(recorded.claim) for recorded in self._claims.values()]
--- a/rooklug/front/once_only/store_state.py
+++ b/rooklug/front/once_only/store_state.py
@@ -1,4 +1,4 @@
-"""What a claim store knows of its shards, and how that is written to its file."""
+"""State of a shard in a claim store, and its encoding as entries of the shard's file."""
 
 import attrs
 
@@ -14,9 +14,12 @@
 
 @attrs.define
 class StoredShard:
-    """One shard. ``claims`` are encoded records by key digest, the oldest first.
+    """State of one shard.
 
-    ``intact``: every claim that this store ever confirmed is here.
+    Attributes:
+        fence: Highest fencing token seen, as (epoch, counter).
+        intact: Whether every claim that this store has ever confirmed is present.
+        claims: Encoded claims by key digest, oldest first; at most ``MAX_CLAIMS_PER_SHARD``.
     """
 
     fence: tuple[int, int] = NO_FENCE
@@ -24,7 +27,7 @@
     claims: dict[bytes, bytes] = attrs.field(factory=dict)
 
     def apply_claim(self, encoded: bytes) -> None:
-        """Keep a claim unless a later one of the same key is here."""
+        """Store a claim as the newest, or keep a higher claim of the same key in its place."""
         claim = decode(ClaimRecord, encoded).ok
         recorded = self.claims.pop(claim.key_digest, None)
         if recorded is not None and claim_order(decode(ClaimRecord, recorded).ok) > claim_order(
@@ -36,7 +39,7 @@
             del self.claims[next(iter(self.claims))]
 
     def apply(self, entry: StoredEntry) -> None:
-        """Take one entry of the shard's file."""
+        """Apply one entry of the shard's file: a fence, a claim, or the mark of being intact."""
         if entry.fence is not None:
             self.fence = max(self.fence, version_key(entry.fence))
         elif entry.claim is not None:
@@ -45,7 +48,7 @@
             self.intact = True
 
     def entries(self, number: int) -> list[bytes]:
-        """Return the shortest file that gives this state, for the shard ``number``."""
+        """Return the fewest encoded entries that produce this state, for shard ``number``."""
         epoch, counter = self.fence
         written = [fence_entry(number, VersionMark(epoch=epoch, counter=counter))]
         written.extend(claim_entry(number, claim) for claim in self.claims.values())
@@ -55,7 +58,7 @@
 
 
 def load_shard(number: int, records: tuple[bytes, ...]) -> StoredShard | None:
-    """Read a shard's file; None when an entry can't be read or is another shard's."""
+    """Load a shard from its file; None if an entry is unreadable or of another shard."""
     shard = StoredShard()
     for record in records:
         entry = decode(StoredEntry, record)
@@ -66,17 +69,17 @@
 
 
 def fence_entry(shard: int, token: VersionMark) -> StoredEntry:
-    """Return the entry that installs a fence."""
+    """Return the entry that raises the fence to ``token``."""
     return StoredEntry(shard=shard, fence=token)
 
 
 def claim_entry(shard: int, encoded: bytes) -> StoredEntry:
-    """Return the entry of a claim."""
+    """Return the entry that stores an encoded claim."""
     return StoredEntry(shard=shard, claim=encoded)
 
 
 def intact_entry(shard: int) -> StoredEntry:
-    """Return the entry after which a shard is complete."""
+    """Return the entry that marks a shard as intact."""
     return StoredEntry(shard=shard, intact=True)
 
 
--- a/rooklug/front/once_only/store_views.py
+++ b/rooklug/front/once_only/store_views.py
@@ -1,4 +1,4 @@
-"""What an owner knows of the claim stores, for one shard under one token."""
+"""What a shard owner knows of each claim store under its present token."""
 
 from collections.abc import Iterable, Iterator
 
@@ -13,7 +13,15 @@
 
 @attrs.define
 class StoreView:
-    """One store. ``damage_known_in_round``: the check round that first saw it not intact."""
+    """What is known of one store.
+
+    Attributes:
+        answered: Whether the store has answered under the present token.
+        intact: Whether the store has last reported itself as intact.
+        claims: Claims read from the store that have not been merged into the table yet.
+        damage_known_in_round: Check round in which the store was first found not intact.
+        checked_in_round: Last check round that the store has answered.
+    """
 
     address: str
     answered: bool = False
@@ -24,7 +32,7 @@
     checked_in_round: int = 0
 
     def update(self, answer: ReadClaimsAnswer | RecordClaimsAnswer, round_number: int) -> None:
-        """Note what the store says of itself."""
+        """Update the view from an answer to a call that was sent in round ``round_number``."""
         newly_damaged = not answer.intact and (
             self.intact or not self.answered or self.incarnation != answer.incarnation
         )
@@ -36,7 +44,7 @@
 
 
 class StoreViews:
-    """All stores of the cluster; a majority of them makes a quorum."""
+    """Views of all stores of the site; ``quorum`` is a majority, ``round`` the check round."""
 
     def __init__(self, addresses: Iterable[str]) -> None:
         self._views = {address: StoreView(address) for address in addresses}
@@ -44,22 +52,22 @@
         self.round = 0
 
     def __iter__(self) -> Iterator[StoreView]:
-        """Iterate over the stores."""
+        """Iterate over the views, in the order of the addresses."""
         return iter(self._views.values())
 
     def view(self, address: str) -> StoreView:
-        """Return one store."""
+        """Return the view of the store at ``address``."""
         return self._views[address]
 
     def reset(self) -> None:
-        """Forget everything: a new token begins."""
+        """Discard everything known, at the start of a new token."""
         for address in self._views:
             self._views[address] = StoreView(address)
         self.round = 0
 
     @property
     def intact_count(self) -> int:
-        """How many stores vouch for what they hold."""
+        """Number of stores that have reported themselves as intact."""
         return sum(view.intact for view in self)
 
     @property
@@ -68,7 +76,7 @@
         return all(view.answered for view in self)
 
     def claims(self) -> list[ClaimRecord]:
-        """Return what the stores hold, and free it here."""
+        """Return the claims read from all stores, and drop them from the views."""
         claims = [claim for view in self for claim in view.claims]
         for view in self:
             view.claims = []
@@ -77,8 +85,8 @@
     def restorable(self) -> list[StoreView]:
         """Return the stores that may be restored after the check round that has just ended.
 
-        All others must have accepted this owner's token in a round that began after the
-        loss was known: only then no successor can have used the lost copy.
+        Every store must have accepted this owner's token in a round that began after the loss
+        was known: only then can no successor have relied on the lost copy.
         """
         if any(view.checked_in_round != self.round for view in self):
             return []
--- a/scripts/trace_behaviour.py
+++ b/scripts/trace_behaviour.py
@@ -40,6 +40,8 @@
     "an operator's recovery begins": "operator-confirmed recovery started",
     "an update can't be taken": "topic update rejected",
     "changes the members": "changing the voting members",
+    "claims are not intact": "claim file unusable; shard emptied and not intact",
+    "claims can't be written": "claim write failed; store not intact until restart",
     "draining": "drain started; stopping once no request is active",
     "drops members that are late": "removing late members from the in-sync set",
     "leads a view": "became primary of a view",
