--- a/rooklug/front/health.py
+++ b/rooklug/front/health.py
@@ -1,4 +1,4 @@
-"""Passive health: what a front learns of replicas from its own attempts."""
+"""Passive health checks: ejects a replica by the outcomes of this process's own attempts."""
 
 from random import Random
 
@@ -6,10 +6,10 @@
 
 from rooklug.front.outcomes import AttemptOutcome
 
-FIRST_EJECTION_S = 1.0
-LONGEST_EJECTION_S = 5.0
+INITIAL_EJECTION_S = 1.0
+MAX_EJECTION_S = 5.0
 EJECTION_JITTER = 0.25
-# Failures in a row that eject a replica, by the kind of the last one.
+# Consecutive failures that eject a replica, by the outcome of the last one.
 FAILURES_TO_EJECT = {
     AttemptOutcome.CONNECT_FAILED: 1,
     AttemptOutcome.RESET: 1,
@@ -20,46 +20,50 @@
 
 @attrs.define
 class ReplicaHealth:
-    """One replica's health by this front's attempts.
+    """Health of one replica, by the outcomes of this process's attempts.
 
-    An ejected replica gets no requests for a time that doubles with each ejection, up to
-    ``LONGEST_EJECTION_S`` (short enough that machines that return are found in time), with
-    jitter so that fronts don't come back together. Then it is on probation: one request at
-    a time, until one succeeds.
+    An ejected replica gets no requests for a time that doubles with each consecutive ejection up
+    to ``MAX_EJECTION_S``, which is short enough to find a recovered machine in time. Jitter keeps
+    fronts from returning to it all at once. After the ejection it is on probation until one
+    request succeeds: it gets one request at a time, and any failure that counts ejects it again.
+    ``ejected_until`` is a monotonic time.
     """
 
-    failures_in_row: int = 0
-    ejections_in_row: int = 0
+    consecutive_failures: int = 0
+    consecutive_ejections: int = 0
     ejected_until: float = 0.0
 
     def is_ejected(self, now: float) -> bool:
-        """Return whether it gets no requests now."""
+        """Return whether the replica is ejected, so that it must get no requests now."""
         return now < self.ejected_until
 
     @property
     def on_probation(self) -> bool:
-        """Whether it has been ejected and has not succeeded since."""
-        return self.ejections_in_row > 0
+        """Whether the replica has been ejected and has had no success since."""
+        return self.consecutive_ejections > 0
 
     def succeeded(self) -> None:
-        """Forget all failures."""
-        self.failures_in_row = 0
-        self.ejections_in_row = 0
+        """Record a success, which ends ejection and probation."""
+        self.consecutive_failures = 0
+        self.consecutive_ejections = 0
         self.ejected_until = 0.0
 
     def failed(self, outcome: AttemptOutcome, now: float, random: Random) -> bool:
-        """Take a failure; return whether it ejects the replica."""
+        """Record a failure; return whether it ejects the replica.
+
+        Outcomes that are not in ``FAILURES_TO_EJECT`` don't count.
+        """
         needed = FAILURES_TO_EJECT.get(outcome)
         if needed is None:
             return False
-        self.failures_in_row += 1
+        self.consecutive_failures += 1
         if self.is_ejected(now):
             return False
-        if self.failures_in_row < needed and not self.on_probation:
+        if self.consecutive_failures < needed and not self.on_probation:
             return False
-        self.ejections_in_row += 1
-        doubled = FIRST_EJECTION_S * 2 ** (min(self.ejections_in_row, 10) - 1)
+        self.consecutive_ejections += 1
+        doubled = INITIAL_EJECTION_S * 2 ** (min(self.consecutive_ejections, 10) - 1)
         jitter = random.uniform(1 - EJECTION_JITTER, 1 + EJECTION_JITTER)
-        self.ejected_until = now + min(doubled, LONGEST_EJECTION_S) * jitter
-        self.failures_in_row = 0
+        self.ejected_until = now + min(doubled, MAX_EJECTION_S) * jitter
+        self.consecutive_failures = 0
         return True
--- a/rooklug/front/once_only/backend.py
+++ b/rooklug/front/once_only/backend.py
@@ -1,10 +1,10 @@
-"""The one request of an attempt to a back end, and what the answer to it is worth."""
+"""Builds the request of an attempt to a back end, and checks the back end's response."""
 
 import json
 
 from rooklug.engine import effects as fx
 from rooklug.front.once_only.attempt import Attempt
-from rooklug.front.once_only.limits import CONNECT_DEADLINE_S, LATE_RESULT_S
+from rooklug.front.once_only.limits import CONNECT_DEADLINE_S, LATE_RESULT_ALLOWANCE_S
 from rooklug.front.once_only.requests import KEY_HEADER
 from rooklug.front.requests import DEADLINE_HEADER, REQUEST_ID_HEADER
 from rooklug.wire.generated.control.ttypes import ListedReplica
@@ -13,10 +13,10 @@
 
 
 def backend_call(call_id: int, replica: ListedReplica, attempt: Attempt, now: float) -> fx.HttpCall:
-    """Return the only request of an attempt to a back end.
+    """Return the call that writes the attempt's payload to a replica of the back end.
 
-    It may end after the caller's deadline, so that a repeat can have the result; it is not
-    sent after the deadline.
+    It is not sent after the caller's deadline, but may end later than that, so that a repeat of
+    the key can get the result.
     """
     head = attempt.head
     remaining_s = head.deadline - now
@@ -27,7 +27,7 @@
         method="POST",
         path=BACKEND_PATH,
         body=b'{"key":' + key + b',"payload":' + attempt.payload.data + b"}",
-        deadline_s=remaining_s + LATE_RESULT_S,
+        deadline_s=remaining_s + LATE_RESULT_ALLOWANCE_S,
         headers={
             "Content-Type": "application/json",
             REQUEST_ID_HEADER: head.request_id,
@@ -40,7 +40,10 @@
 
 
 def result_of(attempt: Attempt, status: int, body: bytes) -> bytes | None:
-    """Return the result as JSON, or None if this isn't the answer to this request."""
+    """Return the result as JSON; None if the response is not a valid one to this request.
+
+    A valid response has status 200 and repeats the request id and the key.
+    """
     if status != 200:
         return None
     try:
--- a/rooklug/front/once_only/shard_owner.py
+++ b/rooklug/front/once_only/shard_owner.py
@@ -1,7 +1,7 @@
 """The owner of one claim shard: decides which attempt may write a key.
 
-Under a new token it reads the stores before it decides anything, which also fences its
-predecessor. A claim is granted once a quorum of stores has recorded it.
+With a new fencing token it first reads a quorum of claim stores, which also fences off its
+predecessor. It grants a claim once a quorum of stores has recorded it.
 """
 
 from enum import Enum
@@ -11,7 +11,7 @@
 from rooklug.distribution.core_link import CoreLink
 from rooklug.engine import effects as fx
 from rooklug.front.once_only.claims import role_key_of, same_attempt
-from rooklug.front.once_only.front_claim_recovery import FrontInquiry
+from rooklug.front.once_only.front_claim_recovery import FrontClaimCollector
 from rooklug.front.once_only.limits import (
     DAMAGED_STORE_CHECK_S,
     STORE_CHECK_S,
@@ -28,11 +28,11 @@
 )
 from rooklug.wire.generated.control.ttypes import VersionMark
 
-FORGET_AFTER_S = 60.0
+FREE_TABLE_AFTER_S = 60.0
 
 
 class Phase(Enum):
-    """What an owner is doing."""
+    """Phase of an owner under its present token. Claims are decided only in READY."""
 
     IDLE = "never granted"
     QUERYING_STORES = "querying the stores"
@@ -43,7 +43,11 @@
 
 
 class ClaimOutcome:
-    """Outcomes of a ``ClaimAnswer``."""
+    """Outcomes of a ``ClaimAnswer``; the values go over the wire.
+
+    ``CLAIMED_BY_OTHER`` answers carry the other attempt's claim. ``NOT_RECORDED``: too few stores
+    have recorded the claim; the request may be repeated.
+    """
 
     RUN = "run"
     CLAIMED_BY_OTHER = "held"
@@ -54,7 +58,7 @@
 
 @attrs.define
 class _Recording:
-    """A claim on its way to the stores, and the calls that wait for it."""
+    """A claim that is being recorded by the stores, and the calls that wait for the outcome."""
 
     claim: ClaimRecord
     waiting: list[int]
@@ -63,7 +67,11 @@
 
 
 class ShardOwner:
-    """One shard. ``core_link`` knows whether this node's grant is valid."""
+    """Owner state of one shard; decides only while ``core_link`` holds a valid grant of the role.
+
+    ``handle_grant`` starts it; from then on ``tick`` is called by a timer while the grant is valid,
+    and ``free_table`` once it has been invalid for ``FREE_TABLE_AFTER_S``.
+    """
 
     def __init__(
         self, shard: int, core_link: CoreLink, calls: PendingCalls, store_addresses: tuple[str, ...]
@@ -75,60 +83,63 @@
         self._role_key = role_key_of(shard)
         self._core_link = core_link
         self._stores = ShardStores(
-            shard, store_addresses, calls, self._heard_of_store, self._fenced
+            shard, store_addresses, calls, self._on_store_answered, self._on_fenced
         )
-        self._inquiry = FrontInquiry(shard, core_link, calls)
+        self._front_claims = FrontClaimCollector(shard, core_link, calls)
         self._token: VersionMark | None = None
         self._sequence = 0
         self._recordings: dict[bytes, _Recording] = {}
         self._ticking = False
 
-    # Grants and ticks --------------------------------------------------------------------
+    # Grants and timers -------------------------------------------------------------------
 
-    def take_grant(self, token: VersionMark, now: float) -> list[fx.Effect]:
-        """Begin under a new token, or go on under the same one."""
+    def handle_grant(self, token: VersionMark, now: float) -> list[fx.Effect]:
+        """Start over under a new token, or continue under the same one; starts the tick timer."""
         effects: list[fx.Effect] = []
         if token != self._token:
-            effects += self._begin(token)
+            effects += self._begin_term(token)
         if self._ticking:
             return effects
         self._ticking = True
         return effects + self.tick(now)
 
     def tick(self, now: float) -> list[fx.Effect]:
-        """Do what is due, and again after a while."""
+        """Do the work of the present phase and restart the timer.
+
+        Without a valid grant, a timer to free the table is started instead.
+        """
         if not self._may_decide(now):
             self._ticking = False
-            return [fx.StartTimer(self._timer("forget"), FORGET_AFTER_S)]
-        effects = self._due(now)
+            return [fx.StartTimer(self._timer("forget"), FREE_TABLE_AFTER_S)]
+        effects = self._run_phase(now)
         return [*effects, fx.StartTimer(self._timer("tick"), self._tick_delay_s())]
 
-    def forget(self, now: float) -> list[fx.Effect]:
-        """Free the table when the role has been elsewhere for a while."""
+    def free_table(self, now: float) -> list[fx.Effect]:
+        """Free the table, unless the role has been granted again."""
         if not self._may_decide(now):
             self.table = ShardTable()
             self.phase = Phase.IDLE
             self._token = None
         return []
 
-    def _due(self, now: float) -> list[fx.Effect]:
+    def _run_phase(self, now: float) -> list[fx.Effect]:
         until = self._grant_until(now)
         if self.phase is Phase.QUERYING_STORES:
             return self._stores.read_unanswered(until)
         if self.phase is Phase.RECOVERING:
-            return [*self._inquiry.request_claims(until), *self._recover(now)]
+            return [*self._front_claims.request_claims(until), *self._recover(now)]
         if self.phase is Phase.RESTORING:
-            return self._stores.restore_blank(self.table.encoded, until)
+            return self._stores.restore_damaged(self.table.encoded, until)
         if self.phase is Phase.READY:
             return self._stores.check(self.table.encoded, self._grant_until, now)
         return []
 
-    def _begin(self, token: VersionMark) -> list[fx.Effect]:
+    def _begin_term(self, token: VersionMark) -> list[fx.Effect]:
         effects = self._answer_all_waiting(ClaimOutcome.NOT_READY)
         self._token = token
         self._sequence = 0
-        self._stores.begin(token)
-        self._inquiry.reset()
+        self._stores.begin_token(token)
+        self._front_claims.reset()
         self.phase = Phase.QUERYING_STORES
         self._ticking = False
         return effects
@@ -151,7 +162,7 @@
 
     # Stores ------------------------------------------------------------------------------
 
-    def _heard_of_store(self, now: float) -> list[fx.Effect]:
+    def _on_store_answered(self, now: float) -> list[fx.Effect]:
         if self.phase is Phase.RESTORING and self._stores.has_quorum:
             self.phase = Phase.READY
         if self.phase is not Phase.QUERYING_STORES:
@@ -164,8 +175,8 @@
         if not views.all_answered:
             return []
         self.phase = Phase.RECOVERING
-        self._inquiry.begin(now, no_store_intact=views.intact_count == 0)
-        return [self._recovery_log(), *self._inquiry.request_claims(self._grant_until(now))]
+        self._front_claims.begin(now, no_store_intact=views.intact_count == 0)
+        return [self._recovery_log(), *self._front_claims.request_claims(self._grant_until(now))]
 
     def _recovery_log(self) -> fx.Log:
         intact = self._stores.views.intact_count
@@ -176,13 +187,13 @@
         return fx.Log("error", message, {"shard": self.shard, "intact": intact})
 
     def _recover(self, now: float) -> list[fx.Effect]:
-        if not self._inquiry.is_complete(now):
+        if not self._front_claims.is_complete(now):
             return []
-        self.table.merge([*self._stores.views.claims(), *self._inquiry.claims()])
+        self.table.merge([*self._stores.views.claims(), *self._front_claims.claims()])
         self.phase = Phase.RESTORING
-        return self._stores.restore_blank(self.table.encoded, self._grant_until(now))
+        return self._stores.restore_damaged(self.table.encoded, self._grant_until(now))
 
-    def _fenced(self) -> list[fx.Effect]:
+    def _on_fenced(self) -> list[fx.Effect]:
         self.phase = Phase.FENCED
         return self._answer_all_waiting(ClaimOutcome.NOT_OWNER)
 
@@ -194,7 +205,7 @@
     # Claims ------------------------------------------------------------------------------
 
     def claim(self, call_id: int, request: ClaimRequest, now: float) -> list[fx.Effect]:
-        """Decide one claim request."""
+        """Decide one claim request: answer now, or record the claim and answer later."""
         if not self._may_decide(now) or self.phase is Phase.FENCED:
             return [fx.Answer(call_id, ClaimAnswer(ClaimOutcome.NOT_OWNER))]
         if self.phase is not Phase.READY:
