--- a/tests/membership_measure.py
+++ b/tests/membership_measure.py
@@ -1,7 +1,7 @@
-"""Measures the costs of membership at the core.
+"""Measures the cost of membership at the core.
 
-Run ``PYTHONPATH=. .venv/bin/python -m tests.membership_measure``; it prints one JSON line a
-figure. Times are of the reducer with thrift encoding and decoding, without sockets.
+Run ``PYTHONPATH=. .venv/bin/python -m tests.membership_measure``; it prints one JSON line for each
+figure. Times include the reducer and thrift encoding and decoding, but no sockets.
 """
 
 import json
@@ -31,22 +31,22 @@
 
 
 def report(name: str, value: float, unit: str) -> None:
-    """Print one figure."""
+    """Print one figure as a JSON line."""
     print(json.dumps({"figure": name, "value": round(value, 2), "unit": unit}), flush=True)
 
 
 def median_s(run: Callable[[], None], rounds: int) -> float:
-    """Return the median duration of a run."""
+    """Return the median duration of ``rounds`` runs, in seconds."""
     durations = []
     for _ in range(rounds):
-        begin = perf_counter()
+        started_at = perf_counter()
         run()
-        durations.append(perf_counter() - begin)
+        durations.append(perf_counter() - started_at)
     return sorted(durations)[rounds // 2]
 
 
 def started_component() -> MembershipComponent:
-    """Return a primary with a lease."""
+    """Return the component of a core that is the primary with a valid lease."""
     node = NodeSettings("core-a", "core", "z", "r", "", "", "127.0.0.1:1", "", ())
     context = ProcessContext("core-a", "1", None, Identifiers())
     component = MembershipComponent(CoreSettings(node, {}), context)
@@ -66,20 +66,22 @@
 
 
 def poll(component: MembershipComponent, index: int, call_id: int) -> list[fx.Effect]:
-    """Deliver a poll of a node that holds the newest of everything."""
-    held = [ttypes.TopicMark(topic, component.state.store.version(topic)) for topic in ALL_TOPICS]
-    data = encode(ttypes.PollRequest(f"front-{index:03}", held, 10_000))
+    """Deliver a poll of a node that has the newest version of every topic."""
+    known_versions = [
+        ttypes.TopicMark(topic, component.state.store.version(topic)) for topic in ALL_TOPICS
+    ]
+    data = encode(ttypes.PollRequest(f"front-{index:03}", known_versions, 10_000))
     request = decode(ttypes.PollRequest, data).ok
     return component.handle(ev.CallArrived(call_id, "", request), NOW)
 
 
 def encode_answers(effects: list[fx.Effect]) -> int:
-    """Encode all answers, as the runtime does; return their bytes."""
+    """Encode all answers, as the runtime does; return their total size in bytes."""
     return sum(len(encode(e.answer)) for e in effects if isinstance(e, fx.Answer))
 
 
 def measure_renewals(component: MembershipComponent) -> None:
-    """Cost of a renewal, from bytes to bytes, at a core with 390 nodes."""
+    """Measure a renewal at a core with 390 nodes, from request bytes to answer bytes."""
     requests = [[renewal(i, 100 + n) for i in range(NODES)] for n in range(ROUNDS)]
     rounds = iter(requests)
 
@@ -92,37 +94,37 @@
 
 
 def measure_polls(component: MembershipComponent) -> None:
-    """Cost of parking a poll, its memory, and an empty answer when its time is over."""
+    """Measure the time and memory of a pending poll, and the empty answer when it times out."""
 
-    def park() -> None:
+    def poll_all() -> None:
         for index in range(NODES):
             poll(component, index, index)
 
-    park_s = median_s(park, ROUNDS)
-    report("poll parked (and an earlier one ended)", park_s / NODES * 1e6, "us")
+    poll_all_s = median_s(poll_all, ROUNDS)
+    report("poll parked (and an earlier one ended)", poll_all_s / NODES * 1e6, "us")
     component.state.polls.release_all()
     tracemalloc.start()
     before, _ = tracemalloc.get_traced_memory()
-    park()
+    poll_all()
     after, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     report("memory of a parked poll", (after - before) / NODES, "bytes")
-    begin = perf_counter()
+    started_at = perf_counter()
     encode_answers(component.state.poll_answers(component.state.polls.expire(NOW + 20), NOW))
-    report("poll answered empty", (perf_counter() - begin) / NODES * 1e6, "us")
+    report("poll answered empty", (perf_counter() - started_at) / NODES * 1e6, "us")
 
 
 def measure_change(component: MembershipComponent, name: str, change: Callable[[], list]) -> None:
-    """Cost of a change that goes to 390 parked polls."""
+    """Measure a change that is sent to 390 pending polls."""
     durations, sizes = [], []
     for _ in range(ROUNDS // 5):
         for index in range(NODES):
             poll(component, index, index)
-        begin = perf_counter()
+        started_at = perf_counter()
         effects = change()
         handled = perf_counter()
         size = encode_answers(effects)
-        durations.append((handled - begin, perf_counter() - handled))
+        durations.append((handled - started_at, perf_counter() - handled))
         sizes.append(size)
     reduce_s, encode_s = sorted(durations)[len(durations) // 2]
     report(f"{name} to {NODES} polls: reducer", reduce_s * 1e3, "ms")
@@ -131,7 +133,7 @@
 
 
 def document(routes: int, deadline: float) -> bytes:
-    """Return a configuration of so many routes as canonical JSON."""
+    """Return a configuration with ``routes`` routes as canonical JSON."""
     route = {
         "kind": "model", "model": "model-1", "latency_class": "chat", "priority": 1,
         "home_regions": ["cairo", "alexandria"], "tenant": "tenant-1",
@@ -142,21 +144,21 @@
 
 
 def measure_delta(routes: int) -> None:
-    """Sizes and times of a delta that changes one route."""
+    """Measure the size and time of a delta that changes one route."""
     base, target = document(routes, 1.5), document(routes, 2.5)
     report(f"{routes} routes: whole document", len(target), "bytes")
     (patch,) = make_deltas(DeltaTask((base,), target))
     body = ttypes.ConfigurationBody(2, sha256(target).hexdigest(), patch)
     update = ttypes.TopicUpdate(CONFIGURATION, VersionMark(3, 2), VersionMark(3, 1), encode(body))
     report(f"{routes} routes: delta as sent", len(encode(update)), "bytes")
-    made = median_s(lambda: make_deltas(DeltaTask((base, base), target)), 5)
-    report(f"{routes} routes: deltas made for two bases", made * 1e3, "ms")
+    make_s = median_s(lambda: make_deltas(DeltaTask((base, base), target)), 5)
+    report(f"{routes} routes: deltas made for two bases", make_s * 1e3, "ms")
     task = ApplyTask(base, patch, body.digest)
     report(f"{routes} routes: delta applied", median_s(lambda: apply_delta(task), 5) * 1e3, "ms")
 
 
 def main() -> int:
-    """Print all figures."""
+    """Run all measurements."""
     component = started_component()
     for index in range(NODES):
         request = decode(ttypes.RenewLeaseRequest, renewal(index, 1)).ok
--- a/tests/membership_world.py
+++ b/tests/membership_world.py
@@ -1,4 +1,9 @@
-"""Cores and nodes of membership tests in virtual time, with a scripted fake of replication."""
+"""Simulated cores and nodes for membership tests, in virtual time.
+
+Messages can be delayed or lost, processes killed, frozen or partitioned, and clocks run at
+different rates. A scripted fake stands in for replication. ``World.violations`` collects broken
+invariants.
+"""
 
 import heapq
 from collections.abc import Callable
@@ -23,49 +28,53 @@
 from rooklug.wire.codec import decode, encode
 from rooklug.wire.generated.control import ttypes
 
-RATES = (0.99, 1.0, 1.01)
+CLOCK_RATES = (0.99, 1.0, 1.01)
+"""Seconds of a process's monotonic clock for each second of virtual time."""
+
 CORES = ("core-a", "core-b", "core-c")
 ZONES = ("zone-a", "zone-b", "zone-c")
 
 
 @attrs.frozen
-class Tell:
-    """Makes the fake replication emit events."""
+class EmitEventsRequest:
+    """A request that makes ``FakeReplication`` emit the given events."""
 
     events: tuple[InternalEvent, ...]
 
 
 class FakeReplication(BaseComponent):
+    """Stands in for replication in a core: it emits the events that a test sends it."""
+
     name = "replication"
-    call_types = (Tell,)
+    call_types = (EmitEventsRequest,)
 
     def handle(self, event: ev.Event, now: float) -> list[fx.Effect]:
-        told = event.request.events if isinstance(event, ev.CallArrived) else ()
-        return [EmitEvent(event) for event in told]
+        emitted = event.request.events if isinstance(event, ev.CallArrived) else ()
+        return [EmitEvent(event) for event in emitted]
 
 
 class Observer(BaseComponent):
-    """Publishes plans while it is the placer, and notes what a node's other parts see."""
+    """Publishes plans while its node owns the placer role, and records all internal events."""
 
     name = "observer"
     subscribes_to = (internal.TopicChanged, internal.GrantsChanged, InternalEvent)
 
     def __init__(self, link: CoreLink) -> None:
         self.link = link
-        self.marks: dict[str, ttypes.VersionMark] = {}
-        self.slid_back: list[str] = []
-        self.heard: list[InternalEvent] = []
+        self.versions: dict[str, ttypes.VersionMark] = {}
+        self.version_regressions: list[str] = []
+        self.internal_events: list[InternalEvent] = []
         self.plans = 0
 
     def handle(self, event: ev.Event, now: float) -> list[fx.Effect]:
         if not isinstance(event, InternalEvent):
             return [fx.StartTimer("plan", 0.7), *self._publish(now)]
-        self.heard.append(event)
+        self.internal_events.append(event)
         if isinstance(event, internal.TopicChanged):
-            held = self.marks.get(event.topic)
-            if held is not None and not is_newer(event.version, held):
-                self.slid_back.append(f"{event.topic} {held} -> {event.version}")
-            self.marks[event.topic] = event.version
+            previous = self.versions.get(event.topic)
+            if previous is not None and not is_newer(event.version, previous):
+                self.version_regressions.append(f"{event.topic} {previous} -> {event.version}")
+            self.versions[event.topic] = event.version
         return []
 
     def _publish(self, now: float) -> list[fx.Effect]:
@@ -79,13 +88,18 @@
 
 @attrs.define
 class Process:
+    """A simulated process. Events for a frozen one wait in ``deferred_events``.
+
+    ``timers`` holds the id of the running timer of each name.
+    """
+
     name: str
     address: str
     reducer: CompositeReducer
-    rate: float
+    clock_rate: float
     alive: bool = True
     frozen: bool = False
-    waiting: list = attrs.field(factory=list)
+    deferred_events: list = attrs.field(factory=list)
     timers: dict[str, int] = attrs.field(factory=dict)
     calls: dict[int, bool] = attrs.field(factory=dict)
 
@@ -96,17 +110,21 @@
 
 
 class World:
-    """A network of processes. ``loss``: share of messages that vanish."""
+    """A network of simulated processes.
+
+    ``loss_rate`` is the share of messages that are lost, ``max_delay_s`` the longest delay of a
+    message. Processes in ``partitioned`` neither send nor receive any.
+    """
 
-    def __init__(self, seed: int, loss: float = 0.0, max_delay: float = 0.04) -> None:
+    def __init__(self, seed: int, loss_rate: float = 0.0, max_delay_s: float = 0.04) -> None:
         self.random = Random(seed)
-        self.loss = loss
-        self.max_delay = max_delay
+        self.loss_rate = loss_rate
+        self.max_delay_s = max_delay_s
         self.time = 1.0
         self.processes: dict[str, Process] = {}
         self.links: dict[str, CoreLink] = {}
         self.observers: dict[str, Observer] = {}
-        self.cut: set[str] = set()
+        self.partitioned: set[str] = set()
         self.violations: list[str] = []
         self.primary = ""
         self.epoch = 0
@@ -114,19 +132,19 @@
         self.committed: internal.ConfigurationCommitted | None = None
         self.zones: internal.ZonesCommitted | None = None
         self.bytes_answered = 0
-        self._told_until = 0.0
+        self._primary_lease_until = 0.0
         self._tokens: dict[str, ttypes.VersionMark] = {}
         self._queue: list[tuple] = []
-        self._order = count()
+        self._event_order = count()
         self._calls: dict[int, tuple[Process, int]] = {}
         self._ids = count(1)
         self.seeds = tuple(f"{name}:1" for name in CORES)
         for name in CORES:
             self._add_core(name)
         self.at(0.0, self._heartbeat)
-        self.at(0.0, self._watch)
+        self.at(0.0, self._check_invariants)
 
-    # Set-up ------------------------------------------------------------------------------
+    # Setup -------------------------------------------------------------------------------
 
     def _add_core(self, name: str) -> None:
         node = node_settings(name, "core", ZONES[CORES.index(name)], self.seeds)
@@ -163,47 +181,47 @@
         return ProcessContext(name, f"{name}/{incarnation}", Random(seed), Identifiers())
 
     def _start(self, name: str, reducer: CompositeReducer) -> None:
-        rate = self.random.choice(RATES)
-        self.processes[name] = Process(name, f"{name}:1", reducer, rate)
+        clock_rate = self.random.choice(CLOCK_RATES)
+        self.processes[name] = Process(name, f"{name}:1", reducer, clock_rate)
         self.deliver(self.processes[name], ev.Started())
 
     # Time and delivery -------------------------------------------------------------------
 
     def at(self, delay: float, action: Callable[[], None]) -> None:
-        heapq.heappush(self._queue, (self.time + delay, next(self._order), action))
+        heapq.heappush(self._queue, (self.time + delay, next(self._event_order), action))
 
-    def run(self, duration: float) -> None:
-        end = self.time + duration
+    def run(self, duration_s: float) -> None:
+        end = self.time + duration_s
         while self._queue and self._queue[0][0] <= end:
             self.time, _, action = heapq.heappop(self._queue)
             action()
         self.time = end
 
-    def run_until(self, condition: Callable[[], bool], limit: float) -> float:
-        """Run until the condition holds; return how long it took, or infinity."""
+    def run_until(self, condition: Callable[[], bool], limit_s: float) -> float:
+        """Run until the condition holds; return the virtual seconds taken, or infinity."""
         begin = self.time
         while not condition():
-            if self.time - begin > limit:
+            if self.time - begin > limit_s:
                 return float("inf")
             self.run(0.02)
         return self.time - begin
 
     def now(self, process: Process) -> float:
-        return self.time * process.rate
+        return self.time * process.clock_rate
 
     def deliver(self, process: Process, event: ev.Event) -> None:
         if not process.alive or self.processes.get(process.name) is not process:
             return
         if process.frozen:
-            process.waiting.append(event)
+            process.deferred_events.append(event)
             return
         ends_a_call = isinstance(event, ev.CallAnswered | ev.CallFailed)
         if ends_a_call and process.calls.pop(event.call_id, None) is None:
             return
         for effect in process.reducer.handle(event, self.now(process)):
-            self._obey(process, effect)
+            self._execute(process, effect)
 
-    def _obey(self, process: Process, effect: fx.Effect) -> None:
+    def _execute(self, process: Process, effect: fx.Effect) -> None:
         if isinstance(effect, fx.StartTimer):
             self._set_timer(process, effect)
         elif isinstance(effect, fx.CancelTimer):
@@ -217,26 +235,26 @@
             self.at(self._delay(), lambda: self.deliver(process, done))
 
     def _set_timer(self, process: Process, effect: fx.StartTimer) -> None:
-        mark = next(self._ids)
-        process.timers[effect.name] = mark
+        timer_id = next(self._ids)
+        process.timers[effect.name] = timer_id
 
         def fire() -> None:
-            if process.timers.get(effect.name) == mark:
+            if process.timers.get(effect.name) == timer_id:
                 del process.timers[effect.name]
                 self.deliver(process, ev.TimerFired(effect.name))
 
-        self.at(effect.delay_s / process.rate, fire)
+        self.at(effect.delay_s / process.clock_rate, fire)
 
     def _lost(self, process: Process) -> bool:
-        return process.name in self.cut or self.random.random() < self.loss
+        return process.name in self.partitioned or self.random.random() < self.loss_rate
 
     def _delay(self) -> float:
-        return self.random.uniform(0.001, self.max_delay)
+        return self.random.uniform(0.001, self.max_delay_s)
 
     def _send(self, process: Process, call: fx.Call) -> None:
         process.calls[call.call_id] = True
         failed = ev.CallFailed(call.call_id, "deadline", True)
-        self.at(call.deadline_s / process.rate, lambda: self.deliver(process, failed))
+        self.at(call.deadline_s / process.clock_rate, lambda: self.deliver(process, failed))
         target = self.processes.get(call.address.removesuffix(":1"))
         if target is None or not target.alive:
             refused = ev.CallFailed(call.call_id, "refused", False)
@@ -261,8 +279,8 @@
             answered = ev.CallAnswered(call_id, answer)
             self.at(self._delay(), lambda: self.deliver(caller, answered))
 
-    def ask(self, name: str, request: Any) -> list[Any]:
-        """Return the answers that a process gives to a call at once."""
+    def request_answers(self, name: str, request: Any) -> list[Any]:
+        """Return the answers that a process gives to a request immediately."""
         process = self.processes[name]
         event = ev.CallArrived(next(self._ids), "test:1", request)
         effects = process.reducer.handle(event, self.now(process))
@@ -273,91 +291,93 @@
     def kill(self, name: str) -> None:
         self.processes[name].alive = False
 
-    def freeze(self, name: str, duration: float) -> None:
+    def freeze(self, name: str, duration_s: float) -> None:
         process = self.processes[name]
         process.frozen = True
 
-        def thaw() -> None:
+        def resume() -> None:
             process.frozen = False
-            waiting, process.waiting = process.waiting, []
-            self.random.shuffle(waiting)
-            for event in waiting:
+            deferred_events, process.deferred_events = process.deferred_events, []
+            self.random.shuffle(deferred_events)
+            for event in deferred_events:
                 self.deliver(process, event)
 
-        self.at(duration, thaw)
+        self.at(duration_s, resume)
 
-    # Replication, as scripted ------------------------------------------------------------
+    # Scripted replication ----------------------------------------------------------------
 
-    def tell(self, name: str, *told: InternalEvent) -> None:
-        self.deliver(self.processes[name], ev.CallArrived(next(self._ids), "", Tell(told)))
+    def emit(self, name: str, *events: InternalEvent) -> None:
+        self.deliver(
+            self.processes[name], ev.CallArrived(next(self._ids), "", EmitEventsRequest(events))
+        )
 
-    def is_up(self, name: str) -> bool:
+    def is_reachable(self, name: str) -> bool:
         process = self.processes[name]
-        return process.alive and not process.frozen and name not in self.cut
+        return process.alive and not process.frozen and name not in self.partitioned
 
     def _heartbeat(self) -> None:
         self.at(PRIMARY_HEARTBEAT_S, self._heartbeat)
-        if self.primary and self.is_up(self.primary):
+        if self.primary and self.is_reachable(self.primary):
             now = self.now(self.processes[self.primary])
-            self._told_until = self.time + PRIMARY_LEASE_S / min(RATES)
+            self._primary_lease_until = self.time + PRIMARY_LEASE_S / min(CLOCK_RATES)
             lease = internal.PrimaryLeaseExtended(self.epoch, now + PRIMARY_LEASE_S)
-            self.tell(self.primary, lease)
-        elif self.time >= self._told_until:
+            self.emit(self.primary, lease)
+        elif self.time >= self._primary_lease_until:
             self._elect()
         known = internal.PrimaryKnown(self.epoch, f"{self.primary}:1" if self.primary else "")
         for name in CORES:
-            if self.is_up(name):
-                self.tell(name, known)
+            if self.is_reachable(name):
+                self.emit(name, known)
 
     def _elect(self) -> None:
-        candidates = [name for name in CORES if self.is_up(name)]
+        candidates = [name for name in CORES if self.is_reachable(name)]
         if not candidates:
             return
         if self.primary:
-            self.tell(self.primary, internal.PrimaryStopped("another primary"))
+            self.emit(self.primary, internal.PrimaryStopped("another primary"))
         self.primary = self.random.choice(candidates)
         self.epoch += 1
-        self.tell(self.primary, internal.PrimaryStarted(self.epoch))
+        self.emit(self.primary, internal.PrimaryStarted(self.epoch))
         for commit in (self.committed, self.zones):
             if commit is not None:
-                self.tell(self.primary, commit)
+                self.emit(self.primary, commit)
 
     def hand_over(self) -> None:
-        """The primary stops by itself; its successor starts at once."""
-        self.tell(self.primary, internal.PrimaryStopped("hand-over"))
-        self._told_until = self.time
+        """Stop the primary; its successor starts immediately."""
+        self.emit(self.primary, internal.PrimaryStopped("hand-over"))
+        self._primary_lease_until = self.time
         self.primary = ""
         self._elect()
 
     def change_view(self) -> None:
-        """The primary goes on in a view of a higher epoch."""
+        """Continue with the same primary in a view of a higher epoch."""
         self.epoch += 1
         now = self.now(self.processes[self.primary])
         started = internal.PrimaryStarted(self.epoch)
-        self.tell(
+        self.emit(
             self.primary,
             started,
             internal.PrimaryLeaseExtended(self.epoch, now + PRIMARY_LEASE_S),
         )
-        self._told_until = self.time + PRIMARY_LEASE_S / min(RATES)
+        self._primary_lease_until = self.time + PRIMARY_LEASE_S / min(CLOCK_RATES)
 
     def commit(self, document: bytes, digest: str = "") -> None:
         self.version += 1
         body = ttypes.ConfigurationBody(self.version, digest, document)
-        mark = ttypes.VersionMark(self.epoch, self.version)
-        self.committed = internal.ConfigurationCommitted(mark, body)
-        self.tell(self.primary, self.committed)
+        version = ttypes.VersionMark(self.epoch, self.version)
+        self.committed = internal.ConfigurationCommitted(version, body)
+        self.emit(self.primary, self.committed)
 
-    def empty_zones(self, *zones: str) -> None:
+    def drain_zones(self, *zones: str) -> None:
         counter = self.zones.version.counter + 1 if self.zones else 1
-        mark = ttypes.VersionMark(self.epoch, counter)
-        self.zones = internal.ZonesCommitted(mark, ttypes.ZonesBody(list(zones)))
-        self.tell(self.primary, self.zones)
+        version = ttypes.VersionMark(self.epoch, counter)
+        self.zones = internal.ZonesCommitted(version, ttypes.ZonesBody(list(zones)))
+        self.emit(self.primary, self.zones)
 
-    # Oracles -----------------------------------------------------------------------------
+    # Invariants --------------------------------------------------------------------------
 
-    def holders(self, role_key: str) -> dict[str, ttypes.VersionMark]:
-        """Return the live processes that think that they hold a role, with their tokens."""
+    def owners(self, role_key: str) -> dict[str, ttypes.VersionMark]:
+        """Return the live processes that hold a valid grant of a role by their own clocks."""
         found = {}
         for name, link in self.links.items():
             process = self.processes[name]
@@ -366,19 +386,21 @@
                 found[name] = grant.token
         return found
 
-    def _watch(self) -> None:
-        self.at(0.02, self._watch)
+    def _check_invariants(self) -> None:
+        self.at(0.02, self._check_invariants)
         keys = [ROLE_PLACER, "platform-watcher"]
         keys += [f"prober/{i}" for i in range(4)] + [f"claims/{i}" for i in range(16)]
         for key in keys:
-            holders = self.holders(key)
-            if len(holders) > 1:
-                self.violations.append(f"{self.time:.2f}: {key} has holders {holders}")
-            for token in holders.values():
+            owners = self.owners(key)
+            if len(owners) > 1:
+                self.violations.append(f"{self.time:.2f}: {key} has owners {owners}")
+            for token in owners.values():
                 highest = self._tokens.setdefault(key, token)
                 if version_key(token) < version_key(highest):
                     self.violations.append(f"{self.time:.2f}: {key} token {token} < {highest}")
                 self._tokens[key] = max(token, highest, key=version_key)
 
-    def slid_back(self) -> list[str]:
-        return [entry for observer in self.observers.values() for entry in observer.slid_back]
+    def version_regressions(self) -> list[str]:
+        return [
+            entry for observer in self.observers.values() for entry in observer.version_regressions
+        ]
--- a/tests/test_distribution_core_link.py
+++ b/tests/test_distribution_core_link.py
@@ -1,4 +1,4 @@
-"""The core link on its own: what it sends, and what it makes of the answers."""
+"""The core link on its own: the calls that it sends, and how it handles the answers."""
 
 import unittest
 from random import Random
@@ -31,7 +31,7 @@
     return [call for call in found if isinstance(call.request, request_type)]
 
 
-def told(effects: list[fx.Effect], event_type: type) -> list[Any]:
+def emitted_events(effects: list[fx.Effect], event_type: type) -> list[Any]:
     events = [effect.event for effect in effects if isinstance(effect, EmitEvent)]
     return [event for event in events if isinstance(event, event_type)]
 
@@ -42,7 +42,7 @@
     return TopicUpdate(CONFIGURATION, VersionMark(3, counter), patch_base, encode(body))
 
 
-class LinkCase(unittest.TestCase):
+class CoreLinkTestCase(unittest.TestCase):
     def setUp(self) -> None:
         settings = node_settings("controller-1", "controller", "z1", SEEDS)
         context = ProcessContext("controller-1", "i1", Random(1), Identifiers())
@@ -68,63 +68,65 @@
         return self.answer(call, answer, now)
 
 
-class LeaseTest(LinkCase):
-    def test_validity_counts_from_the_send(self) -> None:
+class LeaseTest(CoreLinkTestCase):
+    def test_validity_counts_from_the_send_time(self) -> None:
         self.grant(self.renew(10.0), 10.7, GRANT)
         self.assertTrue(self.link.connected_at(12.99))
         self.assertFalse(self.link.connected_at(13.0))
         self.assertEqual(self.link.grant_until(ROLE_PLACER, 11.0), 13.0)
         self.assertIsNone(self.link.grant(ROLE_PLACER, 13.0))
 
-    def test_a_process_that_was_frozen_has_no_grants_before_it_acts(self) -> None:
+    def test_suspended_process_drops_expired_grants_before_it_acts(self) -> None:
         self.grant(self.renew(10.0), 10.1, GRANT)
         late = self.renew(11.0)
         effects = self.grant(late, 31.0, GRANT)
-        self.assertEqual(told(effects, GrantsChanged)[0].grants, ())
+        self.assertEqual(emitted_events(effects, GrantsChanged)[0].grants, ())
         self.assertIsNone(self.link.grant(ROLE_PLACER, 31.0))
         self.assertFalse(self.link.connected)
 
-    def test_grants_left_out_end_and_the_core_learns_soon(self) -> None:
+    def test_grant_left_out_of_an_answer_ends_and_is_reported_soon(self) -> None:
         self.grant(self.renew(10.0), 10.1, GRANT)
         effects = self.grant(self.renew(11.0), 11.1)
-        self.assertEqual(told(effects, GrantsChanged), [GrantsChanged(())])
+        self.assertEqual(emitted_events(effects, GrantsChanged), [GrantsChanged(())])
         delays = [e.delay_s for e in effects if isinstance(e, fx.StartTimer) and e.name == "renew"]
         self.assertLess(delays[0], 0.1)
 
-    def test_an_answer_of_an_older_epoch_counts_for_nothing(self) -> None:
+    def test_answer_of_an_older_epoch_is_ignored(self) -> None:
         self.grant(self.renew(10.0), 10.1, GRANT)
         self.grant(self.renew(11.0), 11.1, epoch=2)
         self.assertEqual(self.link.grant_until(ROLE_PLACER, 11.2), 13.0)
 
-    def test_leaving_gives_everything_back_first(self) -> None:
+    def test_stopping_node_releases_lease_and_grants(self) -> None:
         self.grant(self.renew(10.0), 10.1, GRANT)
         effects = self.link.handle(ev.StopRequested(), 10.5)
         self.assertIsNone(self.link.grant(ROLE_PLACER, 10.5))
-        self.assertEqual(told(effects, GrantsChanged), [GrantsChanged(())])
+        self.assertEqual(emitted_events(effects, GrantsChanged), [GrantsChanged(())])
         call = calls(effects, ttypes.RenewLeaseRequest)[0]
         self.assertTrue(call.request.leaving)
-        self.assertEqual(told(self.grant(call, 10.6), LeaseReleased), [LeaseReleased(True)])
+        self.assertEqual(
+            emitted_events(self.grant(call, 10.6), LeaseReleased), [LeaseReleased(True)]
+        )
 
-    def test_a_leaving_process_follows_the_topics_to_its_end(self) -> None:
+    def test_stopping_node_keeps_polling(self) -> None:
         poll = self.poll(9.0)
         self.link.handle(ev.StopRequested(), 10.0)
         self.assertEqual(self.link.handle(RenewalRequested(), 10.1), [])
         zones = TopicUpdate(ZONES, VersionMark(3, 1), None, encode(ttypes.ZonesBody(["z"])))
         effects = self.updates(poll, 10.2, zones)
-        self.assertEqual(len(told(effects, TopicChanged)), 1)
+        self.assertEqual(len(emitted_events(effects, TopicChanged)), 1)
         self.assertEqual(len(calls(effects, ttypes.PollRequest)), 1)
 
-    def test_leaving_ends_though_nobody_answers(self) -> None:
+    def test_release_gives_up_without_an_answer(self) -> None:
         call = calls(self.link.handle(ev.StopRequested(), 1.0), ttypes.RenewLeaseRequest)[0]
         events: list[LeaseReleased] = []
         for attempt in range(3):
             failed = ev.CallFailed(call.call_id, "deadline", True)
-            events += told(self.link.handle(failed, 2.0 + attempt), LeaseReleased)
+            events += emitted_events(self.link.handle(failed, 2.0 + attempt), LeaseReleased)
             if not events:
                 call = self.renew(2.5 + attempt)
         self.assertEqual(events, [LeaseReleased(False)])
 
-    def test_a_flag_that_changes_is_told_at_once(self) -> None:
+    def test_changed_flag_is_reported_immediately(self) -> None:
         self.grant(self.renew(10.0), 10.1)
         (effect,) = self.link.set_draining(True)
         call = calls(self.link.handle(effect.event, 10.2), ttypes.RenewLeaseRequest)[0]
@@ -132,23 +134,23 @@
         self.assertEqual(self.link.set_draining(True), [])
 
 
-class TopicTest(LinkCase):
+class TopicTest(CoreLinkTestCase):
     def setUp(self) -> None:
         super().setUp()
         self.old = canonical_bytes({"a": 1, "filling": "x" * 50})
         self.new = canonical_bytes({"a": 2, "filling": "x" * 50})
 
-    def test_an_older_body_is_never_taken(self) -> None:
+    def test_older_body_is_never_applied(self) -> None:
         self.updates(self.poll(1.0), 1.1, configuration(2, self.new))
         effects = self.updates(self.poll(2.0), 2.1, configuration(1, self.old))
-        self.assertEqual(told(effects, TopicChanged), [])
+        self.assertEqual(emitted_events(effects, TopicChanged), [])
         self.assertEqual(self.link.body(CONFIGURATION).document, self.new)
 
     def delta(self, patch: bytes) -> TopicUpdate:
         body = ttypes.ConfigurationBody(2, digest(self.new), patch)
         return TopicUpdate(CONFIGURATION, VersionMark(3, 2), VersionMark(3, 1), encode(body))
 
-    def take_delta(self, patch: bytes) -> list[fx.Effect]:
+    def apply_delta_update(self, patch: bytes) -> list[fx.Effect]:
         self.updates(self.poll(1.0), 1.1, configuration(1, self.old))
         effects = self.updates(self.poll(2.0), 2.1, self.delta(patch))
         (compute,) = [e for e in effects if isinstance(e, fx.Compute)]
@@ -156,22 +158,22 @@
         result = compute.function(compute.argument)
         return self.link.handle(ev.Computed(compute.ticket, result), 2.2)
 
-    def test_a_delta_gives_the_document_to_the_byte(self) -> None:
-        effects = self.take_delta(b'{"a":2}')
-        self.assertEqual(told(effects, TopicChanged)[0].body.document, self.new)
+    def test_delta_reproduces_the_document_exactly(self) -> None:
+        effects = self.apply_delta_update(b'{"a":2}')
+        self.assertEqual(emitted_events(effects, TopicChanged)[0].body.document, self.new)
         held = calls(effects, ttypes.PollRequest)[0].request.held[0].version
         self.assertEqual(held, VersionMark(3, 2))
 
-    def test_after_a_wrong_delta_the_whole_is_asked_for(self) -> None:
-        effects = self.take_delta(b'{"a":3}')
-        self.assertEqual(told(effects, TopicChanged), [])
+    def test_wrong_delta_requests_the_full_body(self) -> None:
+        effects = self.apply_delta_update(b'{"a":3}')
+        self.assertEqual(emitted_events(effects, TopicChanged), [])
         poll = calls(effects, ttypes.PollRequest)[0]
         self.assertEqual(poll.request.held[0].version, VersionMark(0, 0))
         self.assertEqual(self.link.body(CONFIGURATION).document, self.old)
         self.updates(poll, 2.3, configuration(2, self.new))
         self.assertEqual(self.link.body(CONFIGURATION).document, self.new)
 
-    def test_members_come_as_deltas_against_what_is_held(self) -> None:
+    def test_members_delta_applies_only_to_its_base(self) -> None:
         whole = ttypes.MembersBody([], [ttypes.RoleOwner("k", "a", "i", VersionMark(3, 1))])
         gone = ttypes.MembersDelta([], [], [], ["k"])
         first = TopicUpdate(MEMBERS, VersionMark(3, 1), None, encode(whole))
@@ -183,47 +185,49 @@
         self.assertIsNone(self.link.role_owner("k"))
         self.updates(self.poll(3.0), 3.1, misfit)
         self.assertEqual(self.link.version(MEMBERS), VersionMark(3, 3))
-        held = {mark.topic: mark.version for mark in self.poll(4.0).request.held}
+        held = {entry.topic: entry.version for entry in self.poll(4.0).request.held}
         self.assertEqual(held[MEMBERS], VersionMark(0, 0))
 
-    def test_a_poll_that_should_have_been_answered_is_sent_again(self) -> None:
+    def test_overdue_poll_is_sent_again(self) -> None:
         self.poll(1.0)
         call = self.renew(2.0)
         newest = [ttypes.TopicMark(CONFIGURATION, VersionMark(3, 5))]
         answer = ttypes.RenewLeaseAnswer(True, 3000, [], 3, call.address, newest)
         self.assertEqual(len(calls(self.answer(call, answer, 2.1), ttypes.PollRequest)), 1)
 
-    def test_an_early_empty_answer_asks_for_a_renewal_and_is_paced(self) -> None:
+    def test_early_empty_answer_renews_and_delays_the_next_poll(self) -> None:
         effects = self.updates(self.poll(1.0), 1.1)
-        self.assertEqual(len(told(effects, RenewalRequested)), 1)
+        self.assertEqual(len(emitted_events(effects, RenewalRequested)), 1)
         self.assertEqual(calls(effects, ttypes.PollRequest), [])
         effects = self.updates(self.poll(2.0), 12.0)
         self.assertEqual(len(calls(effects, ttypes.PollRequest)), 1)
 
-    def test_a_body_that_cannot_be_read_is_not_asked_for_in_a_hot_loop(self) -> None:
+    def test_unreadable_body_delays_the_next_poll(self) -> None:
         bad = TopicUpdate(PLAN, VersionMark(3, 1), None, b"\xff\xff")
         effects = self.updates(self.poll(1.0), 1.1, bad)
         self.assertEqual(calls(effects, ttypes.PollRequest), [])
         self.assertTrue(any(isinstance(e, fx.StartTimer) and e.name == "poll" for e in effects))
 
 
-class PublishTest(LinkCase):
+class PublishTest(CoreLinkTestCase):
     def publish(self, now: float, version: int) -> list[fx.Effect]:
         body = ttypes.PlanBody(version, [], [], "test")
         record = ttypes.DecisionRecord(None, None, "plan", "c", f"plan {version}", 0)
         effects = self.link.publish(PLAN, ROLE_PLACER, body, [record], now)
         sent = [self.link.handle(e.event, now) for e in effects if isinstance(e, EmitEvent)]
-        return calls([e for part in sent for e in part], ttypes.PublishRequest)
+        return calls(
+            [e for effects_of_event in sent for e in effects_of_event], ttypes.PublishRequest
+        )
 
     def test_nothing_is_published_without_a_grant(self) -> None:
         self.assertEqual(self.publish(1.0, 1), [])
 
-    def test_it_must_not_be_sent_after_the_grant(self) -> None:
+    def test_publication_is_not_sent_after_the_grant_ends(self) -> None:
         self.grant(self.renew(10.0), 10.1, GRANT)
         (call,) = self.publish(10.2, 1)
         self.assertEqual(call.not_after, 13.0)
 
-    def test_only_the_newest_is_sent_again_with_all_decisions(self) -> None:
+    def test_retry_sends_only_the_newest_body_with_all_decisions(self) -> None:
         self.grant(self.renew(10.0), 10.1, GRANT)
         (first,) = self.publish(10.2, 1)
         self.assertEqual(self.publish(10.3, 2), [])
@@ -232,7 +236,7 @@
         self.assertEqual(second.request.sequence, 2)
         self.assertEqual([r.sequence for r in second.request.decisions], [1, 2])
 
-    def test_acceptance_is_told_by_sequence_and_outlives_the_primary(self) -> None:
+    def test_accepted_sequence_is_kept_across_primaries(self) -> None:
         self.grant(self.renew(10.0), 10.1, GRANT)
         (first,) = self.publish(10.2, 1)
         self.publish(10.3, 2)
@@ -245,7 +249,7 @@
     def sequences(self) -> tuple[int, int]:
         return self.link.published_sequence(PLAN), self.link.accepted_sequence(PLAN)
 
-    def test_a_new_primary_gets_it_again_under_the_same_sequence(self) -> None:
+    def test_new_primary_gets_the_publication_under_the_same_sequence(self) -> None:
         self.grant(self.renew(10.0), 10.1, GRANT)
         (first,) = self.publish(10.2, 1)
         self.answer(first, ttypes.PublishAnswer(True, "", first.address), 10.3)
@@ -257,8 +261,8 @@
         self.assertEqual(len(again[0].request.decisions), 1)
 
 
-class FinderTest(unittest.TestCase):
-    def test_it_tries_all_seeds_and_follows_a_redirect(self) -> None:
+class CoreFinderTest(unittest.TestCase):
+    def test_finder_tries_all_seeds_and_follows_a_redirect(self) -> None:
         finder = CoreFinder(SEEDS, Random(3))
         tried = set()
         for _ in SEEDS:
@@ -268,22 +272,22 @@
         finder.record_redirect(finder.address, "core-x:1")
         self.assertEqual(finder.address, "core-x:1")
 
-    def test_two_cores_that_name_each_other_are_not_asked_in_a_hot_loop(self) -> None:
+    def test_mutual_redirects_back_off(self) -> None:
         finder = CoreFinder(SEEDS, Random(3))
-        pauses = []
+        backoffs = []
         for _ in range(10):
             other = SEEDS[(SEEDS.index(finder.address) + 1) % 3]
-            pauses.append(finder.record_redirect(finder.address, other))
-        self.assertGreaterEqual(min(pauses[5:]), MAX_BACKOFF_S / 2)
+            backoffs.append(finder.record_redirect(finder.address, other))
+        self.assertGreaterEqual(min(backoffs[5:]), MAX_BACKOFF_S / 2)
 
-    def test_a_node_that_holds_nothing_yet_asks_more_often(self) -> None:
+    def test_node_without_topics_retries_more_often(self) -> None:
         finder = CoreFinder(SEEDS, Random(3), starting=True)
-        pauses = [finder.record_failure(finder.address) for _ in range(10)]
-        self.assertLessEqual(max(pauses), MAX_STARTING_BACKOFF_S)
-        self.assertGreaterEqual(min(pauses), MAX_STARTING_BACKOFF_S / 3)
+        backoffs = [finder.record_failure(finder.address) for _ in range(10)]
+        self.assertLessEqual(max(backoffs), MAX_STARTING_BACKOFF_S)
+        self.assertGreaterEqual(min(backoffs), MAX_STARTING_BACKOFF_S / 3)
         finder.starting = False
         self.assertGreater(max(finder.record_failure(finder.address) for _ in range(10)), 0.2)
 
-    def test_pauses_differ_from_node_to_node(self) -> None:
-        pauses = {CoreFinder(SEEDS, Random(seed)).record_failure(SEEDS[0]) for seed in range(20)}
-        self.assertEqual(len(pauses), 20)
+    def test_backoff_differs_between_nodes(self) -> None:
+        backoffs = {CoreFinder(SEEDS, Random(seed)).record_failure(SEEDS[0]) for seed in range(20)}
+        self.assertEqual(len(backoffs), 20)
--- a/tests/test_distribution_delta.py
+++ b/tests/test_distribution_delta.py
@@ -1,4 +1,4 @@
-"""Deltas give the document to the byte, or nothing."""
+"""Deltas reproduce the document exactly, or are rejected."""
 
 import json
 import unittest
@@ -31,8 +31,8 @@
     max_leaves=12,
 )
 DOCUMENTS = st.dictionaries(KEYS, VALUES, max_size=5)
-FILLING = {"filling": "x" * 400}
-MARKS = st.builds(VersionMark, st.integers(1, 3), st.integers(1, 3))
+PADDING = {"filling": "x" * 400}
+VERSIONS = st.builds(VersionMark, st.integers(1, 3), st.integers(1, 3))
 NODES = st.builds(
     lambda name, incarnation, ready: ttypes.NodeRecord(
         name, "front", "z", "r", "i", "h", incarnation, ready, False, VersionMark(0, 0)
@@ -42,7 +42,7 @@
     st.booleans(),
 )
 OWNERS = st.builds(
-    ttypes.RoleOwner, st.sampled_from("kl"), st.sampled_from("ab"), st.just("i"), MARKS
+    ttypes.RoleOwner, st.sampled_from("kl"), st.sampled_from("ab"), st.just("i"), VERSIONS
 )
 MEMBERS = st.builds(
     lambda nodes, owners: ttypes.MembersBody(
@@ -54,25 +54,25 @@
 )
 
 
-def sha(data: bytes) -> str:
+def sha256_hex(data: bytes) -> str:
     return sha256(data).hexdigest()
 
 
-class DeltaTest(unittest.TestCase):
+class DocumentDeltaTest(unittest.TestCase):
     @settings(derandomize=True, deadline=None)
     @given(DOCUMENTS, DOCUMENTS)
-    def test_a_delta_that_is_offered_gives_the_document(self, old: dict, new: dict) -> None:
-        base, target = canonical_bytes(old | FILLING), canonical_bytes(new | FILLING)
+    def test_offered_delta_reproduces_the_document(self, old: dict, new: dict) -> None:
+        base, target = canonical_bytes(old | PADDING), canonical_bytes(new | PADDING)
         (patch,) = make_deltas(DeltaTask((base,), target))
         if patch is None:
             return
-        self.assertEqual(apply_delta(ApplyTask(base, patch, sha(target))), target)
-        # The operators' own patch function is the oracle.
+        self.assertEqual(apply_delta(ApplyTask(base, patch, sha256_hex(target))), target)
+        # The patch function of the configuration API must give the same document.
         self.assertEqual(apply_merge_patch(base, patch).ok, target)
 
     @settings(derandomize=True, deadline=None)
     @given(DOCUMENTS, st.lists(st.tuples(KEYS, st.integers()), max_size=3))
-    def test_changes_without_nulls_always_have_a_delta(self, old: dict, changes: list) -> None:
+    def test_merge_patch_reproduces_changes_without_nulls(self, old: dict, changes: list) -> None:
         old = {key: value for key, value in old.items() if b"null" not in canonical_bytes(value)}
         new = old | dict(changes)
         self.assertEqual(
@@ -81,27 +81,27 @@
 
     @settings(derandomize=True, deadline=None)
     @given(st.binary(max_size=60), st.binary(max_size=60))
-    def test_garbage_gives_nothing(self, base: bytes, patch: bytes) -> None:
+    def test_garbage_is_rejected(self, base: bytes, patch: bytes) -> None:
         self.assertIsNone(apply_delta(ApplyTask(base, patch, "0" * 64)))
 
-    def test_one_and_true_and_one_point_five_are_different(self) -> None:
+    def test_numbers_and_booleans_are_not_equal(self) -> None:
         self.assertEqual(make_merge_patch({"a": 1, "b": [1]}, {"a": True, "b": [True]})["a"], True)
         self.assertEqual(make_merge_patch({"a": [1]}, {"a": [True]}), {"a": [True]})
 
-    def test_a_document_in_the_operators_own_layout_goes_whole(self) -> None:
-        base = canonical_bytes(FILLING)
-        target = json.dumps(FILLING | {"a": 1}, indent=2).encode()
+    def test_document_in_another_layout_has_no_delta(self) -> None:
+        base = canonical_bytes(PADDING)
+        target = json.dumps(PADDING | {"a": 1}, indent=2).encode()
         self.assertEqual(make_deltas(DeltaTask((base,), target)), (None,))
 
-    def test_a_large_difference_goes_whole(self) -> None:
+    def test_large_change_has_no_delta(self) -> None:
         target = canonical_bytes({"other": "y" * 400})
-        self.assertEqual(make_deltas(DeltaTask((canonical_bytes(FILLING),), target)), (None,))
+        self.assertEqual(make_deltas(DeltaTask((canonical_bytes(PADDING),), target)), (None,))
 
 
 class MembersDeltaTest(unittest.TestCase):
     @settings(derandomize=True, deadline=None)
     @given(MEMBERS, MEMBERS)
-    def test_a_delta_gives_the_newer_body(
+    def test_members_delta_gives_the_newer_body(
         self, old: ttypes.MembersBody, new: ttypes.MembersBody
     ) -> None:
         delta = make_members_delta(old, new)
--- a/tests/test_membership_protocol.py
+++ b/tests/test_membership_protocol.py
@@ -1,4 +1,4 @@
-"""Cores and nodes together in virtual time: leases, roles, topics, faults."""
+"""Cores and nodes together in virtual time: leases, roles, topics, and single faults."""
 
 import unittest
 from random import Random
@@ -14,161 +14,161 @@
 CLAIMS = [f"claims/{shard}" for shard in range(16)]
 
 
-def started(seed: int, loss: float = 0.0) -> World:
-    world = World(seed, loss)
+def started(seed: int, loss_rate: float = 0.0) -> World:
+    world = World(seed, loss_rate)
     world.add_fleet()
     world.run(8.0)
     return world
 
 
-def all_hold(world: World, version: int) -> bool:
+def all_have_version(world: World, version: int) -> bool:
     return all(link.version(CONFIGURATION).counter == version for link in world.links.values())
 
 
 class ProtocolTest(unittest.TestCase):
-    def check_promises(self, world: World) -> None:
+    def check_invariants(self, world: World) -> None:
         self.assertEqual(world.violations, [])
-        self.assertEqual(world.slid_back(), [])
+        self.assertEqual(world.version_regressions(), [])
 
-    def test_a_commit_reaches_every_node(self) -> None:
+    def test_commit_reaches_every_node(self) -> None:
         world = started(1)
         world.commit(b"{}")
-        self.assertLess(world.run_until(lambda: all_hold(world, 1), 5.0), 0.5)
-        self.check_promises(world)
+        self.assertLess(world.run_until(lambda: all_have_version(world, 1), 5.0), 0.5)
+        self.check_invariants(world)
 
-    def test_every_role_has_a_holder_and_the_placer_publishes(self) -> None:
+    def test_every_role_has_one_owner_and_the_placer_publishes(self) -> None:
         world = started(2)
         for key in (ROLE_PLACER, "platform-watcher", "prober/3", "claims/0", "claims/15"):
-            self.assertEqual(len(world.holders(key)), 1, key)
+            self.assertEqual(len(world.owners(key)), 1, key)
         self.assertTrue(all(link.body(PLAN) for link in world.links.values()))
         request = ttypes.ReadDecisionsRequest(ttypes.VersionMark(0, 0), 0, 0)
-        answer = world.ask(world.primary, request)[0]
+        answer = world.request_answers(world.primary, request)[0]
         self.assertEqual(answer.decisions[0].summary, "plan 1")
-        self.check_promises(world)
+        self.check_invariants(world)
 
-    def test_roles_outlast_a_hand_over_and_a_view_change(self) -> None:
-        for act in (World.hand_over, World.change_view):
+    def test_role_owners_survive_hand_over_and_view_change(self) -> None:
+        for change_primary in (World.hand_over, World.change_view):
             world = started(3)
-            before = {key: world.holders(key) for key in [ROLE_PLACER, *CLAIMS]}
-            act(world)
+            before = {key: world.owners(key) for key in [ROLE_PLACER, *CLAIMS]}
+            change_primary(world)
             for _ in range(60):
                 world.run(0.1)
-                self.assertEqual({key: world.holders(key) for key in before}, before)
-            self.check_promises(world)
+                self.assertEqual({key: world.owners(key) for key in before}, before)
+            self.check_invariants(world)
 
-    def test_no_node_is_declared_dead_by_a_failover(self) -> None:
+    def test_failover_removes_no_live_node(self) -> None:
         world = started(4)
         nodes = [record.node_id for record in world.links["front-0"].members()]
         self.assertEqual(len(nodes), 9)
         world.kill(world.primary)
         for _ in range(100):
             world.run(0.1)
-            held = [record.node_id for record in world.links["front-0"].members()]
-            self.assertEqual(held, nodes)
-        self.check_promises(world)
+            node_ids = [record.node_id for record in world.links["front-0"].members()]
+            self.assertEqual(node_ids, nodes)
+        self.check_invariants(world)
 
-    def test_a_new_primary_has_plan_and_decisions_again(self) -> None:
+    def test_new_primary_recovers_plan_and_decisions(self) -> None:
         world = started(5)
-        placer = world.observers[next(iter(world.holders(ROLE_PLACER)))]
+        placer = world.observers[next(iter(world.owners(ROLE_PLACER)))]
         world.hand_over()
         world.run(2.0)
         request = ttypes.ReadDecisionsRequest(ttypes.VersionMark(0, 0), 0, 0)
-        answer = world.ask(world.primary, request)[0]
+        answer = world.request_answers(world.primary, request)[0]
         summaries = [record.summary for record in answer.decisions]
         self.assertEqual(summaries, [f"plan {n}" for n in range(1, placer.plans + 1)])
         late = world.add_node("late", "front", "zone-a")
         self.assertLess(world.run_until(lambda: late.body(PLAN) is not None, 5.0), 1.0)
 
-    def test_a_leaving_placer_is_followed_at_once(self) -> None:
+    def test_stopped_placer_is_replaced_promptly(self) -> None:
         world = started(6)
-        (placer,) = world.holders(ROLE_PLACER)
+        (placer,) = world.owners(ROLE_PLACER)
         world.deliver(world.processes[placer], StopRequested())
-        took = world.run_until(lambda: bool(world.holders(ROLE_PLACER)), 5.0)
-        self.assertLess(took, 1.5)
-        self.assertIn(LeaseReleased(True), world.observers[placer].heard)
-        self.check_promises(world)
+        took_s = world.run_until(lambda: bool(world.owners(ROLE_PLACER)), 5.0)
+        self.assertLess(took_s, 1.5)
+        self.assertIn(LeaseReleased(True), world.observers[placer].internal_events)
+        self.check_invariants(world)
 
-    def test_an_emptied_zone_is_known_soon_and_loses_its_roles(self) -> None:
+    def test_drained_zone_is_published_and_loses_its_roles(self) -> None:
         world = started(7)
-        world.empty_zones("zone-b")
+        world.drain_zones("zone-b")
 
         def known() -> bool:
             return all(link.body(ZONES) is not None for link in world.links.values())
 
         self.assertLess(world.run_until(known, 5.0), 0.5)
-        inside = {name for name, p in world.processes.items() if p.name[-1] in "14"}
+        drained_nodes = {name for name, p in world.processes.items() if p.name[-1] in "14"}
 
         def moved() -> bool:
-            return all(set(world.holders(key)) - inside for key in CLAIMS)
+            return all(set(world.owners(key)) - drained_nodes for key in CLAIMS)
 
         self.assertLess(world.run_until(moved, 10.0), 1.0)
-        self.check_promises(world)
+        self.check_invariants(world)
 
-    def test_a_dead_node_is_gone_from_the_members_after_its_lease(self) -> None:
+    def test_dead_node_is_removed_when_its_lease_expires(self) -> None:
         world = started(8)
         world.kill("front-3")
         del world.links["front-3"]
         link = world.links["front-0"]
-        took = world.run_until(
+        took_s = world.run_until(
             lambda: "front-3" not in [record.node_id for record in link.members()], 10.0
         )
-        self.assertTrue(2.0 < took < 4.0, took)
-        self.check_promises(world)
+        self.assertTrue(2.0 < took_s < 4.0, took_s)
+        self.check_invariants(world)
 
-    def test_after_everything_was_down_all_roles_are_held_again(self) -> None:
+    def test_all_roles_are_granted_after_full_restart(self) -> None:
         world = started(9)
         for name in sorted(world.processes):
             world.kill(name)
         world.links.clear()
         world.restart_cores()
         world.add_fleet("2")
-        took = world.run_until(
-            lambda: all(world.holders(key) for key in [ROLE_PLACER, *CLAIMS]), 20.0
+        took_s = world.run_until(
+            lambda: all(world.owners(key) for key in [ROLE_PLACER, *CLAIMS]), 20.0
         )
-        self.assertLess(took, 6.0)
+        self.assertLess(took_s, 6.0)
 
-    def test_a_large_configuration_goes_out_as_a_delta(self) -> None:
+    def test_large_configuration_is_sent_as_a_delta(self) -> None:
         world = started(10)
-        filling = Random(10).randbytes(6000).hex()  # packing can't make it smaller than 6000
-        document = {"filling": filling, "n": 0}
-        sizes = []
+        incompressible = Random(10).randbytes(6000).hex()  # doesn't compress below 6000 bytes
+        document = {"filling": incompressible, "n": 0}
+        bytes_per_commit = []
         for version in (1, 2, 3):
             document["n"] = version
             data = canonical_bytes(document)
             before = world.bytes_answered
             world.commit(data, digest(data))
-            self.assertLess(world.run_until(lambda v=version: all_hold(world, v), 5.0), 1.0)
-            sizes.append(world.bytes_answered - before)
+            self.assertLess(world.run_until(lambda v=version: all_have_version(world, v), 5.0), 1.0)
+            bytes_per_commit.append(world.bytes_answered - before)
             for link in world.links.values():
                 self.assertEqual(link.body(CONFIGURATION).document, data)
-        self.assertGreater(sizes[0], 9 * 6000)
-        self.assertLess(sizes[2], 9 * 6000)
+        self.assertGreater(bytes_per_commit[0], 9 * 6000)
+        self.assertLess(bytes_per_commit[2], 9 * 6000)
 
-    def test_quiet_nodes_are_not_woken_by_renewals(self) -> None:
+    def test_unchanged_renewals_publish_nothing(self) -> None:
         world = started(11)
-        mark = world.links["front-0"].version(MEMBERS)
+        version = world.links["front-0"].version(MEMBERS)
         world.run(5.0)
-        self.assertEqual(world.links["front-0"].version(MEMBERS), mark)
+        self.assertEqual(world.links["front-0"].version(MEMBERS), version)
 
-    def test_without_any_core_roles_end_and_topics_stay(self) -> None:
+    def test_without_cores_grants_expire_and_topics_remain(self) -> None:
         world = started(12)
         world.commit(b"{}")
         world.run(1.0)
         for name in CORES:
             world.kill(name)
         world.run(3.1)
-        self.assertEqual([key for key in [ROLE_PLACER, *CLAIMS] if world.holders(key)], [])
-        self.assertTrue(all_hold(world, 1))
+        self.assertEqual([key for key in [ROLE_PLACER, *CLAIMS] if world.owners(key)], [])
+        self.assertTrue(all_have_version(world, 1))
         self.assertFalse(any(link.connected for link in world.links.values()))
 
-    def test_a_primary_whose_lease_has_ended_sends_its_polls_away(self) -> None:
+    def test_primary_with_expired_lease_ends_its_polls(self) -> None:
         world = started(13)
-        world.cut.add(world.primary)
+        world.partitioned.add(world.primary)
         core = world.processes[world.primary]
         component = core.reducer.components["membership"]
         self.assertEqual(len(component.state.polls), 9)
-        took = world.run_until(lambda: len(component.state.polls) == 0, 5.0)
-        self.assertLess(took, 2.0)
+        took_s = world.run_until(lambda: len(component.state.polls) == 0, 5.0)
+        self.assertLess(took_s, 2.0)
         request = ttypes.PollRequest("x", [], 10_000)
-        (answer,) = world.ask(core.name, request)
+        (answer,) = world.request_answers(core.name, request)
         self.assertFalse(answer.primary_reachable)
