--- a/rooklug/distribution/core_link.py
+++ b/rooklug/distribution/core_link.py
@@ -62,10 +62,10 @@
 
     @property
     def connected(self) -> bool:
-        """Whether the lease was valid at this component's last event; else use ``connected_at``."""
+        """Whether the lease was valid at the last event; ``has_valid_lease`` takes a time."""
         return self._state.lease.valid(self._now)
 
-    def connected_at(self, now: float) -> bool:
+    def has_valid_lease(self, now: float) -> bool:
         """Return whether this node's lease is valid at ``now``, in its monotonic seconds."""
         return self._state.lease.valid(now)
 
--- a/rooklug/distribution/document_delta.py
+++ b/rooklug/distribution/document_delta.py
@@ -42,8 +42,8 @@
     """Return the patch from each base to the target.
 
     None stands for a patch that is too large or doesn't reproduce the target's bytes, as for a
-    target that isn't in the canonical layout. It takes long for large documents: run it
-    outside the event loop.
+    target that isn't in the canonical layout. This is slow for large documents;
+    run it outside the event loop.
     """
     target = json.loads(task.target)
     if canonical_bytes(target) != task.target:
@@ -53,10 +53,10 @@
 
 def _make_delta(base: Json, target: bytes, target_value: Json) -> bytes | None:
     patch = make_merge_patch(base, target_value)
-    text = canonical_bytes(patch)
-    if len(text) > MAX_DELTA_RATIO * len(target):
+    encoded = canonical_bytes(patch)
+    if len(encoded) > MAX_DELTA_RATIO * len(target):
         return None
-    return text if canonical_bytes(merge_patch(base, patch)) == target else None
+    return encoded if canonical_bytes(merge_patch(base, patch)) == target else None
 
 
 def make_merge_patch(base: Json, target: Json) -> Json:
--- a/rooklug/distribution/link_events.py
+++ b/rooklug/distribution/link_events.py
@@ -1,4 +1,4 @@
-"""Internal events that the core link emits, or that its methods emit to it."""
+"""Internal events of the core link: requests to renew or to publish, and the lease's release."""
 
 import attrs
 
@@ -7,7 +7,7 @@
 
 @attrs.frozen
 class LeaseReleased(InternalEvent):
-    """The stopping node has released its lease and grants, or has given up trying.
+    """The stopping node has released its lease and grants, or has stopped retrying.
 
     ``confirmed``: the primary has acknowledged the release; otherwise they end by expiry.
     """
--- a/rooklug/distribution/members_delta.py
+++ b/rooklug/distribution/members_delta.py
@@ -33,7 +33,7 @@
 
 
 def make_members_delta(old: MembersBody, new: MembersBody) -> MembersDelta:
-    """Return the delta from ``old`` to ``new``; it ignores fields beside ``published_fields``."""
+    """Return the delta from ``old`` to ``new``; only ``published_fields`` are compared."""
     old_nodes = {node.node_id: published_fields(node) for node in old.nodes}
     old_owners = {owner.role_key: owner_fields(owner) for owner in old.role_owners}
     new_ids = {node.node_id for node in new.nodes}
--- a/rooklug/distribution/node_lease.py
+++ b/rooklug/distribution/node_lease.py
@@ -79,7 +79,7 @@
     def next_request(self, node: NodeRecord, now: float, *, releases: bool) -> RenewLeaseRequest:
         """Return the next renewal; the lease that it is granted counts from ``now``.
 
-        With ``releases`` the node gives up its lease instead of renewing it.
+        With ``releases`` the request releases the lease instead of renewing it.
         """
         self._sequence += 1
         self._sent_at = now
--- a/rooklug/distribution/polling.py
+++ b/rooklug/distribution/polling.py
@@ -70,14 +70,14 @@
             address = "" if answer.primary_reachable else answer.primary_address
             return [fx.StartTimer(POLL_TIMER, finder.record_redirect(sent.address, address))]
         finder.record_primary_answer(sent.address)
-        taken = [self.state.topics.take(update) for update in answer.updates]
-        effects = [effect for update in taken for effect in self._effects_of(update)]
-        if any(isinstance(update, PendingDelta) for update in taken):
+        results = [self.state.topics.take(update) for update in answer.updates]
+        effects = [effect for result in results for effect in self._effects_of(result)]
+        if any(isinstance(result, PendingDelta) for result in results):
             return effects
-        progress = any(isinstance(update, TopicChanged) for update in taken)
+        progress = any(isinstance(result, TopicChanged) for result in results)
         if progress:
             finder.starting = False
-        problem = any(isinstance(update, RejectedUpdate) for update in taken)
+        problem = any(isinstance(result, RejectedUpdate) for result in results)
         early = now - sent.sent_at < _EARLY_ANSWER_S
         if problem or (early and not progress):
             # Delay the next poll: an unreadable body, or a second process with this node id that
@@ -93,21 +93,21 @@
         if delta is None:
             return []
         document = None if event.error else event.result
-        taken = self.state.topics.apply_document(delta, document)
-        effects = self._effects_of(taken)
+        result = self.state.topics.apply_document(delta, document)
+        effects = self._effects_of(result)
         return effects if self._sent is not None else effects + self.poll(now)
 
-    def _effects_of(self, taken: UpdateResult) -> list[fx.Effect]:
-        if isinstance(taken, TopicChanged):
-            if taken.topic == MEMBERS:
-                self.state.finder.update_seeds(tuple(taken.body.core_addresses or ()))
-            return [EmitEvent(taken)]
-        if isinstance(taken, PendingDelta):
+    def _effects_of(self, result: UpdateResult) -> list[fx.Effect]:
+        if isinstance(result, TopicChanged):
+            if result.topic == MEMBERS:
+                self.state.finder.update_seeds(tuple(result.body.core_addresses or ()))
+            return [EmitEvent(result)]
+        if isinstance(result, PendingDelta):
             ticket = self.state.context.identifiers.next()
-            self._pending_deltas[ticket] = taken
-            return [fx.Compute(ticket, apply_delta, taken.task)]
-        if isinstance(taken, RejectedUpdate):
-            fields = {"topic": taken.topic, "problem": taken.message}
+            self._pending_deltas[ticket] = result
+            return [fx.Compute(ticket, apply_delta, result.task)]
+        if isinstance(result, RejectedUpdate):
+            fields = {"topic": result.topic, "problem": result.message}
             return [fx.Log("error", "topic update rejected; polling again", fields)]
         return []
 
--- a/rooklug/distribution/publication_outbox.py
+++ b/rooklug/distribution/publication_outbox.py
@@ -34,8 +34,8 @@
     body: bytes
     accepted_epoch: int = 0
     decisions: deque[DecisionRecord] = attrs.field(factory=lambda: deque(maxlen=RECENT_DECISIONS))
-    last_decision: int = 0
-    accepted_decision: int = 0
+    last_decision_sequence: int = 0
+    accepted_decision_sequence: int = 0
     accepted_sequence: int = 0
 
     def add_decision(self, record: DecisionRecord) -> None:
@@ -43,11 +43,13 @@
 
         It gets the token and the next sequence unless its role has already numbered it in order.
         """
-        numbered = record.token == self.token and (record.sequence or 0) > self.last_decision
+        numbered = (
+            record.token == self.token and (record.sequence or 0) > self.last_decision_sequence
+        )
         if not numbered:
             record.token = self.token
-            record.sequence = self.last_decision + 1
-        self.last_decision = record.sequence
+            record.sequence = self.last_decision_sequence + 1
+        self.last_decision_sequence = record.sequence
         self.decisions.append(record)
 
     def request(self, epoch: int) -> PublishRequest:
@@ -55,8 +57,8 @@
 
         A primary that has accepted earlier decisions gets only those after them.
         """
-        first = self.accepted_decision + 1 if epoch == self.accepted_epoch else 0
-        decisions = [record for record in self.decisions if record.sequence >= first]
+        first_sequence = self.accepted_decision_sequence + 1 if epoch == self.accepted_epoch else 0
+        decisions = [record for record in self.decisions if record.sequence >= first_sequence]
         return PublishRequest(
             topic=self.topic,
             role_key=self.role_key,
@@ -107,7 +109,7 @@
         publication.accepted_epoch = epoch
         publication.accepted_sequence = max(publication.accepted_sequence, request.sequence)
         last = max((record.sequence for record in request.decisions), default=0)
-        publication.accepted_decision = max(publication.accepted_decision, last)
+        publication.accepted_decision_sequence = max(publication.accepted_decision_sequence, last)
         if publication.sequence == request.sequence:
             self._changed.discard(request.topic)
 
--- a/rooklug/membership/decisions.py
+++ b/rooklug/membership/decisions.py
@@ -93,7 +93,7 @@
         """Return whether no decision after ``cursor`` has been dropped."""
         return cursor in self._positions or (cursor == START and self._dropped == 0)
 
-    def after(self, cursor: Cursor) -> DecisionPage:
+    def page_after(self, cursor: Cursor) -> DecisionPage:
         """Return the page after ``cursor``, or the oldest page if the cursor is unknown."""
         position = self._positions.get(cursor)
         first = 0 if position is None else position - self._dropped + 1
@@ -104,7 +104,7 @@
         return DecisionPage([entry.record for entry in following], gap)
 
     def _order_is_unknown(self, position: int | None) -> bool:
-        """Return whether others' decisions may stand before ``position`` though made after it."""
+        """Return whether later decisions of other owners may precede the one at ``position``."""
         if position is None:
             return False
         entry = self._entries[position - self._dropped]
@@ -187,11 +187,11 @@
 
     def _reply(self, pending: _PendingRead, now: float) -> DecisionReply:
         if self._can_answer(pending.cursor, now):
-            return DecisionReply(pending.call_id, self.ring.after(pending.cursor))
+            return DecisionReply(pending.call_id, self.ring.page_after(pending.cursor))
         return DecisionReply(pending.call_id, DecisionPage([], gap=False))
 
     def _has_page(self, cursor: Cursor, now: float) -> bool:
-        return self._can_answer(cursor, now) and bool(self.ring.after(cursor).decisions)
+        return self._can_answer(cursor, now) and bool(self.ring.page_after(cursor).decisions)
 
     def _can_answer(self, cursor: Cursor, now: float) -> bool:
         """Return False while the decision at ``cursor`` may still be announced again."""
--- a/rooklug/membership/lease_service.py
+++ b/rooklug/membership/lease_service.py
@@ -34,7 +34,7 @@
             return [fx.Answer(event.call_id, state.renewal_rejection(now))]
         state.roles.apply_renewal(request, now)
         if outcome is RenewalOutcome.CHANGED:
-            state.roles.plan(state.leases.live(), state.drained_zones, now)
+            state.roles.plan(state.leases.live_nodes(), state.drained_zones, now)
         grants, owners_changed = state.roles.renew_grants(request, now)
         answer = state.renewal_grant(_LEASE_MS, grants, now)
         effects: list[fx.Effect] = [fx.Answer(event.call_id, answer)]
@@ -92,8 +92,8 @@
         """
         state = self.state
         if not state.is_active_primary(now):
-            again = fx.StartTimer(PUBLISH_MEMBERS_TIMER, TICK_S)
-            return [again] if state.primary.is_primary else []
+            retry = fx.StartTimer(PUBLISH_MEMBERS_TIMER, TICK_S)
+            return [retry] if state.primary.is_primary else []
         pending_polls = len(state.polls)
         published = state.members.publish(
             state.store, state.leases, state.roles, pending_polls, now
--- a/rooklug/membership/leases.py
+++ b/rooklug/membership/leases.py
@@ -59,11 +59,11 @@
         self.extend_grace(now)
 
     def extend_grace(self, now: float) -> None:
-        """Let no lease expire for one lease period from ``now``."""
+        """Postpone the expiry of all leases to at least one lease period after ``now``."""
         self.grace_until = now + NODE_LEASE_EXPIRY_S
 
     def renew(self, request: RenewLeaseRequest, now: float) -> RenewalOutcome:
-        """Apply a renewal; a request to leave goes to ``leave`` instead."""
+        """Create or extend the lease of the node; for a request to leave call ``leave`` instead."""
         identity = identity_of(request.node)
         current = self._leases.get(identity.node_id)
         if identity in self._retired:
@@ -103,7 +103,7 @@
         current = self._leases.get(identity.node_id)
         return current is not None and current.record.incarnation == identity.incarnation
 
-    def live(self) -> list[NodeRecord]:
+    def live_nodes(self) -> list[NodeRecord]:
         """Return the records of all nodes with a lease, sorted by node id."""
         return [self._leases[node_id].record for node_id in sorted(self._leases)]
 
--- a/rooklug/membership/members_topic.py
+++ b/rooklug/membership/members_topic.py
@@ -31,7 +31,7 @@
     leases: LeaseTable, roles: RoleTable, core_addresses: tuple[str, ...] = ()
 ) -> MembersBody:
     """Return the body of the members topic: live nodes, owners of roles among them, and cores."""
-    nodes = leases.live()
+    nodes = leases.live_nodes()
     addresses = {node.node_id: node.internal_address for node in nodes}
     owners = [
         RoleOwner(
@@ -92,7 +92,7 @@
         """Offer an incomplete body to nodes that have no members body at all.
 
         A term's first publication waits until every live node has had time to renew its lease:
-        otherwise nodes with a body of an earlier term would take the missing nodes for dead. A
+        otherwise nodes with a body of an earlier term would treat the missing nodes as dead. A
         node that has just started has no body; it can't compute its rate limits without the
         number of its peers, so an incomplete list is better than none.
         """
--- a/rooklug/membership/membership_component.py
+++ b/rooklug/membership/membership_component.py
@@ -133,7 +133,7 @@
         ]
 
     def _continue_term(self, event: internal.PrimaryStarted) -> list[fx.Effect]:
-        """The same primary goes on in a new view: leases, roles and bodies stay valid."""
+        """Continue as the primary in a new view: leases, roles and bodies stay valid."""
         self.state.primary.start(event)
         self.state.roles.raise_epoch(event.epoch)
         return []
--- a/rooklug/membership/membership_state.py
+++ b/rooklug/membership/membership_state.py
@@ -34,8 +34,8 @@
         return self.primary.is_active_primary(now)
 
     def reassign_roles(self, now: float) -> list[fx.Effect]:
-        """Plan the owners of all roles, and request the renewals that let roles move."""
-        self.roles.plan(self.leases.live(), self.drained_zones, now)
+        """Plan the owners of all roles, and request the renewals that roles wait for to move."""
+        self.roles.plan(self.leases.live_nodes(), self.drained_zones, now)
         return self.request_renewal(now)
 
     def request_renewal(self, now: float) -> list[fx.Effect]:
--- a/rooklug/membership/roles.py
+++ b/rooklug/membership/roles.py
@@ -106,7 +106,7 @@
                 state.vacate(now)
 
     def apply_leave(self, request: RenewLeaseRequest, now: float) -> None:
-        """Release all roles of a process that gives up its lease."""
+        """Release all roles of a process that releases its lease."""
         self.apply_renewal(request, now)
         identity = identity_of(request.node)
         for state in self._states.values():
--- a/tests/test_distribution_core_link.py
+++ b/tests/test_distribution_core_link.py
@@ -71,8 +71,8 @@
 class LeaseTest(CoreLinkTestCase):
     def test_validity_counts_from_the_send_time(self) -> None:
         self.grant(self.renew(10.0), 10.7, GRANT)
-        self.assertTrue(self.link.connected_at(12.99))
-        self.assertFalse(self.link.connected_at(13.0))
+        self.assertTrue(self.link.has_valid_lease(12.99))
+        self.assertFalse(self.link.has_valid_lease(13.0))
         self.assertEqual(self.link.grant_until(ROLE_PLACER, 11.0), 13.0)
         self.assertIsNone(self.link.grant(ROLE_PLACER, 13.0))
 
--- a/tests/test_membership_tables.py
+++ b/tests/test_membership_tables.py
@@ -55,7 +55,7 @@
         self.leases.renew(renewal(record("a"), 2), START_AT)
         outcome = self.leases.renew(renewal(record("a", ready=False), 1), START_AT)
         self.assertIs(outcome, RenewalOutcome.STALE)
-        self.assertTrue(self.leases.live()[0].ready)
+        self.assertTrue(self.leases.live_nodes()[0].ready)
 
     def test_replaced_process_cannot_renew(self) -> None:
         old, new = record("a"), record("a", incarnation="2")
@@ -248,13 +248,13 @@
     def test_reader_resumes_from_its_cursor_without_repeats(self) -> None:
         ring = DecisionRing(limit=4)
         ring.append([decision(1, n) for n in (1, 2, 2, 3)], reannounced=False)
-        page = ring.after(Cursor(1, 1, 1))
+        page = ring.page_after(Cursor(1, 1, 1))
         self.assertEqual([r.sequence for r in page.decisions], [2, 3])
         self.assertFalse(page.gap)
         ring.append([decision(2, n) for n in (1, 2, 3)], reannounced=False)
-        self.assertTrue(ring.after(Cursor(1, 1, 1)).gap)
-        self.assertTrue(ring.after(START).gap)
-        self.assertFalse(ring.after(Cursor(1, 2, 1)).gap)
+        self.assertTrue(ring.page_after(Cursor(1, 1, 1)).gap)
+        self.assertTrue(ring.page_after(START).gap)
+        self.assertFalse(ring.page_after(Cursor(1, 2, 1)).gap)
 
     def test_read_waits_for_the_next_decision_or_times_out_empty(self) -> None:
         stream = DecisionStream()
