--- a/rooklug/distribution/polling.py
+++ b/rooklug/distribution/polling.py
@@ -70,7 +70,7 @@
             address = "" if answer.primary_reachable else answer.primary_address
             return [fx.StartTimer(POLL_TIMER, finder.record_redirect(sent.address, address))]
         finder.record_primary_answer(sent.address)
-        results = [self.state.topics.take(update) for update in answer.updates]
+        results = [self.state.topics.apply(update) for update in answer.updates]
         effects = [effect for result in results for effect in self._effects_of(result)]
         if any(isinstance(result, PendingDelta) for result in results):
             return effects
--- a/rooklug/distribution/subscribed_topics.py
+++ b/rooklug/distribution/subscribed_topics.py
@@ -95,7 +95,7 @@
             for entry in newest
         )
 
-    def take(self, update: TopicUpdate) -> UpdateResult:
+    def apply(self, update: TopicUpdate) -> UpdateResult:
         """Apply an update; return None if it isn't newer than the stored version."""
         if update.topic not in BODY_TYPES:
             return RejectedUpdate(update.topic, "unknown topic")
--- a/tests/test_hollow_packing.py
+++ b/tests/test_hollow_packing.py
@@ -66,5 +66,5 @@
     def test_a_node_takes_packed_updates(self):
         for topic, (_, body) in BODIES.items():
             held = SubscribedTopics()
-            held.take(TopicUpdate(topic, VersionMark(1, 1), None, encode_packed(body)))
+            held.apply(TopicUpdate(topic, VersionMark(1, 1), None, encode_packed(body)))
             self.assertEqual(held.body(topic), body)
