--- a/rooklug/core/announcer.py
+++ b/rooklug/core/announcer.py
@@ -32,7 +32,7 @@
         self.primary_id = ""
         self.primary_address = ""
 
-    def committed(self) -> None:
+    def announce_committed(self) -> None:
         """Announce the committed configuration and zones if newer than those last announced."""
         state = self._store.state
         version = state.configuration_version()
@@ -44,7 +44,7 @@
             self._zones = zones_version
             self._outbox.emit(ZonesCommitted(zones_version, state.zones_body()))
 
-    def primary(self, epoch: int, core_id: str, address: str) -> None:
+    def announce_primary(self, epoch: int, core_id: str, address: str) -> None:
         """Announce the primary of ``epoch``; ``core_id`` and ``address`` are "" if it is unknown.
 
         Does nothing for an outdated epoch or for the primary that was announced last.
@@ -56,13 +56,13 @@
         self.primary_address = address
         self._outbox.emit(PrimaryKnown(epoch, address))
 
-    def cores(self, addresses: tuple[str, ...]) -> None:
+    def announce_cores(self, addresses: tuple[str, ...]) -> None:
         """Announce the internal addresses of the voting cores if they have changed."""
         if addresses and addresses != self._addresses:
             self._addresses = addresses
             self._outbox.emit(CoresChanged(addresses))
 
-    def status(self, status: CoreStatus) -> None:
+    def announce_status(self, status: CoreStatus) -> None:
         """Announce this core's status if it has changed."""
         if status != self._status:
             self._status = status
--- a/rooklug/core/backup.py
+++ b/rooklug/core/backup.py
@@ -91,14 +91,14 @@
             self._outbox.answer(call_id, self._start_answer(ok=False, needs_snapshot=False))
             return
         self._record_primary(view.epoch, view.primary_id, now)
-        needs_snapshot = not self._match(view.epoch, request, now)
+        needs_snapshot = not self._match_log(view.epoch, request, now)
         answer = self._start_answer(ok=not needs_snapshot, needs_snapshot=needs_snapshot)
         self._witness.save(state, now, lambda now: self._outbox.answer(call_id, answer))
 
     def on_append(self, call_id: int, request: wire.AppendRequest, now: float) -> None:
         """Append the entries that this log lacks; answer once they are synced to disk."""
         outdated = request.epoch < self._promised_epoch or request.epoch != self.verified_epoch
-        if outdated or not self._follows(request.previous):
+        if outdated or not self._has_previous(request.previous):
             self._outbox.answer(call_id, self._append_answer(ok=False))
             return
         last = self._store.last.sequence
@@ -116,14 +116,16 @@
     ) -> None:
         """Collect a snapshot's chunks; install the snapshot when the last one has arrived."""
         incoming = self._incoming
-        if incoming is None or not self._is_wanted(incoming, request):
+        if incoming is None or not self._receive_chunk(incoming, request):
             self._outbox.answer(call_id, self._chunk_answer(ok=False))
             return
         if len(incoming.chunks) < request.parts:
             self._outbox.answer(call_id, self._chunk_answer(ok=True))
             return
         self._incoming = None
-        problem = self._store.install(position_from_wire(request.position), incoming.chunks, now)
+        problem = self._store.install_snapshot(
+            position_from_wire(request.position), incoming.chunks, now
+        )
         if problem:
             self._outbox.log("error", "snapshot unreadable", problem=problem)
             self._outbox.answer(call_id, self._chunk_answer(ok=False))
@@ -133,10 +135,10 @@
             [], now, lambda now: self._outbox.answer(call_id, self._chunk_answer(ok=True))
         )
 
-    def _is_wanted(self, incoming: IncomingSnapshot, request: wire.SnapshotPartRequest) -> bool:
+    def _receive_chunk(self, incoming: IncomingSnapshot, request: wire.SnapshotPartRequest) -> bool:
         """Return whether the request has the next chunk of the snapshot, and if so append it."""
         wanted = request.epoch == incoming.epoch >= self._promised_epoch
-        return wanted and _take_chunk(incoming, request)
+        return wanted and _append_chunk(incoming, request)
 
     def _record_primary(self, epoch: int, primary_id: str, now: float) -> None:
         self.latest_primary_epoch = max(self.latest_primary_epoch, epoch)
@@ -146,7 +148,7 @@
         if epoch == self.verified_epoch:
             self._store.commit_to(committed)
 
-    def _match(self, epoch: int, request: wire.StartViewRequest, now: float) -> bool:
+    def _match_log(self, epoch: int, request: wire.StartViewRequest, now: float) -> bool:
         """Make this log a prefix of the primary's; return False if it needs a snapshot.
 
         Entries of the view's own epoch come from its primary, so they are never truncated, not
@@ -170,7 +172,7 @@
         self.verified_epoch = epoch
         return True
 
-    def _follows(self, previous: wire.LogPosition) -> bool:
+    def _has_previous(self, previous: wire.LogPosition) -> bool:
         if previous.sequence <= self._store.log.base.sequence:
             return True
         return self._store.log.position_at(previous.sequence) == position_from_wire(previous)
@@ -193,7 +195,7 @@
         return wire.SnapshotPartAnswer(ok=ok, promised_epoch=self._promised_epoch)
 
 
-def _take_chunk(incoming: IncomingSnapshot, request: wire.SnapshotPartRequest) -> bool:
+def _append_chunk(incoming: IncomingSnapshot, request: wire.SnapshotPartRequest) -> bool:
     position = position_from_wire(request.position)
     if request.index == 0:
         incoming.position = position
--- a/rooklug/core/changes.py
+++ b/rooklug/core/changes.py
@@ -12,7 +12,7 @@
 import attrs
 
 from rooklug.core.change_history import ChangeHistory, Classification, Verdict
-from rooklug.core.constants import MAX_NAME_LENGTH, MAX_WAITING_CHANGES, QUORUM_WAIT_S
+from rooklug.core.constants import MAX_NAME_LENGTH, MAX_QUEUED_CHANGES, QUORUM_TIMEOUT_S
 from rooklug.core.documents import CheckOutcome, CheckTask, DocumentChecker
 from rooklug.core.outbox import Outbox
 from rooklug.core.primary import Primary
@@ -77,7 +77,7 @@
         self._primary = primary
         self._checker = checker
         self._history: ChangeHistory | None = None
-        self._in_check: dict[int, Submission] = {}
+        self._checks_in_flight: dict[int, Submission] = {}
         self._queue: deque[Submission] = deque()
         self._uncommitted: deque[Submission] = deque()
         self.accepted_count = 0
@@ -92,7 +92,7 @@
             self._answer(submission, Outcome.INVALID, problems=problems)
         elif self._is_answered_by_history(submission, self._classify(submission)):
             return
-        elif self._is_overtaken(request) or len(self._queue) >= MAX_WAITING_CHANGES:
+        elif self._is_outdated(request) or len(self._queue) >= MAX_QUEUED_CHANGES:
             self._answer(submission, Outcome.UNAVAILABLE)
         else:
             self._queue.append(submission)
@@ -102,9 +102,11 @@
                 submission.checked = True
                 self.append_ready(now)
 
-    def computed(self, ticket: int, outcome: CheckOutcome | None, error: str, now: float) -> None:
+    def on_check_completed(
+        self, ticket: int, outcome: CheckOutcome | None, error: str, now: float
+    ) -> None:
         """Handle the result of a document check; ``error`` is "" unless the check raised."""
-        submission = self._in_check.pop(ticket, None)
+        submission = self._checks_in_flight.pop(ticket, None)
         if submission is None:
             return
         if error or outcome is None:
@@ -126,9 +128,9 @@
             submission = self._queue.popleft()
             if not self._is_answered_by_history(submission, self._classify(submission)):
                 self._append(submission)
-        self._primary.replicator.pump(now)
+        self._primary.replicator.replicate(now)
 
-    def committed(self, now: float) -> None:
+    def on_committed(self, now: float) -> None:
         """Answer the requests whose entry has been committed."""
         committed = self._store.committed
         if self._history is not None:
@@ -141,14 +143,14 @@
                 self._uncommitted.append(submission)
 
     def tick(self, now: float) -> None:
-        """Append what is ready; reject requests that have waited ``QUORUM_WAIT_S`` for a quorum."""
+        """Append what is ready; reject what has waited ``QUORUM_TIMEOUT_S`` for a quorum."""
         self.append_ready(now)
         while self._queue and self._queue[0].checked:
-            if now < self._queue[0].arrived_at + QUORUM_WAIT_S:
+            if now < self._queue[0].arrived_at + QUORUM_TIMEOUT_S:
                 return
             self._answer(self._queue.popleft(), Outcome.UNAVAILABLE)
 
-    def stopped(self, now: float) -> None:
+    def on_stepped_down(self, now: float) -> None:
         """Answer all requests after the primary has stepped down.
 
         The outcome of appended changes is unknown; the others certainly have no effect.
@@ -159,11 +161,11 @@
         for submission in self._queue:
             self._answer(submission, Outcome.UNAVAILABLE)
         self._uncommitted.clear()
-        self._in_check.clear()
+        self._checks_in_flight.clear()
         self._queue.clear()
         self._history = None
 
-    def _is_overtaken(self, request: SubmitChangeRequest | SetZoneRequest) -> bool:
+    def _is_outdated(self, request: SubmitChangeRequest | SetZoneRequest) -> bool:
         """Return whether a zone order is committed that the request's sender didn't know of.
 
         Such a request was delayed; applying it now would revert the later orders.
@@ -212,7 +214,7 @@
             newest = self._open_history().newest
             base_document = newest.document if newest else b""
         ticket = self._outbox.identifiers.next()
-        self._in_check[ticket] = submission
+        self._checks_in_flight[ticket] = submission
         task = CheckTask(request.body, base_document)
         self._outbox.add(fx.Compute(ticket, self._checker.check, task))
 
--- a/rooklug/core/control_state_component.py
+++ b/rooklug/core/control_state_component.py
@@ -13,14 +13,14 @@
 from rooklug.core.candidacy import Candidacy
 from rooklug.core.changes import ChangeIntake
 from rooklug.core.constants import (
-    FAILED_EXIT_S,
+    FAILED_EXIT_DELAY_S,
     LEASE_GUARD_S,
     LEASE_S,
     LOG_FILE,
     MESSAGE_DEADLINE_S,
     STOP_GRACE_S,
     SYNC_DEADLINE_S,
-    TICK_S,
+    TICK_INTERVAL_S,
     TICK_TIMER,
 )
 from rooklug.core.disk import Disk
@@ -28,7 +28,7 @@
 from rooklug.core.documents import DocumentChecker
 from rooklug.core.formation import Formation
 from rooklug.core.http_interface import PREFIX, HttpInterface
-from rooklug.core.in_sync_set import EVERYONE_STAYS
+from rooklug.core.in_sync_set import NO_EXCLUSIONS
 from rooklug.core.joining import JoinRequester
 from rooklug.core.outbox import Outbox
 from rooklug.core.peers import Peers
@@ -164,9 +164,9 @@
         if self.primary.view is not None and not self.primary.is_active(now):
             self.primary.step_down("the lease ended", now)
         self._dispatch(event, now)
-        self.announcer.committed()
-        self.announcer.cores(self.peers.member_addresses())
-        self.announcer.status(self._status(now))
+        self.announcer.announce_committed()
+        self.announcer.announce_cores(self.peers.member_addresses())
+        self.announcer.announce_status(self._status(now))
         return self.outbox.take()
 
     def _dispatch(self, event: ev.Event, now: float) -> None:
@@ -189,11 +189,11 @@
             case ev.CallAnswered() | ev.CallFailed():
                 self.outbox.complete_call(event, now)
             case ev.WriteFinished():
-                self.disk.finished(event.ticket, now)
+                self.disk.on_write_finished(event.ticket, now)
             case ev.WriteFailed():
                 self._on_write_failed(event, now)
             case ev.Computed():
-                self.changes.computed(event.ticket, event.result, event.error, now)
+                self.changes.on_check_completed(event.ticket, event.result, event.error, now)
 
     def _start(self, event: ev.Started, now: float) -> None:
         checked = check_disk(event, self.peers.own_id)
@@ -202,13 +202,13 @@
         if checked.witness is not None and not reason:
             self.witness.load(checked.witness, now)
             if self.witness.supported_primary == checked.witness.own:
-                self.candidacy.resume(now)
+                self.candidacy.allow_resume(now)
         else:
             own = new_incarnation(self.peers.own_id, event, self._context.incarnation)
             self.outbox.log("warning", "disk starts a new incarnation", reason=reason)
-            self.witness.begin_anew(blank_state(own, event.disk_identity), now)
+            self.witness.start_new_incarnation(blank_state(own, event.disk_identity), now)
             self.store.rewrite_all(now)
-        self.outbox.add(fx.StartTimer(TICK_TIMER, TICK_S))
+        self.outbox.add(fx.StartTimer(TICK_TIMER, TICK_INTERVAL_S))
 
     def _on_timer(self, name: str, now: float) -> None:
         if name == FAILED_TIMER:
@@ -216,12 +216,12 @@
         elif name == STOP_TIMER:
             self.outbox.add(fx.StopProcess(EXIT_OK, "stopped on request"))
         else:
-            self.outbox.add(fx.StartTimer(TICK_TIMER, TICK_S))
+            self.outbox.add(fx.StartTimer(TICK_TIMER, TICK_INTERVAL_S))
             if not self.failure:
                 self._tick(now)
 
     def _tick(self, now: float) -> None:
-        if self.disk.oldest_age(now) >= SYNC_DEADLINE_S:
+        if self.disk.oldest_write_age_s(now) >= SYNC_DEADLINE_S:
             self.primary.hand_over("its disk is too slow", now)
         self.formation.tick(now)
         self.join_requester.tick(now, has_primary=self._has_primary(now))
@@ -231,13 +231,13 @@
         self.store.compact_if_long(now)
         self._forget_unresponsive_primary(now)
         if self._is_candidate(now):
-            self.view_changer.begin(EVERYONE_STAYS, now)
+            self.view_changer.begin(NO_EXCLUSIONS, now)
 
     def _on_write_failed(self, event: ev.WriteFailed, now: float) -> None:
-        self.disk.failed(event.reason)
+        self.disk.on_write_failed(event.reason)
         self._fail(f"a write failed: {event.reason}", now)
         if self._exits_on_failed_write:
-            self.outbox.add(fx.StartTimer(FAILED_TIMER, FAILED_EXIT_S))
+            self.outbox.add(fx.StartTimer(FAILED_TIMER, FAILED_EXIT_DELAY_S))
 
     def _request_stop(self, now: float) -> None:
         self._stopping = True
@@ -263,7 +263,7 @@
     def _forget_unresponsive_primary(self, now: float) -> None:
         lease_over = now >= self.witness.last_heartbeat_at + LEASE_GUARD_S
         if self.primary.view is None and lease_over:
-            self.announcer.primary(self.announcer.primary_epoch, "", "")
+            self.announcer.announce_primary(self.announcer.primary_epoch, "", "")
 
     def _on_view_chosen(self, view: View, sent_at: float, now: float) -> None:
         if now >= sent_at + LEASE_S:
@@ -275,24 +275,24 @@
 
     def _on_proposal_failed(self, reason: str, now: float) -> None:
         self.outbox.log("info", "view change failed", reason=reason)
-        self.candidacy.proposal_failed(now)
+        self.candidacy.on_proposal_failed(now)
 
     def _on_primary_seen(self, epoch: int, primary_id: str, now: float) -> None:
-        self.candidacy.primary_seen()
+        self.candidacy.on_primary_seen()
         deposed = self.primary.view is not None and epoch > self.primary.epoch
         if deposed and primary_id != self.peers.own_id:
             self.primary.step_down("another core leads", now)
-        self.announcer.primary(epoch, primary_id, self.peers.address(primary_id))
+        self.announcer.announce_primary(epoch, primary_id, self.peers.address(primary_id))
 
     def _on_committed(self, now: float) -> None:
-        self.announcer.committed()
-        self.changes.committed(now)
+        self.announcer.announce_committed()
+        self.changes.on_committed(now)
         self.changes.append_ready(now)
 
     def _on_stepped_down(self, now: float) -> None:
-        self.changes.stopped(now)
-        self.candidacy.stepped_down(now)
-        self.announcer.primary(self.announcer.primary_epoch, "", "")
+        self.changes.on_stepped_down(now)
+        self.candidacy.on_stepped_down(now)
+        self.announcer.announce_primary(self.announcer.primary_epoch, "", "")
 
     # Failures -------------------------------------------------------------
 
@@ -328,7 +328,7 @@
         promised = self.witness.state.promised_epoch
         accepted = self.changes.accepted_count
         serves = float(self.primary.may_serve(now))
-        age_s = self.disk.oldest_age(now)
+        age_s = self.disk.oldest_write_age_s(now)
         return (
             MetricSample("core_epoch", promised, "gauge", "promised epoch"),
             MetricSample("core_committed", self.store.committed, "gauge", "committed sequence"),
--- a/rooklug/core/disk.py
+++ b/rooklug/core/disk.py
@@ -53,7 +53,7 @@
         else:
             then(now)
 
-    def finished(self, ticket: int, now: float) -> None:
+    def on_write_finished(self, ticket: int, now: float) -> None:
         """Handle a completed write; run the continuations that waited only for it."""
         if self._issued.pop(ticket, None) is None or self.broken:
             return
@@ -66,12 +66,12 @@
         for barrier in ready:
             barrier.then(now)
 
-    def failed(self, reason: str) -> None:
+    def on_write_failed(self, reason: str) -> None:
         """Handle a failed write: from now on the content of the disk is uncertain."""
         self.broken = reason
         self._barriers.clear()
 
-    def oldest_age(self, now: float) -> float:
+    def oldest_write_age_s(self, now: float) -> float:
         """Return the age of the oldest write in flight in seconds, 0 if there is none."""
         return now - min(self._issued.values()) if self._issued else 0.0
 
--- a/rooklug/core/follower.py
+++ b/rooklug/core/follower.py
@@ -27,13 +27,13 @@
         Whether its disk must have an entry before the entry commits; else it is a learner.
     reachable
         Whether it answered the last heartbeat.
-    started
+    log_compared
         Whether it has compared its log with the primary's in this view.
     acknowledged
         The last sequence that it has synced to its disk.
-    sending
+    message_in_flight
         Whether a replication message to it is in flight; at most one is at a time.
-    owing_since, allowed_s
+    awaiting_answer_since, answer_timeout_s
         Since when it has owed an answer (None if it owes none), and how many seconds the
         answer may take before the follower is overdue.
     last_contact_at
@@ -47,11 +47,11 @@
     core_id: str
     in_sync: bool
     reachable: bool = False
-    started: bool = False
+    log_compared: bool = False
     acknowledged: int = 0
-    sending: bool = False
-    owing_since: float | None = None
-    allowed_s: float = SYNC_DEADLINE_S
+    message_in_flight: bool = False
+    awaiting_answer_since: float | None = None
+    answer_timeout_s: float = SYNC_DEADLINE_S
     last_contact_at: float = 0.0
     supported_at: float = NEVER
     transfer: SnapshotTransfer | None = None
--- a/rooklug/core/formation.py
+++ b/rooklug/core/formation.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 
 from rooklug.core import witness_rules
-from rooklug.core.constants import FIRST_EPOCH, MESSAGE_DEADLINE_S, READ_WITNESS_S
+from rooklug.core.constants import FIRST_EPOCH, MESSAGE_DEADLINE_S, READ_WITNESS_INTERVAL_S
 from rooklug.core.outbox import Outbox
 from rooklug.core.peers import Peers
 from rooklug.core.records import disk_to_wire, view_to_wire, witness_from_wire
@@ -24,7 +24,7 @@
 class Formation:
     """Reads the other cores' witnesses until this core's witness may vote.
 
-    ``waits_for`` is the reason why it may not vote yet, as shown in the status.
+    ``waiting_reason`` is the reason why it may not vote yet, as shown in the status.
     ``on_formed(view, sent_at, now)`` is called when all cores have accepted the first view.
     """
 
@@ -45,15 +45,15 @@
         self._read_at = 0.0
         self._attempt = 0
         self._states: dict[str, WitnessState] = {}
-        self._forming: View | None = None
-        self._formed: set[str] = set()
-        self.waits_for = WAITING
+        self._proposed_view: View | None = None
+        self._accepted_by: set[str] = set()
+        self.waiting_reason = WAITING
 
     def tick(self, now: float) -> None:
-        """Read the other witnesses every ``READ_WITNESS_S`` while this one may not vote."""
+        """While this witness may not vote, read the others every ``READ_WITNESS_INTERVAL_S``."""
         if self._witness.state.voting or now < self._read_at:
             return
-        self._read_at = now + READ_WITNESS_S
+        self._read_at = now + READ_WITNESS_INTERVAL_S
         self._attempt += 1
         self._states = {}
         own = self._witness.state.own
@@ -65,18 +65,18 @@
         for core_id in self._peers.known_others:
             self._send_read(core_id, request, attempt)
         if not self._peers.known_others:
-            self._form([], self._read_at)
+            self._propose_first_view([], self._read_at)
 
     def _send_read(self, core_id: str, request: wire.ReadWitnessRequest, attempt: int) -> None:
         def answered(answer: wire.ReadWitnessAnswer, now: float) -> None:
             if attempt == self._attempt and not self._witness.state.voting:
-                self._take(core_id, answer, now)
+                self._record_state(core_id, answer, now)
 
         self._outbox.call(self._peers.address(core_id), request, MESSAGE_DEADLINE_S, answered)
 
-    def _take(self, core_id: str, answer: wire.ReadWitnessAnswer, now: float) -> None:
+    def _record_state(self, core_id: str, answer: wire.ReadWitnessAnswer, now: float) -> None:
         if not answer.registered:
-            self.waits_for = "this disk was replaced by a newer one: empty its data folder"
+            self.waiting_reason = "this disk was replaced by a newer one: empty its data folder"
             return
         state = witness_from_wire(answer.state)
         self._states[core_id] = state
@@ -96,11 +96,11 @@
     def _decide(self, now: float) -> None:
         newest = self._newest_view()
         if newest is not None and not self.is_member():
-            self.waits_for = JOINING
+            self.waiting_reason = JOINING
             return
         members = self._peers.members_of(newest)
         states = [self._states[core_id] for core_id in sorted(self._states) if core_id in members]
-        recovered = witness_rules.recover(self._witness.state, states, len(members))
+        recovered = witness_rules.recover_vote(self._witness.state, states, len(members))
         if recovered is not None:
             self._outbox.log("info", "witness may vote again", disk=recovered.own.disk_id)
             self._witness.last_heartbeat_at = now
@@ -109,53 +109,53 @@
         if len(states) < len(members) - 1:
             return
         if not any(state.voting for state in states):
-            self._form(states, now)
+            self._propose_first_view(states, now)
             return
         self._join_first_view(states, now)
 
     def _join_first_view(self, states: list[WitnessState], now: float) -> None:
         """Accept the first view, which another core has accepted, if this core is in it."""
         views = [state.view for state in states if state.voting and state.view is not None]
-        formed = witness_rules.form(self._witness.state, views[0]) if views else None
+        formed = witness_rules.accept_first_view(self._witness.state, views[0]) if views else None
         if formed is None:
-            self.waits_for = DATA_LOSS_SUSPECTED
+            self.waiting_reason = DATA_LOSS_SUSPECTED
             return
         self._witness.save(formed, now, lambda now: None)
 
-    def _form(self, states: list[WitnessState], now: float) -> None:
+    def _propose_first_view(self, states: list[WitnessState], now: float) -> None:
         if not self._first_start:
-            self.waits_for = NO_FIRST_START
+            self.waiting_reason = NO_FIRST_START
             return
-        self.waits_for = FIRST_START
+        self.waiting_reason = FIRST_START
         if self._peers.own_id != min(self._peers.founders):
             return
         own = self._witness.state.own
         disks = tuple(sorted([own, *(state.own for state in states)]))
         members = self._peers.founding_members()
         view = View(FIRST_EPOCH, own.core_id, disks, members)
-        self._forming = view
-        self._formed = set()
+        self._proposed_view = view
+        self._accepted_by = set()
         request = wire.FormViewRequest(proposer=disk_to_wire(own), view=view_to_wire(view))
         for core_id in self._peers.others:
-            self._send_form(core_id, request, view, now)
-        self._finish(view, now, now)
+            self._send_first_view(core_id, request, view, now)
+        self._finish_if_accepted_by_all(view, now, now)
 
-    def _send_form(
+    def _send_first_view(
         self, core_id: str, request: wire.FormViewRequest, view: View, sent_at: float
     ) -> None:
         def answered(answer: wire.FormViewAnswer, now: float) -> None:
-            if answer.accepted and self._forming == view:
-                self._formed.add(core_id)
-                self._finish(view, sent_at, now)
+            if answer.accepted and self._proposed_view == view:
+                self._accepted_by.add(core_id)
+                self._finish_if_accepted_by_all(view, sent_at, now)
 
         self._outbox.call(self._peers.address(core_id), request, MESSAGE_DEADLINE_S, answered)
 
-    def _finish(self, view: View, sent_at: float, now: float) -> None:
-        if len(self._formed) < len(self._peers.others) or self._witness.state.voting:
+    def _finish_if_accepted_by_all(self, view: View, sent_at: float, now: float) -> None:
+        if len(self._accepted_by) < len(self._peers.others) or self._witness.state.voting:
             return
-        formed = witness_rules.form(self._witness.state, view)
+        formed = witness_rules.accept_first_view(self._witness.state, view)
         if formed is None:
             return
-        self._forming = None
+        self._proposed_view = None
         self._witness.record_heartbeat(self._witness.state.own, view.epoch, now)
         self._witness.save(formed, now, lambda now: self._on_formed(view, sent_at, now))
--- a/rooklug/core/http_interface.py
+++ b/rooklug/core/http_interface.py
@@ -47,13 +47,13 @@
             self._recover(event, now)
         else:
             message = "there are GET /v1/core/status and POST /v1/core/recover"
-            self._refuse(event.request_id, HTTP_UNKNOWN_PATH, "unknown_path", message)
+            self._respond_error(event.request_id, HTTP_UNKNOWN_PATH, "unknown_path", message)
 
     def _recover(self, event: ev.HttpRequestArrived, now: float) -> None:
-        plan = _plan_of(event.body)
+        plan = _parse_plan(event.body)
         if plan is None:
             message = 'the body must be {"plan": TEXT}; an empty text asks for the plan'
-            self._refuse(event.request_id, HTTP_INVALID, "invalid", message)
+            self._respond_error(event.request_id, HTTP_INVALID, "invalid", message)
             return
         self._recovery.begin(
             plan, lambda answer: self._respond_recovery(event.request_id, answer), now
@@ -63,9 +63,9 @@
         if answer.outcome in _SUCCESSES:
             self._respond(request_id, HTTP_OK, _fields(answer))
         else:
-            self._refuse(request_id, HTTP_REFUSED, answer.outcome, answer.message)
+            self._respond_error(request_id, HTTP_REFUSED, answer.outcome, answer.message)
 
-    def _refuse(self, request_id: int, status: int, code: str, message: str) -> None:
+    def _respond_error(self, request_id: int, status: int, code: str, message: str) -> None:
         self._respond(request_id, status, {"error": {"code": code, "message": message}})
 
     def _respond(self, request_id: int, status: int, document: dict[str, Any]) -> None:
@@ -74,7 +74,7 @@
         self._outbox.add(fx.HttpRespond(request_id, status, body, headers))
 
 
-def _plan_of(body: bytes) -> str | None:
+def _parse_plan(body: bytes) -> str | None:
     try:
         document = json.loads(body)
     except (ValueError, RecursionError):
--- a/rooklug/core/in_sync_set.py
+++ b/rooklug/core/in_sync_set.py
@@ -9,7 +9,7 @@
 
 from rooklug.core.constants import (
     CATCH_UP_LAG_ENTRIES,
-    CATCH_UP_S,
+    CATCH_UP_PAUSE_S,
     REJOIN_BACKOFF_LIMIT_S,
     REJOIN_BACKOFF_S,
 )
@@ -19,14 +19,14 @@
 from rooklug.core.store import ReplicaStore
 from rooklug.core.types import View
 
-EVERYONE_STAYS: frozenset[str] = frozenset()
+NO_EXCLUSIONS: frozenset[str] = frozenset()
 
 
 class InSyncSet:
     """Decides on view changes that alter the in-sync set; the primary executes them.
 
-    While ``is_waiting_for_learner`` the primary appends nothing, for at most ``CATCH_UP_S``, so
-    that the log of a learner that lacks few entries can become equal to the primary's.
+    While ``is_waiting_for_learner`` the primary appends nothing, for at most ``CATCH_UP_PAUSE_S``,
+    so that the log of a learner that lacks few entries can become equal to the primary's.
     """
 
     def __init__(self, outbox: Outbox, store: ReplicaStore, replicator: Replicator) -> None:
@@ -34,7 +34,7 @@
         self._store = store
         self._replicator = replicator
         self._catching_up_since: float | None = None
-        self._rejoin_at: dict[str, float] = {}
+        self._readmit_at: dict[str, float] = {}
         self._backoff_s: dict[str, float] = {}
 
     @property
@@ -51,11 +51,11 @@
     ) -> frozenset[str] | None:
         """Return the members to remove by a view change now, None if no view change is due.
 
-        ``EVERYONE_STAYS``: the view change only admits learners that have caught up.
+        ``NO_EXCLUSIONS``: the view change only admits learners that have caught up.
         """
         late = self._late(view, required_acks, now)
         if late:
-            self._postpone_rejoin(late, now)
+            self._back_off_readmission(late, now)
             message = "removing late members from the in-sync set"
             self._outbox.log("warning", message, members=sorted(late))
             return late
@@ -72,32 +72,34 @@
         return unresponsive if len(view.in_sync) - len(unresponsive) >= required_acks else overdue
 
     def _admission(self, now: float) -> frozenset[str] | None:
-        candidates = [f for f in self._replicator.learners() if self._may_rejoin(f, now)]
+        candidates = [f for f in self._replicator.learners() if self._may_be_admitted(f, now)]
         equal = [f for f in candidates if f.acknowledged == self._store.last.sequence]
         if equal:
             self._catching_up_since = None
-            self._postpone_rejoin(_ids(equal), now)
-            return EVERYONE_STAYS
+            self._back_off_readmission(_ids(equal), now)
+            return NO_EXCLUSIONS
         if self._catching_up_since is None:
             self._catching_up_since = now if candidates else None
-        elif now >= self._catching_up_since + CATCH_UP_S:
+        elif now >= self._catching_up_since + CATCH_UP_PAUSE_S:
             self._catching_up_since = None
-            self._postpone_rejoin(_ids(candidates), now)
+            self._back_off_readmission(_ids(candidates), now)
         return None
 
-    def _may_rejoin(self, follower: Follower, now: float) -> bool:
+    def _may_be_admitted(self, follower: Follower, now: float) -> bool:
         lag = self._store.last.sequence - follower.acknowledged
-        rested = now >= self._rejoin_at.get(follower.core_id, 0.0)
-        return follower.started and follower.reachable and rested and lag <= CATCH_UP_LAG_ENTRIES
+        rested = now >= self._readmit_at.get(follower.core_id, 0.0)
+        return (
+            follower.log_compared and follower.reachable and rested and lag <= CATCH_UP_LAG_ENTRIES
+        )
 
-    def _postpone_rejoin(self, core_ids: Iterable[str], now: float) -> None:
+    def _back_off_readmission(self, core_ids: Iterable[str], now: float) -> None:
         """Double the members' re-admission backoff; restart it after a long time without change."""
         for core_id in core_ids:
-            calm = now > self._rejoin_at.get(core_id, NEVER) + REJOIN_BACKOFF_LIMIT_S
+            calm = now > self._readmit_at.get(core_id, NEVER) + REJOIN_BACKOFF_LIMIT_S
             previous_s = REJOIN_BACKOFF_S / 2 if calm else self._backoff_s[core_id]
             backoff_s = min(REJOIN_BACKOFF_LIMIT_S, 2 * previous_s)
             self._backoff_s[core_id] = backoff_s
-            self._rejoin_at[core_id] = now + backoff_s
+            self._readmit_at[core_id] = now + backoff_s
 
 
 def _ids(followers: Iterable[Follower]) -> frozenset[str]:
--- a/rooklug/core/leadership_lease.py
+++ b/rooklug/core/leadership_lease.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Callable
 
-from rooklug.core.constants import HEARTBEAT_S, LEASE_S, MESSAGE_DEADLINE_S
+from rooklug.core.constants import HEARTBEAT_INTERVAL_S, LEASE_S, MESSAGE_DEADLINE_S
 from rooklug.core.follower import NEVER
 from rooklug.core.outbox import Outbox
 from rooklug.core.peers import Peers
@@ -22,9 +22,9 @@
 class LeadershipLease:
     """Sends heartbeats during the replicator's view, and extends the lease when they are answered.
 
-    ``until`` is the monotonic time at which the lease expires, in seconds. ``on_extended()`` is
-    called after each extension, ``on_refused(epoch, now)`` when a core answers that it has
-    promised the higher ``epoch``.
+    ``expires_at`` is the monotonic time at which the lease expires, in seconds.
+    ``on_extended()`` is called after each extension, ``on_refused(epoch, now)`` when a core
+    answers that it has promised the higher ``epoch``.
     """
 
     def __init__(
@@ -46,29 +46,29 @@
         self._on_refused = on_refused
         self._next_heartbeat_at = 0.0
         self._own_supported_at = NEVER
-        self.until = 0.0
+        self.expires_at = 0.0
 
     def is_valid(self, now: float) -> bool:
         """Return whether the lease has not expired at ``now``."""
-        return now < self.until
+        return now < self.expires_at
 
     def start(self, accepts_sent_at: float, now: float) -> None:
         """Begin a view; a majority's accepts of it count like answers to a heartbeat."""
         self._next_heartbeat_at = now
-        self.until = max(self.until, accepts_sent_at + LEASE_S)
+        self.expires_at = max(self.expires_at, accepts_sent_at + LEASE_S)
 
     def stop(self) -> None:
         """Give up the lease at once."""
-        self.until = 0.0
+        self.expires_at = 0.0
 
     def send_heartbeats_if_due(self, now: float) -> None:
-        """Send heartbeats if the last ones are ``HEARTBEAT_S`` old."""
+        """Send heartbeats if the last ones are ``HEARTBEAT_INTERVAL_S`` old."""
         if now >= self._next_heartbeat_at:
             self.send_heartbeats(now)
 
     def send_heartbeats(self, now: float) -> None:
         """Send heartbeats, which renew support and carry the commit position, to all others."""
-        self._next_heartbeat_at = now + HEARTBEAT_S
+        self._next_heartbeat_at = now + HEARTBEAT_INTERVAL_S
         own = self._witness.state.own
         self._witness.record_heartbeat(own, self._replicator.led_view.epoch, now)
         self._own_supported_at = now
@@ -109,7 +109,7 @@
         if answer.supports:
             follower.supported_at = max(follower.supported_at, sent_at)
             self._extend()
-        self._replicator.pump(now)
+        self._replicator.replicate(now)
 
     def _extend(self) -> None:
         """Count the lease from the newest heartbeat that a majority of each electorate supports."""
@@ -120,8 +120,8 @@
         supported_at[self._peers.own_id] = self._own_supported_at
         electorates = self._peers.electorates(self._replicator.view)
         newest = min(_majority_time(electorate, supported_at) for electorate in electorates)
-        if newest + LEASE_S > self.until:
-            self.until = newest + LEASE_S
+        if newest + LEASE_S > self.expires_at:
+            self.expires_at = newest + LEASE_S
             self._on_extended()
 
 
--- a/rooklug/core/primary.py
+++ b/rooklug/core/primary.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from rooklug.core.constants import MESSAGE_DEADLINE_S, PRIMARY_PROMISE_GRACE_S
-from rooklug.core.in_sync_set import EVERYONE_STAYS, InSyncSet
+from rooklug.core.in_sync_set import NO_EXCLUSIONS, InSyncSet
 from rooklug.core.leadership_lease import LeadershipLease
 from rooklug.core.member_changes import MemberChanges
 from rooklug.core.outbox import Outbox
@@ -51,7 +51,12 @@
         self._on_committed = on_committed
         self._on_stopped = on_stopped
         self.replicator = Replicator(
-            peers, outbox, store, self._advance, self._on_refused, lambda: self.lease.until
+            peers,
+            outbox,
+            store,
+            self._advance_commit,
+            self._on_refused,
+            lambda: self.lease.expires_at,
         )
         self.lease = LeadershipLease(
             peers,
@@ -66,7 +71,7 @@
         self._member_changes = MemberChanges(self.replicator)
         self.view: View | None = None
         self.serving = False
-        self._last_at_start = 0
+        self._last_sequence_at_start = 0
 
     # State for other modules ----------------------------------------------
 
@@ -99,15 +104,15 @@
         """Start to lead ``view``, which a majority has accepted; this core may lead already."""
         leads_already = self.serving
         self.view = view
-        self._last_at_start = self._store.last.sequence
+        self._last_sequence_at_start = self._store.last.sequence
         self._in_sync_set.reset()
         self.lease.start(accepts_sent_at, now)
         in_sync = sorted(disk.core_id for disk in view.in_sync)
         self._outbox.log("info", "became primary of a view", epoch=view.epoch, in_sync=in_sync)
         self.replicator.start(view, now)
         if leads_already:
-            self._announce()
-        self._advance(now)
+            self._announce_start()
+        self._advance_commit(now)
         self.tick(now)
 
     def step_down(self, reason: str, now: float) -> None:
@@ -120,7 +125,7 @@
         self.lease.stop()
         self._in_sync_set.reset()
         self.replicator.stop()
-        self._store.forget_unwritten()
+        self._store.discard_unwritten()
         self._view_changer.abandon()
         self._witness.release(now)
         self._outbox.log("warning", "lost leadership", epoch=epoch, reason=reason)
@@ -147,7 +152,7 @@
             self._change_view(self.replicator.overdue(now), now)
             return
         self.lease.send_heartbeats_if_due(now)
-        self._advance(now)
+        self._advance_commit(now)
         if self.view is not None:
             self._adjust_in_sync_set(now)
         if self.view is not None and self._view_changer.proposal is None:
@@ -189,7 +194,7 @@
             and len(self._led_view.in_sync) >= self._required_acks()
         )
 
-    def _advance(self, now: float) -> None:
+    def _advance_commit(self, now: float) -> None:
         """Commit the entries that all in-sync disks have, then replicate to the followers."""
         if self.view is None:
             return
@@ -201,29 +206,29 @@
                 # Tells the followers the commit position now instead of with the next change.
                 self.lease.send_heartbeats(now)
         self._start_serving()
-        self.replicator.pump(now)
+        self.replicator.replicate(now)
 
     def _start_serving(self) -> None:
-        if self.serving or self._store.committed < self._last_at_start:
+        if self.serving or self._store.committed < self._last_sequence_at_start:
             return
         self.serving = True
-        self._announce()
+        self._announce_start()
 
-    def _announce(self) -> None:
+    def _announce_start(self) -> None:
         self._outbox.emit(PrimaryStarted(self.epoch))
-        self._outbox.emit(PrimaryLeaseExtended(self.epoch, self.lease.until))
+        self._outbox.emit(PrimaryLeaseExtended(self.epoch, self.lease.expires_at))
 
     def _on_lease_extended(self) -> None:
         if self.serving:
-            self._outbox.emit(PrimaryLeaseExtended(self.epoch, self.lease.until))
+            self._outbox.emit(PrimaryLeaseExtended(self.epoch, self.lease.expires_at))
 
     # View changes ---------------------------------------------------------
 
     def _on_refused(self, epoch: int, now: float) -> None:
         """Propose a view with a higher epoch: another core has promised ``epoch``."""
-        self._view_changer.saw_epoch(epoch)
+        self._view_changer.record_epoch(epoch)
         if self._view_changer.proposal is None:
-            self._change_view(EVERYONE_STAYS, now)
+            self._change_view(NO_EXCLUSIONS, now)
 
     def _adjust_in_sync_set(self, now: float) -> None:
         excluded = self._in_sync_set.excluded_from_next_view(
@@ -238,7 +243,7 @@
             return
         if self._led_view.previous:
             # The joint view is chosen; the next view ends the votes of the previous members.
-            self._change_view(EVERYONE_STAYS, now)
+            self._change_view(NO_EXCLUSIONS, now)
             return
         change = self._member_changes.next_change(self._led_view, self._required_acks(), now)
         if change is not None:
--- a/rooklug/core/recovery.py
+++ b/rooklug/core/recovery.py
@@ -145,14 +145,14 @@
         for core_id, survivor in sorted(survey.survivors.items()):
             if survivor.last > self._store.last:
                 return Refusal(RecoveryOutcome.REFUSED, f"{core_id} holds more: ask that core")
-        if self._can_go_on_alone(survey):
+        if self._can_elect_without_operator(survey):
             return Refusal(
                 RecoveryOutcome.NOT_NEEDED,
                 "two witnesses and a disk in sync are there: it starts by itself",
             )
         return None
 
-    def _can_go_on_alone(self, survey: Survey) -> bool:
+    def _can_elect_without_operator(self, survey: Survey) -> bool:
         states = [self._witness.state, *(s.state for s in survey.survivors.values())]
         voters = [state for state in states if state.voting]
         view = self._newest_view(survey)
@@ -214,7 +214,7 @@
         members = newest.members if newest else ()
         view = View(epoch, own.core_id, (own,), members)
         disks = tuple(sorted([own, *(state.own for state in states)]))
-        adopted = witness_rules.adopt(self._witness.state, own, view, disks)
+        adopted = witness_rules.adopt_view(self._witness.state, own, view, disks)
         if adopted is None:
             self._answer(survey, RecoveryOutcome.REFUSED, "the state has changed: ask again")
             return
@@ -225,10 +225,10 @@
         )
         self._outbox.log("warning", "operator-confirmed recovery started", plan=plan, epoch=epoch)
         self._witness.save(
-            adopted, now, lambda now: self._order_others(survey, plan, request, view, now)
+            adopted, now, lambda now: self._request_adoption(survey, plan, request, view, now)
         )
 
-    def _order_others(
+    def _request_adoption(
         self, survey: Survey, plan: str, request: wire.AdoptViewRequest, view: View, sent_at: float
     ) -> None:
         done = False
--- a/rooklug/core/replicator.py
+++ b/rooklug/core/replicator.py
@@ -35,7 +35,7 @@
 
     ``on_progress(now)`` is called after each acknowledgement, ``on_refused(epoch, now)`` when a
     follower answers that it has promised the higher ``epoch``. Nothing is sent after
-    ``lease_until()``.
+    ``lease_expires_at()``.
     """
 
     def __init__(
@@ -45,14 +45,14 @@
         store: ReplicaStore,
         on_progress: Callable[[float], None],
         on_refused: Callable[[int, float], None],
-        lease_until: Callable[[], float],
+        lease_expires_at: Callable[[], float],
     ) -> None:
         self._peers = peers
         self._outbox = outbox
         self._store = store
         self._on_progress = on_progress
         self._on_refused = on_refused
-        self._lease_until = lease_until
+        self._lease_until = lease_expires_at
         self._writing = False
         self.view: View | None = None
         self.followers: dict[str, Follower] = {}
@@ -93,7 +93,7 @@
             raise NotLeadingError("this core leads no view")
         return self.view
 
-    def pump(self, now: float) -> None:
+    def replicate(self, now: float) -> None:
         """Send the entries that are missing there to the own disk and to each follower."""
         if self.view is None:
             return
@@ -104,7 +104,7 @@
 
     def acknowledged_by_all(self) -> int:
         """Return the last sequence that is synced on this disk and on all other in-sync disks."""
-        others = [f.acknowledged if f.started else 0 for f in self.in_sync_followers()]
+        others = [f.acknowledged if f.log_compared else 0 for f in self.in_sync_followers()]
         return min([self._store.synced, *others])
 
     def in_sync_followers(self) -> list[Follower]:
@@ -116,11 +116,12 @@
         return [follower for follower in self.followers.values() if not follower.in_sync]
 
     def overdue(self, now: float) -> frozenset[str]:
-        """Return the in-sync followers whose answer is later than ``allowed_s``."""
+        """Return the in-sync followers whose answer is later than ``answer_timeout_s``."""
         return frozenset(
             follower.core_id
             for follower in self.in_sync_followers()
-            if follower.owing_since is not None and now >= follower.owing_since + follower.allowed_s
+            if follower.awaiting_answer_since is not None
+            and now >= follower.awaiting_answer_since + follower.answer_timeout_s
         )
 
     def unresponsive(self, now: float) -> frozenset[str]:
@@ -135,8 +136,8 @@
         """Record contact; an in-sync follower with a new disk has lost the old one: overdue."""
         follower.last_contact_at = now
         if follower.in_sync and not self.led_view.has(disk):
-            follower.owing_since = now
-            follower.allowed_s = 0.0
+            follower.awaiting_answer_since = now
+            follower.answer_timeout_s = 0.0
 
     def _write_own(self, now: float) -> None:
         queued = self._store.log.after(self._store.written)
@@ -153,11 +154,11 @@
         self._store.write_entries(queued, now, synced)
 
     def _send_next(self, follower: Follower, now: float) -> None:
-        if follower.sending or not (follower.in_sync or follower.reachable):
+        if follower.message_in_flight or not (follower.in_sync or follower.reachable):
             return
         if follower.transfer is not None:
             self._send_chunk(follower, follower.transfer, now)
-        elif not follower.started:
+        elif not follower.log_compared:
             self._send_start(follower, now)
         elif follower.acknowledged < self._store.last.sequence:
             self._send_entries(follower, now)
@@ -180,16 +181,16 @@
         self.record_contact(follower, disk_from_wire(answer.member), now)
         if not answer.ok:
             return False
-        follower.started = True
+        follower.log_compared = True
         follower.acknowledged = answer.matched
-        self._progressed(follower, now)
+        self._record_progress(follower, now)
         return True
 
     def _send_entries(self, follower: Follower, now: float) -> None:
         log = self._store.log
         previous = log.position_at(follower.acknowledged)
         if previous is None:
-            follower.started = False
+            follower.log_compared = False
             self._send_start(follower, now)
             return
         entries = _batch(log.after(follower.acknowledged))
@@ -200,7 +201,7 @@
             committed=self._store.committed,
         )
         transfer_s = sum(map(_document_bytes, entries)) / ASSUMED_BYTES_PER_S
-        follower.allowed_s = SYNC_DEADLINE_S + transfer_s
+        follower.answer_timeout_s = SYNC_DEADLINE_S + transfer_s
         deadline_s = transfer_s + (
             MESSAGE_DEADLINE_S if follower.in_sync else REPLICATION_DEADLINE_S
         )
@@ -208,10 +209,10 @@
 
     def _on_appended(self, follower: Follower, answer: wire.AppendAnswer, now: float) -> bool:
         if not answer.ok:
-            follower.started = False
+            follower.log_compared = False
             return False
         follower.acknowledged = max(follower.acknowledged, answer.synced)
-        self._progressed(follower, now)
+        self._record_progress(follower, now)
         return True
 
     def _send_chunk(self, follower: Follower, transfer: SnapshotTransfer, now: float) -> None:
@@ -224,13 +225,13 @@
         )
 
         def on_answer(follower: Follower, answer: wire.SnapshotPartAnswer, now: float) -> bool:
-            return _take_chunk_answer(follower, transfer, answer)
+            return _advance_transfer(follower, transfer, answer)
 
         self._send(follower, request, REPLICATION_DEADLINE_S, on_answer, now)
 
-    def _progressed(self, follower: Follower, now: float) -> None:
+    def _record_progress(self, follower: Follower, now: float) -> None:
         follower.last_contact_at = now
-        follower.owing_since = None
+        follower.awaiting_answer_since = None
         self._on_progress(now)
 
     def _send(
@@ -246,24 +247,24 @@
         ``on_answer`` returns whether to send the next message at once; else the next tick does.
         """
         view = self.led_view
-        follower.sending = True
-        if follower.owing_since is None:
-            follower.owing_since = now
+        follower.message_in_flight = True
+        if follower.awaiting_answer_since is None:
+            follower.awaiting_answer_since = now
 
         def answered(answer: Any, now: float) -> None:
             if self.view is not view:
                 return
-            follower.sending = False
+            follower.message_in_flight = False
             if answer.promised_epoch > view.epoch:
                 self._on_refused(answer.promised_epoch, now)
                 return
             if on_answer(follower, answer, now):
-                self.pump(now)
+                self.replicate(now)
 
         def failed(now: float) -> None:
             if self.view is view:
-                follower.sending = False
-                follower.started = False
+                follower.message_in_flight = False
+                follower.log_compared = False
                 follower.transfer = None
 
         address = self._peers.address(follower.core_id)
@@ -271,7 +272,7 @@
         self._outbox.call(address, request, deadline_s, answered, failed, not_after)
 
 
-def _take_chunk_answer(
+def _advance_transfer(
     follower: Follower, transfer: SnapshotTransfer, answer: wire.SnapshotPartAnswer
 ) -> bool:
     """Advance to the next chunk; return False, and end the transfer, if the answer isn't ok."""
--- a/rooklug/core/status.py
+++ b/rooklug/core/status.py
@@ -43,7 +43,7 @@
         in_sync=[disk.core_id for disk in in_sync],
         committed_sequence=sources.store.committed,
         configuration_version=sources.store.state.version,
-        note=_explanation(sources),
+        note=_operator_note(sources),
     )
 
 
@@ -58,12 +58,12 @@
     return "backup" if state.view and state.view.has(state.own) else "joining"
 
 
-def _explanation(sources: StatusSources) -> str:
+def _operator_note(sources: StatusSources) -> str:
     """Return the operator's note: why this core isn't working normally, "" if it is."""
     if sources.failure:
         return sources.failure
     if not sources.witness.state.voting:
-        return sources.formation.waits_for
+        return sources.formation.waiting_reason
     no_primary = not sources.announcer.primary_id
     blank_others = sources.view_changer.blank_others
     if no_primary and len(blank_others) == len(sources.peers.others):
--- a/rooklug/core/store.py
+++ b/rooklug/core/store.py
@@ -62,7 +62,7 @@
             problem = reader.read(data)
             if problem:
                 break
-        problem = problem or reader.unfinished()
+        problem = problem or reader.check_end()
         self.log, self.state = reader.log, reader.state
         self.synced = self.written = self.last.sequence
         self.commit_to(reader.committed)
@@ -95,7 +95,7 @@
         self._generation += 1
         self._append([encode(LogRecord(cut=CutRecord(after=sequence)))], now, None)
 
-    def forget_unwritten(self) -> None:
+    def discard_unwritten(self) -> None:
         """Remove the entries whose write was never issued: no core has acknowledged them."""
         self.log.truncate_after(self.written)
 
@@ -109,7 +109,7 @@
             self.state.apply(entry)
         return entries
 
-    def install(self, position: Position, chunks: Sequence[bytes], now: float) -> str:
+    def install_snapshot(self, position: Position, chunks: Sequence[bytes], now: float) -> str:
         """Replace the replica by a snapshot; return the problem with the snapshot, "" if none."""
         header = SnapshotHeader(position=position_to_wire(position), parts=len(chunks))
         records = [encode(LogRecord(snapshot=header)), *chunks]
@@ -196,7 +196,7 @@
             return self._read_truncation(record.cut)
         return "an empty record"
 
-    def unfinished(self) -> str:
+    def check_end(self) -> str:
         """Check the end of the file; return the problem, "" if none.
 
         An incomplete snapshot is discarded.
--- a/rooklug/core/view_change.py
+++ b/rooklug/core/view_change.py
@@ -54,7 +54,7 @@
         The cores that a promise was requested from, and those whose call has ended.
     electorates
         The sets of members in each of which a majority must accept.
-    majority_at
+    first_promise_at
         When the first promise arrived; ``grace_s`` counts from there.
     accepted
         The cores that have accepted the view.
@@ -73,7 +73,7 @@
     requested: set[str] = attrs.field(factory=set)
     answered: set[str] = attrs.field(factory=set)
     electorates: list[frozenset[str]] = attrs.field(factory=list)
-    majority_at: float = 0.0
+    first_promise_at: float = 0.0
     view: View | None = None
     accept_sent_at: float = 0.0
     accepted: set[str] = attrs.field(factory=set)
@@ -83,7 +83,7 @@
     """The proposer of view changes; at most one proposal is in progress.
 
     ``on_chosen(view, accepts_sent_at, now)`` is called after a success, ``on_failed(reason, now)``
-    after a failure. ``highest_seen`` is the highest epoch known to be promised anywhere, and
+    after a failure. ``highest_epoch`` is the highest epoch known to be promised anywhere, and
     ``blank_others`` the cores whose witness last answered that it may not vote.
     """
 
@@ -103,12 +103,12 @@
         self._on_chosen = on_chosen
         self._on_failed = on_failed
         self.proposal: Proposal | None = None
-        self.highest_seen = 0
+        self.highest_epoch = 0
         self.blank_others: set[str] = set()
 
-    def saw_epoch(self, epoch: int) -> None:
+    def record_epoch(self, epoch: int) -> None:
         """Record an epoch that some witness has promised: the next proposal needs a higher one."""
-        self.highest_seen = max(self.highest_seen, epoch)
+        self.highest_epoch = max(self.highest_epoch, epoch)
 
     def begin(
         self,
@@ -122,9 +122,9 @@
 
         This core's own witness promises only after the first other one has.
         """
-        after = max(self.highest_seen, self._witness.state.promised_epoch)
+        after = max(self.highest_epoch, self._witness.state.promised_epoch)
         epoch = next_epoch(after, self._peers.index)
-        self.saw_epoch(epoch)
+        self.record_epoch(epoch)
         current = Proposal(epoch, excluded, grace_s, now, change, chosen_view)
         self.proposal = current
         for core_id in self._peers.others:
@@ -167,7 +167,7 @@
     def _on_promise(
         self, current: Proposal, core_id: str, answer: wire.PrepareAnswer, now: float
     ) -> None:
-        self.saw_epoch(answer.promised_epoch)
+        self.record_epoch(answer.promised_epoch)
         if answer.voting:
             self.blank_others.discard(core_id)
         else:
@@ -200,7 +200,7 @@
     def _request_own_promise(self, current: Proposal, now: float) -> None:
         if not current.own_promise_requested:
             current.own_promise_requested = True
-            current.majority_at = now
+            current.first_promise_at = now
             self._witness.promise_to_self(
                 current.epoch,
                 now,
@@ -236,7 +236,7 @@
         if not has_quorum(votes, self._peers.electorates(latest)):
             return
         all_answered = current.answered | current.excluded >= current.requested
-        if all_answered or now >= current.majority_at + current.grace_s:
+        if all_answered or now >= current.first_promise_at + current.grace_s:
             self._propose(current, current.own, now)
 
     def _propose(self, current: Proposal, own: Promise, now: float) -> None:
@@ -273,7 +273,7 @@
         self, current: Proposal, view: View, core_id: str, request: wire.AcceptRequest
     ) -> None:
         def on_answer(answer: wire.AcceptAnswer, now: float) -> None:
-            self.saw_epoch(answer.promised_epoch)
+            self.record_epoch(answer.promised_epoch)
             if answer.accepted:
                 self._on_accepted(current, view, core_id, now)
 
--- a/rooklug/core/witness.py
+++ b/rooklug/core/witness.py
@@ -56,7 +56,7 @@
         self.supported_epoch = state.accepted_epoch
         self.last_heartbeat_at = now
 
-    def begin_anew(self, state: WitnessState, now: float) -> None:
+    def start_new_incarnation(self, state: WitnessState, now: float) -> None:
         """Start with the state of a new incarnation of the disk, and rewrite the file."""
         self.load(state, now)
         self._file_records = 1
@@ -125,7 +125,7 @@
 
     def on_read(self, call_id: int, request: wire.ReadWitnessRequest, now: float) -> None:
         """Handle a read by a core that lost its disk; register its new disk before the answer."""
-        state = witness_rules.register(self.state, disk_from_wire(request.reader))
+        state = witness_rules.register_disk(self.state, disk_from_wire(request.reader))
         if state is None:
             self._outbox.answer(call_id, self._read_answer(registered=False))
             return
@@ -146,7 +146,7 @@
 
     def on_form(self, call_id: int, request: wire.FormViewRequest, now: float) -> None:
         """Handle the request to accept the first view of the group."""
-        state = witness_rules.form(self.state, view_from_wire(request.view))
+        state = witness_rules.accept_first_view(self.state, view_from_wire(request.view))
         if state is None:
             self._outbox.answer(call_id, wire.FormViewAnswer(accepted=False))
             return
@@ -159,7 +159,7 @@
         proposer = disk_from_wire(request.proposer)
         disks = [disk_from_wire(disk) for disk in request.disks]
         view = view_from_wire(request.view)
-        state = witness_rules.adopt(self.state, proposer, view, disks)
+        state = witness_rules.adopt_view(self.state, proposer, view, disks)
         if state is None:
             self._outbox.answer(call_id, wire.AdoptViewAnswer(adopted=False))
             return
--- a/rooklug/core/witness_rules.py
+++ b/rooklug/core/witness_rules.py
@@ -37,7 +37,7 @@
 
     A witness that may not vote yet can promise here: it was in no view, so it can't have
     forgotten a vote. The primary never proposes a core that is a member already; such a core
-    regains its vote by ``recover`` after a lost disk.
+    regains its vote by ``recover_vote`` after a lost disk.
     """
     if state.voting:
         return promise(state, epoch, proposer)
@@ -73,7 +73,7 @@
     return attrs.evolve(state, promised_epoch=view.epoch, promised_to=primary, view=view)
 
 
-def register(state: WitnessState, reader: MemberDisk) -> WitnessState | None:
+def register_disk(state: WitnessState, reader: MemberDisk) -> WitnessState | None:
     """Register the disk of a core that reads this state; None when that disk is retired.
 
     The disk that the core had before becomes retired.
@@ -92,7 +92,7 @@
     return attrs.evolve(state, disks=disks, retired=tuple(sorted(retired)))
 
 
-def form(state: WitnessState, view: View) -> WitnessState | None:
+def accept_first_view(state: WitnessState, view: View) -> WitnessState | None:
     """Accept the first view of the group; None when refused.
 
     Only a witness that may not vote yet accepts it, or one that has accepted it already.
@@ -106,7 +106,7 @@
     )
 
 
-def recover(
+def recover_vote(
     state: WitnessState, others: Iterable[WitnessState], member_count: int = 3
 ) -> WitnessState | None:
     """Regain the vote after a lost disk, from the states of other members' witnesses.
@@ -134,7 +134,7 @@
     )
 
 
-def adopt(
+def adopt_view(
     state: WitnessState, proposer: MemberDisk, view: View, disks: Iterable[MemberDisk]
 ) -> WitnessState | None:
     """Adopt the view of an operator's recovery; None when it is outdated.
--- a/rooklug/storage/folder.py
+++ b/rooklug/storage/folder.py
@@ -186,9 +186,9 @@
     except OSError as problem:
         return Error(FolderError(f"data folder {path}: {problem}"))
     try:
-        return _open_locked(folder, node_id, lock).map_error(lambda error: _closing(lock, error))
+        return _open_locked(folder, node_id, lock).map_error(lambda error: _close_lock(lock, error))
     except OSError as problem:
-        return Error(_closing(lock, FolderError(f"data folder {path}: {problem}")))
+        return Error(_close_lock(lock, FolderError(f"data folder {path}: {problem}")))
 
 
 def _open_locked(
@@ -235,7 +235,7 @@
     return Ok(identity)
 
 
-def _closing(descriptor: int, error: FolderError) -> FolderError:
+def _close_lock(descriptor: int, error: FolderError) -> FolderError:
     os.close(descriptor)
     return error
 
--- a/tests/core_exploration.py
+++ b/tests/core_exploration.py
@@ -248,7 +248,7 @@
         return
     for other, answering in enumerate(world.members):
         if other != index and answering.state.voting:
-            state = witness_rules.register(answering.state, reader.own)
+            state = witness_rules.register_disk(answering.state, reader.own)
             if state is not None:
                 answer = ReadAnswer(reader.own, state)
                 yield _with(world, other, attrs.evolve(answering, state=state), [answer])
@@ -265,7 +265,7 @@
     ]
     for pair in combinations(answers, 2):
         if pair[0].own.core_id != pair[1].own.core_id:
-            state = witness_rules.recover(member.state, pair)
+            state = witness_rules.recover_vote(member.state, pair)
             if state is not None:
                 yield _with(world, index, attrs.evolve(member, state=state))
 
@@ -333,7 +333,7 @@
 
 
 def may_skip_comparison(member: Member, epoch: int) -> bool:
-    """As ``Backup._match``: entries of the view's own epoch are never cut."""
+    """As ``Backup._match_log``: entries of the view's own epoch are never cut."""
     return member.verified == epoch or _last(member.log).epoch == epoch
 
 
--- a/tests/core_mutations.py
+++ b/tests/core_mutations.py
@@ -48,7 +48,7 @@
 
 
 ONE_DISK = Mutation(Replicator, "acknowledged_by_all", _own_disk_only)
-NO_COMPARISON = Mutation(Backup, "_match", _no_comparison)
+NO_COMPARISON = Mutation(Backup, "_match_log", _no_comparison)
 NO_LEASE = Mutation(Primary, "is_active", _no_lease)
 NEWEST_ONLY = Mutation(ChangeHistory, "classify_change", _newest_only)
 BEFORE_THE_SYNC = Mutation(Disk, "after_sync", _before_the_sync)
--- a/tests/test_core_disks.py
+++ b/tests/test_core_disks.py
@@ -5,7 +5,7 @@
 from typing import Any
 from unittest import mock
 
-from rooklug.core.constants import LEASE_GUARD_S, QUORUM_WAIT_S
+from rooklug.core.constants import LEASE_GUARD_S, QUORUM_TIMEOUT_S
 from rooklug.wire.generated.core import ttypes as wire
 from tests.core_cluster import CORE_IDS
 from tests.core_cluster_waits import http, in_sync, wait_back, wait_in_sync
@@ -53,7 +53,7 @@
                     cluster.run(cluster.now + 0.5)
                 views = cluster.cores["core-a"].component.witness.state.promised_epoch // 3
                 self.assertLess(views, 10)
-                self.assertLess(slowest, QUORUM_WAIT_S)
+                self.assertLess(slowest, QUORUM_TIMEOUT_S)
 
     def test_lost_disk_of_a_backup_is_copied_again(self) -> None:
         cluster = started()
--- a/tests/test_core_exploration.py
+++ b/tests/test_core_exploration.py
@@ -95,7 +95,7 @@
 
     def test_lost_disk_reads_the_epochs_before_it_votes(self) -> None:
         start = world_after_failover(Budget(1, 0, 0, 1))
-        self.caught(witness_rules, "recover", _votes_at_once, start)
+        self.caught(witness_rules, "recover_vote", _votes_at_once, start)
 
     def test_only_a_disk_in_sync_leads(self) -> None:
         start = world_after_failover(Budget(1, 0, 0, 0))
--- a/tests/test_core_store.py
+++ b/tests/test_core_store.py
@@ -54,7 +54,7 @@
                 self.records = list(effect.records)
             else:
                 self.records += effect.records
-            self.disk.finished(effect.ticket, 0.0)
+            self.disk.on_write_finished(effect.ticket, 0.0)
 
     def step(self, kind: str, size: int) -> None:
         if kind == "append":
