--- a/tests/core_cluster.py
+++ b/tests/core_cluster.py
@@ -1,4 +1,7 @@
-"""Cores in virtual time: seeded network, disks that lose unsynced data, clients."""
+"""A simulated cluster of cores in virtual time, with clients.
+
+The seeded network delays, reorders and loses messages; a crash loses writes that aren't synced.
+"""
 
 import heapq
 import itertools
@@ -48,7 +51,7 @@
 
 
 class Recorder(BaseComponent):
-    """Keeps the events that other parts of a core's process would get."""
+    """Records the internal events that other components of a core's process would receive."""
 
     name = "recorder"
     subscribes_to = (
@@ -94,7 +97,7 @@
 
 
 class Core:
-    """One core's process and machine."""
+    """One core: its machine with a disk, and its current process."""
 
     def __init__(self, core_id: str, disk: SimulatedDisk) -> None:
         self.core_id = core_id
@@ -114,7 +117,7 @@
 
 
 class Cluster:
-    """Drives the cores; ``after_event`` is called with the core after each of its events."""
+    """Runs the cores; calls ``after_event`` with a core after each event that it has handled."""
 
     def __init__(
         self,
@@ -128,13 +131,13 @@
         self.exits_on_failed_write = False
         self.size = len(core_ids)
         self.first_start = True
-        self.seeds = CORE_IDS  # what new settings name
+        self.seeds = CORE_IDS  # the members in settings written from now on
         self.random = Random(seed)
         self.now = 0.0
         self.delay = delay
         self.sync = sync
         self.drop = 0.0
-        self.late = 0.0  # share of messages that come seconds late, after others
+        self.late = 0.0  # share of messages delayed by up to 5 s, so that later ones overtake them
         self.cuts: set[tuple[str, str]] = set()
         self.after_event: Callable[[Core], None] = lambda core: None
         self._queue: list[tuple[float, int, Callable[[], None]]] = []
@@ -151,7 +154,7 @@
         heapq.heappush(self._queue, (self.now + delay, next(self._counter), action))
 
     def run(self, until: float, stop: Callable[[], bool] = lambda: False) -> bool:
-        """Run to ``until``, or till ``stop`` holds; tell whether it did."""
+        """Run until the time ``until`` or until ``stop()`` holds; return whether it holds."""
         while not stop():
             if not self._queue or self._queue[0][0] > until:
                 self.now = max(self.now, until)
@@ -200,29 +203,31 @@
             self.start(core_id)
 
     def replace(self, gone_id: str, new_id: str) -> None:
-        """A machine is gone for good; another one with an empty disk comes elsewhere."""
+        """Remove a machine for good, and add one with an empty disk at another address."""
         if self.cores[gone_id].alive:
             self.crash(gone_id)
         self.remove(gone_id)
         self.add(new_id)
 
     def remove(self, gone_id: str) -> None:
-        """Settings that are written from now on name others."""
+        """Remove a core; settings written from now on name three of the others."""
         del self.cores[gone_id]
         self.seeds = tuple(self.cores)[:3]
 
     def add(self, new_id: str) -> None:
-        """A machine with an empty disk comes."""
+        """Add a core with an empty disk and start it."""
         self.first_start = False
         self.cores[new_id] = Core(new_id, SimulatedDisk(f"disk-{new_id}"))
         self.start(new_id)
 
     def crash(self, core_id: str) -> None:
-        """Kill the process: what isn't synced is lost, but for a prefix that happened to be."""
+        """Kill the process: unsynced writes are lost, except for a random prefix of them."""
         core = self.cores[core_id]
         core.alive = False
         core.life += 1
-        closes = self.random.random() < 0.5  # else the machine is gone with its connections
+        closes = (
+            self.random.random() < 0.5
+        )  # else the machine vanishes without closing its connections
         for write in core.unsynced[: self.random.randint(0, len(core.unsynced))]:
             self._persist(core, write)
         core.unsynced = []
@@ -259,7 +264,7 @@
         self.drop = 0.0
 
     def primary(self) -> Core | None:
-        """Return the core that may serve at this moment."""
+        """Return the core that may serve as the primary now, None if there is none."""
         serving = [
             c for c in self.cores.values() if c.alive and c.component.primary.may_serve(self.now)
         ]
@@ -312,7 +317,7 @@
     # network ------------------------------------------------------------------
 
     def request(self, core_id: str, request: Any, on_answer: Callable[[Any], None]) -> None:
-        """Send a client's request over the network; a lost one has no answer."""
+        """Send a client's request over the network; if a message is lost, no answer comes."""
         open_id = next(self._counter)
         self._open[open_id] = OpenCall(CLIENT, 0, 0, core_id, on_answer)
         self._carry(CLIENT, core_id, lambda: self._arrive(core_id, open_id, request))
@@ -395,7 +400,7 @@
         self.at(due - self.now, finish)
 
     def _sync_up_to(self, core: Core, life: int, effect: fx.WriteRecords | fx.RewriteFile) -> None:
-        """A write is synced only after those before it."""
+        """Sync a write and all those before it, in order."""
         while core.unsynced and any(write is effect for write in core.unsynced):
             write = core.unsynced.pop(0)
             self._persist(core, write)
--- a/tests/core_cluster_waits.py
+++ b/tests/core_cluster_waits.py
@@ -1,4 +1,4 @@
-"""What tests of a simulated cluster of cores wait for, and how they ask over HTTP."""
+"""Wait conditions and HTTP requests for tests with a simulated cluster of cores."""
 
 import json
 from typing import Any
@@ -24,7 +24,7 @@
 def http(
     cluster: Cluster, core_id: str, method: str, path: str, body: bytes = b""
 ) -> tuple[int, dict[str, Any]]:
-    """Send an HTTP request to a core; return status and body."""
+    """Send an HTTP request to a core; return the status and the JSON body."""
     responses: list[fx.HttpRespond] = []
     obey = cluster._obey
 
@@ -41,7 +41,7 @@
 
 
 def wait_back(cluster: Cluster, core_id: str, wait_s: float = 30.0) -> bool:
-    """Wait until this core's present disk is in sync."""
+    """Wait until this core's current disk is in sync; return whether it is."""
 
     def is_back() -> bool:
         primary = cluster.primary()
--- a/tests/core_exploration.py
+++ b/tests/core_exploration.py
@@ -1,8 +1,9 @@
-"""Breadth-first exploration of the epoch and in-sync protocol, over the real witness rules.
+"""Breadth-first exploration of a model of view changes and replication.
 
-Messages are never taken out of the network: each may come late, twice, or not at all, in
-any order. Leases and deadlines are left out, which only allows more histories. A state is
-judged by what was ever committed and which views were ever chosen.
+The model uses the real ``witness_rules``. Messages are never removed from the network: each may
+arrive late, several times, or never, in any order. Leases and deadlines are not modelled, which
+only allows more histories. The invariants are checked against every entry that was ever
+committed and every view that was ever chosen.
 """
 
 import argparse
@@ -39,7 +40,7 @@
 
 
 def explore(start: World, limit: int) -> Exploration:
-    """Visit every reachable state, at most ``limit``; raise on a broken invariant."""
+    """Visit all reachable states, up to ``limit``; raise if an invariant is broken."""
     _react.cache_clear()
     seen = {start}
     level = [start]
@@ -65,16 +66,16 @@
     for one, other in combinations(world.commits, 2):
         shared = min(len(one.log), len(other.log))
         if one.log[:shared] != other.log[:shared]:
-            raise BrokenInvariantError(f"committed {one} and {other}")
+            raise BrokenInvariantError(f"two logs committed that differ: {one} and {other}")
     for commit in world.commits:
         for start in world.chosen:
             lost = start.log[: len(commit.log)] != commit.log
             if start.view.epoch > commit.epoch and lost:
-                raise BrokenInvariantError(f"{commit} is missing in {start}")
+                raise BrokenInvariantError(f"{commit} is not in the log of the later view {start}")
 
 
 def successors(world: World) -> Iterator[World]:
-    """Every state one step away."""
+    """Yield every state that is one step away."""
     for index in range(len(CORES)):
         for step in STEPS:
             yield from step(world, index)
@@ -180,19 +181,19 @@
 
 
 def _abandon(world: World, index: int) -> Iterator[World]:
-    """A round ends without an answer that counts; its messages stay on their way."""
+    """End a proposal without a result; its messages stay in the network."""
     member = world.members[index]
     if member.round_epoch:
         yield _with(world, index, attrs.evolve(member, round_epoch=0, proposed=False))
 
 
 def may_lead_append(member: Member) -> bool:
-    """As ``Primary.may_append``."""
+    """Mirrors the epoch check of ``Primary.may_append``."""
     return member.state.promised_epoch == member.leading.epoch
 
 
 def may_commit(member: Member) -> bool:
-    """As ``Primary.may_commit``."""
+    """Mirrors the epoch check of ``Primary._may_commit``."""
     return member.state.accepted_epoch == member.leading.epoch
 
 
@@ -242,7 +243,7 @@
 
 
 def _read_epochs(world: World, index: int) -> Iterator[World]:
-    """Another witness registers the new disk, and answers with its state."""
+    """Read another witness: it registers the new disk and answers with its state."""
     reader = world.members[index].state
     if reader.voting:
         return
@@ -290,7 +291,7 @@
 
 @cache
 def _react(index: int, member: Member, message: Message) -> Reaction | None:
-    """Return the member after the message and what it sends, None when it ignores it."""
+    """Return the member after handling the message and what it sends, None if it ignores it."""
     if isinstance(message, Prepare):
         return _on_prepare(index, member, message)
     if isinstance(message, Accept):
@@ -333,7 +334,7 @@
 
 
 def may_skip_comparison(member: Member, epoch: int) -> bool:
-    """As ``Backup._match_log``: entries of the view's own epoch are never cut."""
+    """Mirrors ``Backup._match_log``: entries of the view's own epoch are never truncated."""
     return member.verified == epoch or _last(member.log).epoch == epoch
 
 
@@ -345,7 +346,7 @@
 
 
 def may_append(member: Member, epoch: int) -> bool:
-    """As ``Backup.on_append``."""
+    """Mirrors the epoch check of ``Backup.on_append``."""
     return epoch >= member.state.promised_epoch and member.verified == epoch
 
 
@@ -369,7 +370,7 @@
 
 
 def main() -> None:
-    """Explore further than the tests do, and print what was seen."""
+    """Explore with larger budgets than the tests do, and print the counts."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("start", choices=sorted(STARTS))
     for name in ("proposals", "appends", "crashes", "lost_disks"):
--- a/tests/core_exploration_states.py
+++ b/tests/core_exploration_states.py
@@ -1,4 +1,4 @@
-"""States and messages of the model of views and in-sync disks, and where explorations begin."""
+"""States and messages of the model that ``core_exploration`` explores, and its start states."""
 
 import attrs
 
@@ -44,7 +44,7 @@
 @attrs.frozen(cache_hash=True)
 class Append:
     epoch: int
-    log: Log  # up to the entry that is appended
+    log: Log  # up to and including the appended entry
 
 
 @attrs.frozen(cache_hash=True)
@@ -65,7 +65,7 @@
 
 @attrs.frozen(cache_hash=True)
 class Member:
-    """A core: its disk (``state``, ``log``), and what a crash takes."""
+    """A core: its disk (``state``, ``log``), and the fields that a crash resets."""
 
     state: WitnessState
     log: Log = ()
@@ -77,7 +77,7 @@
 
 @attrs.frozen(cache_hash=True)
 class Budget:
-    """How many more of each may happen."""
+    """How many more events of each kind may happen."""
 
     proposals: int
     appends: int
@@ -101,12 +101,12 @@
 
 
 class BrokenInvariantError(AssertionError):
-    """A history in which a committed entry is lost or committed twice."""
+    """A committed entry was lost, or two different entries were committed."""
 
 
 @attrs.frozen
 class Exploration:
-    """What was seen."""
+    """Counts of an exploration; ``complete`` if all reachable states were visited."""
 
     states: int
     complete: bool
@@ -115,7 +115,7 @@
 
 
 def first_world(budget: Budget) -> World:
-    """All three in sync in the first view, ``a`` its primary."""
+    """All three cores are in sync in the first view, and ``a`` is its primary."""
     disks = tuple(MemberDisk(core_id, core_id + "1") for core_id in CORES)
     view = View(FIRST_EPOCH, "a", disks)
     states = [WitnessState(disk, "", True, FIRST_EPOCH, disks[0], view, disks) for disk in disks]
@@ -127,7 +127,7 @@
 def world_after_failover(budget: Budget, learner: bool = False) -> World:
     """``b`` leads the second view with ``c``, and has committed one entry.
 
-    ``a`` still believes it leads the first view, or, as a learner, has caught up.
+    ``a`` still considers itself primary of the first view or, as a learner, has caught up.
     """
     before = first_world(budget)
     outdated, backup, other = before.members
@@ -149,7 +149,7 @@
 
 
 def world_after_half_view_change(budget: Budget) -> World:
-    """``b`` gave up taking ``a`` in sync, after both had accepted that view."""
+    """``b`` abandoned a view with ``a`` in sync after both had accepted it."""
     world = world_after_failover(budget, learner=True)
     learner, primary, follower = world.members
     epoch = witness_rules.next_epoch(primary.state.promised_epoch, 1)
--- a/tests/core_failover.py
+++ b/tests/core_failover.py
@@ -1,7 +1,7 @@
-"""Failover times in virtual time; no test.
+"""Measures failover times in virtual time; not a test.
 
-``python -m tests.core_failover --seeds 300`` prints, a kind of failure, the time from the
-failure to the moment when another core serves.
+``python -m tests.core_failover --seeds 300`` prints, for each kind of failure, the time from the
+failure until another core serves as the primary.
 """
 
 import argparse
@@ -29,7 +29,7 @@
 
 
 def failover_s(seed: int, failure: Callable[[Cluster, Core], None]) -> float:
-    """Return the seconds from the failure until another core serves."""
+    """Return the seconds from the failure until another core serves as the primary."""
     cluster = started(seed)
     cluster.run(cluster.now + 1.0 + 3.0 * cluster.random.random())
     old, began = cluster.primary(), cluster.now
@@ -40,7 +40,7 @@
         return any(core.component.primary.may_serve(cluster.now) for core in others)
 
     if not cluster.run(began + WAIT_S, another_serves):
-        raise TimeoutError(f"seed {seed}: nobody serves")
+        raise TimeoutError(f"seed {seed}: no other core became primary in time")
     return cluster.now - began
 
 
--- a/tests/core_faults.py
+++ b/tests/core_faults.py
@@ -1,4 +1,7 @@
-"""Seeded faults for cores, histories under them, and the command that runs many."""
+"""Seeded random faults for a simulated cluster, and a command that runs many seeds.
+
+``python -m tests.core_faults FIRST LAST`` runs the seeds from ``FIRST`` to ``LAST``.
+"""
 
 import argparse
 from random import Random
@@ -9,8 +12,11 @@
 
 
 class Faults:
-    """Seeded faults: crashes, freezes, stalled disks, cuts, loss; a disk is lost only if
-    both others hold everything in sync at that moment."""
+    """Random crashes, freezes, stalled disks, partitions, message loss and lost disks.
+
+    A disk is lost only while all others are in sync: more simultaneous losses than that need
+    an operator.
+    """
 
     def __init__(self, cluster: Cluster, random: Random, mean_s: float = 2.0) -> None:
         self.cluster = cluster
@@ -49,7 +55,7 @@
             self.cluster.at(self.random.uniform(0.01, 4.0), lambda: self._restart(core_id))
 
     def _power_cut(self, core_id: str) -> None:
-        """Two cores stop at once, while one or both were still writing."""
+        """Crash two cores at the same time, with writes in flight."""
         self._count("power cut")
         other = self.random.choice([other for other in self.cluster.cores if other != core_id])
         delay = self.random.uniform(0.05, 0.9)
@@ -129,10 +135,10 @@
 
 
 class Replacements(Faults):
-    """Also machines that are gone for good, and new ones at other addresses.
+    """Also replaces machines, unplanned or planned, by new ones at other addresses.
 
-    At most one machine is away for good at a time, and only while all others hold everything:
-    that is what the system is asked to bear.
+    At most one machine is removed at a time, and only while all others are in sync: this is what
+    the system has to tolerate.
     """
 
     def __init__(self, cluster: Cluster, random: Random, mean_s: float = 2.0) -> None:
@@ -140,7 +146,7 @@
         self._names = iter(LATER_IDS)
 
     def _power_cut(self, core_id: str) -> None:
-        """In the place of a cut of two machines: one is replaced."""
+        """Replace a machine instead of cutting the power of two."""
         if not self._all_in_sync() or core_id not in self.cluster.primary().component.peers.members:
             return
         new_id = next(self._names, "")
@@ -155,7 +161,7 @@
             self.cluster.at(self.random.uniform(0.5, 3.0), lambda: self._leave(core_id))
 
     def _leave(self, core_id: str) -> None:
-        """The old machine gets SIGTERM, and is gone a moment later; after other losses."""
+        """Stop the old machine gracefully and remove it, once all members are in sync."""
         if core_id not in self.cluster.cores:
             return
         if not self._all_in_sync():
@@ -180,7 +186,7 @@
     core_ids: tuple[str, ...] = CORE_IDS,
     min_in_sync_replicas: int = 2,
 ) -> tuple[Oracle, Faults]:
-    """Run one seeded history and judge it; the oracle raises on a broken promise."""
+    """Run one seeded history; the oracle raises if a guarantee is broken."""
     cluster = Cluster(seed, core_ids=core_ids, min_in_sync_replicas=min_in_sync_replicas)
     cluster.late = 0.01
     oracle = Oracle(cluster)
@@ -199,7 +205,7 @@
 
 
 def main() -> None:
-    """Run many seeds, and print each that breaks a promise."""
+    """Run many seeds and print each one that breaks a guarantee."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("first", type=int)
     parser.add_argument("last", type=int)
@@ -213,7 +219,7 @@
             broken += 1
             print(f"seed {seed}: {problem}")
     seeds = options.last + 1 - options.first
-    print(f"{seeds} seeds, {acknowledged} changes acknowledged, {broken} seeds broke a promise")
+    print(f"{seeds} seeds, {acknowledged} changes acknowledged, {broken} seeds broke a guarantee")
 
 
 if __name__ == "__main__":
--- a/tests/core_member_exploration.py
+++ b/tests/core_member_exploration.py
@@ -1,9 +1,9 @@
-"""Breadth-first exploration of view changes that also change the members, over the real rules.
+"""Exploration of view changes that also change the members, over the real ``witness_rules``.
 
-Four cores: three vote, the fourth wants to take the place of one of them. Messages come late,
-twice or never, in any order; logs and leases are left out. The invariant: whoever gets a view
-chosen has learned of every view that was chosen before it, also of one by other members. All
-else (which disks are in sync, what is committed) rests on that.
+Of four cores, three vote and the fourth is to replace one of them. Messages arrive late, several
+times or never, in any order; logs and leases are not modelled. The invariant: the proposer of a
+chosen view knows every view that was chosen before it, even one chosen by other members. The
+guarantees about in-sync disks and commits depend on it.
 """
 
 from collections.abc import Callable, Iterator
@@ -20,7 +20,7 @@
 CORES = ("a", "b", "c", "d")
 START = Position(0, 0)
 CHANGE = witness_rules.MemberChange(CoreMember("d", "d:1"), "c")
-# The changing core proposes with the change and then again to settle it; others plainly.
+# A core that leads proposes the member change, then a view without the old members.
 PROPOSERS = ("a", "b", "c")
 
 
@@ -46,7 +46,7 @@
 
 @attrs.frozen(cache_hash=True)
 class Proposal:
-    """A view that was proposed, the epoch of the newest view known then, and who must agree."""
+    """A proposed view, the epoch of the newest view that its proposer knew, and who must accept."""
 
     view: View
     base: int
@@ -56,7 +56,7 @@
 @attrs.frozen(cache_hash=True)
 class Core:
     state: WitnessState
-    epoch: int = 0  # of the round under way
+    epoch: int = 0  # of the proposal in progress, 0 if none
     changing: bool = False
     leads: View | None = None
 
@@ -71,7 +71,7 @@
 
 
 class BrokenInvariantError(AssertionError):
-    """A view was chosen by cores that don't know of one that was chosen before."""
+    """A view was chosen whose proposer didn't know one that had been chosen before it."""
 
 
 def electorates(view: View) -> tuple[frozenset[str], ...]:
@@ -80,7 +80,7 @@
 
 
 def first_world(rounds: tuple[int, ...]) -> World:
-    """``a`` leads the first view of a, b and c; ``rounds`` are the rounds each core may begin."""
+    """``a`` leads the first view, of a, b and c; each core may start ``rounds`` proposals."""
     disks = tuple(MemberDisk(core_id, core_id + "1") for core_id in CORES)
     members = tuple(CoreMember(core_id, f"{core_id}:1") for core_id in CORES[:3])
     view = View(FIRST_EPOCH, "a", disks[:3], members)
@@ -92,7 +92,10 @@
 
 
 def explore(start: World, limit: int) -> tuple[int, bool, int]:
-    """Return states seen, whether all were, and how many views were chosen; or raise."""
+    """Return the states visited, whether those are all, and the number of views chosen.
+
+    Raises ``BrokenInvariantError``.
+    """
     seen, level, chosen = {start}, [start], set()
     while level and len(seen) < limit:
         following = []
@@ -110,9 +113,9 @@
 
 
 def walk(start: World, walks: int, steps: int, seed: int) -> int:
-    """Go ``walks`` random ways from the start, judge each state; return how many were seen.
+    """Check each state of ``walks`` random walks from the start; return how many were visited.
 
-    Deeper than all ways together can be followed.
+    Walks reach deeper states than the exhaustive exploration can.
     """
     random = Random(seed)
     visited = 0
@@ -129,7 +132,7 @@
 
 
 def world_after_half_change(rounds: tuple[int, ...]) -> World:
-    """``a`` has proposed to take in ``d`` for ``c``, and nobody else has accepted it yet."""
+    """``a`` has proposed to replace ``c`` by ``d``, and no other core has accepted it yet."""
     world = first_world((1, 0, 0, 0))
     a, b, _, d = (core.state.own for core in world.cores)
     for chosen in (_begins, _promises_of(b), _promises_of(d), _promises_of(a), _proposes):
@@ -158,7 +161,9 @@
     for one in world.chosen:
         for later in world.chosen:
             if one.view.epoch < later.view.epoch and later.base < one.view.epoch:
-                raise BrokenInvariantError(f"{later} was chosen without knowledge of {one}")
+                raise BrokenInvariantError(
+                    f"{later} was chosen by a proposer that didn't know {one}"
+                )
 
 
 def successors(world: World) -> Iterator[World]:
@@ -183,7 +188,7 @@
     may_lead = state.view is not None and state.view.has(state.own)
     if not world.rounds_left[index] or not may_lead or CORES[index] not in PROPOSERS:
         return
-    # Each core takes an epoch that only it proposes, above all that it has promised.
+    # An epoch that only this core proposes, higher than any that it has promised.
     epoch = state.promised_epoch - state.promised_epoch % 4 + index
     epoch += 4 if epoch <= state.promised_epoch else 0
     if any(isinstance(m, Prepare) and m.epoch == epoch for m in world.messages):
@@ -252,7 +257,7 @@
 
 
 def must_agree(latest: View, view: View) -> tuple[frozenset[str], ...]:
-    """As ``ViewChanger._propose``: the electorates of the old and of the new view."""
+    """Mirrors ``ViewChanger._propose``: the electorates of the old and of the new view."""
     return (*electorates(latest), *electorates(view))
 
 
--- a/tests/core_mutations.py
+++ b/tests/core_mutations.py
@@ -1,6 +1,6 @@
-"""Guards of the running cores, each switched off: the oracle has to event.
+"""Mutations that disable one guard of the running cores each; the oracle must detect each one.
 
-The guards of the epoch protocol itself are in ``test_core_exploration``.
+``test_core_exploration`` does the same for the guards of the view-change protocol.
 """
 
 from typing import Any
@@ -16,7 +16,7 @@
 
 @attrs.frozen
 class Mutation:
-    """A method and what takes its place."""
+    """A method, and the faulty function that replaces it."""
 
     owner: Any
     name: str
--- a/tests/core_oracle.py
+++ b/tests/core_oracle.py
@@ -1,4 +1,4 @@
-"""What must hold of three cores under faults, classified from answers, events and commits."""
+"""Checks the guarantees of a cluster under faults from its answers, events and commits."""
 
 import hashlib
 from random import Random
@@ -14,7 +14,7 @@
 
 
 class BrokenPromiseError(AssertionError):
-    """The oracle has caught a broken promise."""
+    """The oracle has found a broken guarantee."""
 
 
 def digest_of(body: bytes) -> str:
@@ -23,7 +23,7 @@
 
 @attrs.define(eq=False)
 class Order:
-    """One change an operator wants, with everything that was answered to its sendings."""
+    """A change that an operator submits, possibly several times, and all answers to it."""
 
     version: int
     body: bytes
@@ -46,7 +46,7 @@
 
 
 class Oracle:
-    """Watches every event of a cluster; raises ``BrokenPromiseError``."""
+    """Checks the cluster after each of its events; raises ``BrokenPromiseError``."""
 
     def __init__(self, cluster: Cluster) -> None:
         self.cluster = cluster
@@ -69,30 +69,34 @@
         self._check_one_primary()
 
     def _check_commits(self, core: Core) -> None:
-        """The committed sequence is the same at every core, at any time."""
+        """Every core commits the same entries, at any time."""
         store = core.component.store
         key = (core.core_id, core.life)
         done = self._checked.get(key, store.log.base.sequence)
         for entry in store.log.between(max(done, store.log.base.sequence), store.committed):
             data = encode(entry)
             known = self.committed.setdefault(entry.sequence, data)
-            self.check(known == data, f"two entries committed as {entry.sequence}")
+            self.check(known == data, f"two entries committed with sequence {entry.sequence}")
         self._checked[key] = max(done, store.committed)
 
     def _check_events(self, core: Core) -> None:
-        """No core announces an older configuration after a newer, nor two under one version."""
+        """No core announces an older configuration after a newer one, or two for one version."""
         key = (core.core_id, core.life)
         done, newest = self._noticed.get(key, (0, (0, 0)))
         seen = core.recorder.seen
         for _, event in seen[done:]:
             if isinstance(event, internal.ConfigurationCommitted):
                 mark = (event.version.epoch, event.version.counter)
-                self.check(mark > newest, f"{core.core_id} slides back to {mark}")
+                self.check(mark > newest, f"{core.core_id} announced the older version {mark}")
                 newest = mark
                 digest = digest_of(event.body.document)
-                self.check(digest == event.body.digest, "the digest isn't the document's")
+                self.check(
+                    digest == event.body.digest, "announced digest doesn't match the document"
+                )
                 known = self.documents.setdefault(event.body.version, digest)
-                self.check(known == digest, f"two documents as version {event.body.version}")
+                self.check(
+                    known == digest, f"two documents announced for version {event.body.version}"
+                )
         self._noticed[key] = (len(seen), newest)
 
     def _check_one_primary(self) -> None:
@@ -102,7 +106,7 @@
             for core in self.cluster.cores.values()
             if core.alive and not core.frozen and core.component.primary.may_serve(now)
         ]
-        self.check(len(serving) <= 1, f"two primaries serve: {serving}")
+        self.check(len(serving) <= 1, f"several primaries serve at once: {serving}")
 
     # operators --------------------------------------------------------------
 
@@ -117,14 +121,20 @@
         digest = digest_of(order.body)
         if answer.outcome == "accepted":
             known = self.acknowledged.setdefault(order.version, digest)
-            self.check(known == digest, f"two winners of version {order.version}")
-            self.check(not order.body.startswith(INVALID), "an invalid document was taken")
+            self.check(known == digest, f"two changes accepted for version {order.version}")
+            self.check(not order.body.startswith(INVALID), "an invalid document was accepted")
         if answer.outcome == "conflict":
-            self.check(not order.accepted, f"version {order.version}: refused after accepted")
-            self.check(answer.digest != digest, "a conflict that names the loser as winner")
+            self.check(
+                not order.accepted,
+                f"version {order.version} answered as a conflict after it was accepted",
+            )
+            self.check(
+                answer.digest != digest,
+                "the answer to a conflict has the digest of the rejected change",
+            )
 
     def read(self, core_id: str) -> None:
-        """A linearizable read is at least as new as what was acknowledged before it."""
+        """Send a linearizable read; it must return every change acknowledged before it."""
         least = max(self.acknowledged, default=0)
 
         def answered(answer: control.ReadConfigurationAnswer) -> None:
@@ -132,8 +142,13 @@
                 return
             self.reads += 1
             body = answer.configuration
-            self.check(body.version >= least, f"read {body.version} after {least} was taken")
-            self.check(digest_of(body.document) == body.digest or not body.version, "digest")
+            self.check(
+                body.version >= least, f"read version {body.version} after {least} was acknowledged"
+            )
+            self.check(
+                digest_of(body.document) == body.digest or not body.version,
+                "digest read doesn't match the document",
+            )
 
         request = control.ReadConfigurationRequest(linearizable=True)
         self.cluster.request(core_id, request, answered)
@@ -141,7 +156,7 @@
     # the end ------------------------------------------------------------------
 
     def finish(self) -> None:
-        """Heal everything; then every acknowledged change must be there, exactly once."""
+        """End all faults; then every acknowledged change must be present, exactly once."""
         cluster = self.cluster
         cluster.heal()
         for core in cluster.cores.values():
@@ -160,19 +175,25 @@
             everybody = in_sync == view.member_ids <= set(cluster.cores)
             return everybody and len(in_sync) == cluster.size and not view.previous
 
-        self.check(cluster.run(cluster.now + 120.0, whole), "no whole view after healing")
+        self.check(
+            cluster.run(cluster.now + 120.0, whole),
+            "not all cores came in sync after the faults had ended",
+        )
         self._check_table(cluster.primary())
         self._check_resent()
 
     def _check_table(self, primary: Core) -> None:
         table = {v: d.hex() for v, d in primary.component.store.state.changes.items()}
         for version, digest in sorted(self.acknowledged.items()):
-            self.check(table.get(version) == digest, f"acknowledged {version} is lost")
+            self.check(table.get(version) == digest, f"acknowledged version {version} is lost")
         for order in self.orders:
             taken = table.get(order.version) == digest_of(order.body)
             outcomes = {answer.outcome for answer in order.answers}
             certain = len(order.answers) == order.sent and outcomes <= FINAL - {"accepted"}
-            self.check(not (certain and taken), f"{order.version} is taken but was {outcomes}")
+            self.check(
+                not (certain and taken),
+                f"{order.version} is committed but was answered {outcomes}",
+            )
 
     def _check_resent(self) -> None:
         for version, digest in sorted(self.acknowledged.items()):
@@ -181,10 +202,10 @@
             )
             answer = self._resend(order)
             again = answer is not None and answer.outcome == "accepted" and answer.repeated
-            self.check(again, f"{version} sent again: {answer}")
+            self.check(again, f"{version} sent again, but not answered as repeated: {answer}")
 
     def _resend(self, order: Order) -> control.SubmitChangeAnswer | None:
-        """Send as an operator does: to the primary, again after an answer that isn't final."""
+        """Send a change to the primary until an answer is final; return that answer, if any."""
         cluster = self.cluster
         for _ in range(10):
             answers: list[control.SubmitChangeAnswer] = []
@@ -199,7 +220,7 @@
 
 
 class Operators:
-    """Two operators who race on versions, patch, send again, and sometimes send rubbish."""
+    """An operator who competes for versions, patches, retries, and sends invalid documents."""
 
     def __init__(self, oracle: Oracle, random: Random, name: str, interval: float = 0.15) -> None:
         self.oracle = oracle
--- a/tests/core_storm.py
+++ b/tests/core_storm.py
@@ -1,8 +1,8 @@
-"""A storm of changes on three real cores, with real disks and sockets; no test.
+"""Load test of changes on three core processes, with real disks and sockets; not a unit test.
 
-``python -m tests.core_storm --seconds 5 --in-flight 64`` prints acknowledged changes a
-second and their latency; ``--kill`` kills the primary half way, and checks at the end
-that every acknowledged change is acknowledged again.
+``python -m tests.core_storm --seconds 5 --in-flight 64`` prints the acknowledged changes per
+second and their latency. ``--kill`` kills the primary half-way. At the end every acknowledged
+change is sent again and must be answered as repeated.
 """
 
 import argparse
@@ -40,7 +40,7 @@
 
 
 class Cores:
-    """Three core processes with data folders under ``folder``."""
+    """Three core processes on loopback, with data folders under ``folder``."""
 
     def __init__(self, folder: Path) -> None:
         self.addresses = {core_id: free_address() for core_id in CORE_IDS}
@@ -76,7 +76,7 @@
 
 
 class Client:
-    """Sends thrift requests and waits for the answers."""
+    """Sends thrift requests to cores and waits for the answers."""
 
     def __init__(self) -> None:
         self._ids = count(1)
@@ -87,7 +87,7 @@
         )
 
     async def ask(self, address: str, request: Any, deadline_s: float = DEADLINE_S) -> Any:
-        """Return the answer, None if there is none in time."""
+        """Return the answer, None if there is none within ``deadline_s``."""
         call_id = next(self._ids)
         future = self._waiting[call_id] = asyncio.get_running_loop().create_future()
         self._calls.start(Call(call_id, address, request, deadline_s))
@@ -134,7 +134,7 @@
                     self.primary = address
                     return
             await asyncio.sleep(0.02)
-        raise TimeoutError("no primary")
+        raise TimeoutError("no core became primary in time")
 
     async def send(self, version: int) -> None:
         began = time.monotonic()
@@ -169,7 +169,7 @@
         await asyncio.gather(*tasks)
 
     async def lost(self) -> int:
-        """Return how many acknowledged changes aren't acknowledged again."""
+        """Return how many acknowledged changes are not answered as repeated when sent again."""
         await self.find_primary()
         lost = 0
         for version in self.acknowledged:
@@ -194,7 +194,7 @@
         cores.stop()
     latencies = sorted(storm.latencies)
     print(
-        f"{len(latencies) / options.seconds:.0f} acknowledged a second "
+        f"{len(latencies) / options.seconds:.0f} acknowledged per second "
         f"({len(document)} bytes each, {options.in_flight} in flight, {options.seconds} s), "
         f"p50 {1000 * latencies[len(latencies) // 2]:.1f} ms, "
         f"p99 {1000 * latencies[len(latencies) * 99 // 100]:.1f} ms, "
@@ -207,7 +207,7 @@
     parser.add_argument("--seconds", type=float, default=5.0)
     parser.add_argument("--in-flight", type=int, default=64)
     parser.add_argument("--bytes", type=int, default=0, help="pad the document to this size")
-    parser.add_argument("--kill", action="store_true", help="kill the primary half way")
+    parser.add_argument("--kill", action="store_true", help="kill the primary half-way")
     options = parser.parse_args()
     with tempfile.TemporaryDirectory() as folder:
         asyncio.run(measure(options, Path(folder)))
--- a/tests/stored_data.py
+++ b/tests/stored_data.py
@@ -1,8 +1,9 @@
-"""Data of the version before the names changed: how it was written, and how it is written now.
+"""Generates stored data and frames, for comparison with those of an earlier version.
 
-``tests/data`` holds what revision a2df920 wrote with this very module: one frame of every thrift
-struct, the data folders of cores whose members were replaced and whose log was compacted, a log
-with a cut tail, and the files of a claim store. ``python -m tests.stored_data`` writes it anew.
+``tests/data`` has the output of this module at revision a2df920, before names were changed: one
+frame of every thrift struct, the data folders of cores whose members were replaced and whose log
+was compacted, a log with a truncated tail, and the files of a claim store.
+``python -m tests.stored_data`` writes it again.
 """
 
 import itertools
@@ -47,7 +48,7 @@
 
 
 def sample(struct_class: type, depth: int = 0) -> Any:
-    """Return a struct whose every field is set, by the field's number and type alone."""
+    """Return a struct with every field set to a value that depends only on its number and type."""
     fields = {
         spec[2]: _sample_value(spec[1], spec[3], spec[0], depth)
         for spec in struct_class.thrift_spec
@@ -84,7 +85,7 @@
 
 
 def replaced_cluster() -> Cluster:
-    """Return cores that took changes, compacted their logs and had a member replaced."""
+    """Return a cluster that accepted changes, compacted its logs and had a member replaced."""
     cluster = Cluster(seed=24)
     for core_id, core in cluster.cores.items():
         core.disk.identity = disk_identity(core_id)
@@ -122,7 +123,7 @@
     identities = {}
     for core_id, core in replaced_cluster().cores.items():
         if core.disk.identity != disk_identity(core_id):
-            continue  # came later, its identity isn't one of a real folder
+            continue  # not a founder: its simulated identity isn't valid for a data folder
         identity = bytes.fromhex(core.disk.identity)
         with mock.patch("os.urandom", return_value=identity):
             folder, _ = open_folder(str(target / core_id), core_id).ok
@@ -136,7 +137,7 @@
 
 
 def cut_log() -> list[str]:
-    """Return the records of a log whose uncommitted tail was cut and written again."""
+    """Return the records of a log whose uncommitted tail was truncated and written again."""
     outbox = Outbox(Identifiers(itertools.count(1)))
     store = ReplicaStore(Disk(outbox))
     for epoch, sequence in ((3, 1), (3, 2), (3, 3)):
@@ -156,7 +157,7 @@
 
 
 def claim_store(records: dict[str, tuple[bytes, ...]]) -> ClaimStore:
-    """Return a claim store that was started with these files."""
+    """Return a claim store that was started with ``records``, by file name."""
     context = ProcessContext("core-a", "core-a-1", Random(1), Identifiers(itertools.count(1)))
     store = ClaimStore(context)
     store.handle(ev.Started(records, "disk", "" if records else "blank"), 0.0)
@@ -164,7 +165,7 @@
 
 
 def claim_store_files() -> dict[str, list[str]]:
-    """Return the records that a claim store writes for restored and new claims, by file."""
+    """Return the records that a claim store writes for restored and new claims, by file name."""
     store = claim_store({})
     token = VersionMark(epoch=5, counter=2)
     claims = [encode(claim(number)) for number in (1, 2, 3)]
@@ -181,7 +182,7 @@
 
 
 def claim(number: int) -> ClaimRecord:
-    """Return one claim of shard 3."""
+    """Return a claim whose fields depend on ``number``; the tests store it in shard 3."""
     return ClaimRecord(
         key_digest=sha256(b"%d" % number).digest()[:16],
         epoch=5,
@@ -195,7 +196,7 @@
 
 
 def main() -> None:
-    """Write ``tests/data`` anew."""
+    """Write the files of ``tests/data`` again."""
     shutil.rmtree(DATA, ignore_errors=True)
     FOLDERS.mkdir(parents=True)
     write_folders(FOLDERS)
--- a/tests/test_core_disks.py
+++ b/tests/test_core_disks.py
@@ -1,4 +1,4 @@
-"""Cores whose disks are lost, stall, come back old or belong to somebody else."""
+"""Cores whose disks are lost, slow, damaged or incomplete, and the recovery by an operator."""
 
 import json
 import unittest
@@ -13,14 +13,14 @@
 
 
 class DiskTest(unittest.TestCase):
-    def test_slow_backup_is_dropped_and_the_change_taken(self) -> None:
+    def test_slow_backup_leaves_the_in_sync_set_and_the_change_is_accepted(self) -> None:
         cluster = started()
         cluster.cores["core-c"].disk.stalled_until = cluster.now + 6.0
         self.assertEqual(ask(cluster, "core-a", change(1, b"{}")).outcome, "accepted")
         self.assertEqual(in_sync(cluster), ["core-a", "core-b"])
         self.assertTrue(wait_in_sync(cluster, list(CORE_IDS)))
 
-    def test_primary_with_a_slow_disk_hands_over_before_its_lease_ends(self) -> None:
+    def test_primary_with_a_stalled_disk_hands_over_before_its_lease_expires(self) -> None:
         cluster = started()
         cluster.cores["core-a"].disk.stalled_until = cluster.now + 10.0
         began = cluster.now
@@ -36,7 +36,7 @@
         again = ask(cluster, cluster.primary().core_id, change(1, b"{}"))
         self.assertEqual(again.outcome, "accepted")
 
-    def test_lastingly_slow_disk_costs_few_view_changes(self) -> None:
+    def test_permanently_slow_disk_causes_few_view_changes(self) -> None:
         for sync in ((0.15, 0.3), (0.4, 0.9), (1.5, 2.5)):
             with self.subTest(sync=sync):
                 cluster = started()
@@ -55,7 +55,7 @@
                 self.assertLess(views, 10)
                 self.assertLess(slowest, QUORUM_TIMEOUT_S)
 
-    def test_lost_disk_of_a_backup_is_copied_again(self) -> None:
+    def test_backup_with_a_lost_disk_receives_the_log_again(self) -> None:
         cluster = started()
         ask(cluster, "core-a", change(1, b"{}"))
         cluster.crash("core-b")
@@ -66,7 +66,7 @@
         self.assertNotIn("disk-core-b:core-b-1", disks)
         self.assertTrue(any(b"{}" in r for r in cluster.cores["core-b"].disk.files["control-log"]))
 
-    def test_copy_by_snapshot_in_parts(self) -> None:
+    def test_snapshot_transfer_in_chunks(self) -> None:
         small_file = mock.patch("rooklug.core.store.REWRITE_BYTES", 1500)
         small_parts = mock.patch("rooklug.core.control_state.CHANGES_PER_CHUNK", 3)
         with small_file, small_parts:
@@ -87,7 +87,7 @@
             cluster.run(cluster.now + 1.0)
             self.assertEqual(cluster.cores["core-b"].component.store.state.version, 20)
 
-    def test_two_blank_beside_one_with_data_start_nothing(self) -> None:
+    def test_no_primary_with_two_blank_disks_and_one_with_data(self) -> None:
         cluster = started()
         ask(cluster, "core-a", change(1, b"{}"))
         for core_id in CORE_IDS:
@@ -100,7 +100,7 @@
         for core_id in CORE_IDS:
             self.assertIn("runbook recover", cluster.cores[core_id].recorder.status.note)
 
-    def test_recover_names_the_loss_and_acts_on_the_confirmed_plan_only(self) -> None:
+    def test_recovery_reports_the_loss_and_executes_only_the_confirmed_plan(self) -> None:
         cluster = started()
         ask(cluster, "core-a", change(1, b"{}"))
         for core_id in CORE_IDS:
@@ -122,7 +122,7 @@
         again = ask(cluster, cluster.primary().core_id, change(1, b"{}"))
         self.assertEqual((again.outcome, again.repeated), ("accepted", True))
 
-    def test_recover_and_status_by_http(self) -> None:
+    def test_recovery_and_status_over_http(self) -> None:
         cluster = started()
         for core_id in CORE_IDS:
             cluster.crash(core_id)
@@ -146,14 +146,14 @@
         self.assertEqual((done[0], done[1]["outcome"]), (200, "recovered"))
         self.assertTrue(wait_in_sync(cluster, list(CORE_IDS)))
 
-    def test_recover_isnt_needed_while_a_primary_works(self) -> None:
+    def test_recovery_is_not_needed_while_there_is_a_primary(self) -> None:
         cluster = started()
         cluster.run(cluster.now + 1.0)
         for core_id in CORE_IDS:
             answer = ask(cluster, core_id, wire.RecoverRequest(""))
             self.assertEqual(answer.outcome, "not_needed")
 
-    def test_damaged_disk_is_not_in_sync_until_copied(self) -> None:
+    def test_damaged_disk_is_not_in_sync_until_replicated_again(self) -> None:
         cluster = started()
         ask(cluster, "core-a", change(1, b"{}"))
         cluster.crash("core-c")
@@ -164,7 +164,7 @@
         disks = {d.disk_id for d in cluster.primary().component.primary.view.in_sync}
         self.assertNotIn("disk-core-c:core-c-1", disks)
 
-    def test_log_with_a_gap_in_the_middle_is_not_in_sync_until_copied(self) -> None:
+    def test_log_with_a_missing_record_is_not_in_sync_until_replicated_again(self) -> None:
         cluster = started()
         for version in range(1, 4):
             ask(cluster, "core-a", change(version, b"{%d}" % version))
--- a/tests/test_core_exploration.py
+++ b/tests/test_core_exploration.py
@@ -1,4 +1,4 @@
-"""Exhaustive histories of the epoch and in-sync protocol, bounded, and the guards' worth."""
+"""Bounded exploration of view changes and replication, with and without each guard."""
 
 import sys
 import unittest
@@ -34,7 +34,7 @@
         print(f"{self.id()}: {seen}", file=sys.stderr)
         return seen
 
-    def test_one_view_change_and_a_crash_completely(self) -> None:
+    def test_all_states_of_one_view_change_and_a_crash(self) -> None:
         seen = self.explore(first_world(Budget(1, 1, 1, 0)), COMPLETE_LIMIT)
         self.assertTrue(seen.complete)
         self.assertGreater(seen.states, 1000)
@@ -78,7 +78,7 @@
 
 
 class GuardTest(unittest.TestCase):
-    """A guard that is switched off lets a history through that breaks an invariant."""
+    """Without any one of the guards, some reachable state breaks an invariant."""
 
     def caught(self, owner: Any, name: str, replacement: Any, start: World) -> None:
         self.addCleanup(core_exploration._react.cache_clear)
@@ -89,23 +89,23 @@
         start = first_world(Budget(1, 1, 0, 0))
         self.caught(core_exploration, "may_append", _any_epoch, start)
 
-    def test_late_start_cuts_nothing_of_its_own_epoch(self) -> None:
+    def test_late_start_view_truncates_nothing_of_its_own_epoch(self) -> None:
         start = first_world(Budget(1, 1, 0, 0))
         self.caught(core_exploration, "may_skip_comparison", _cut_at_any_time, start)
 
-    def test_lost_disk_reads_the_epochs_before_it_votes(self) -> None:
+    def test_core_with_a_lost_disk_reads_other_witnesses_before_it_votes(self) -> None:
         start = world_after_failover(Budget(1, 0, 0, 1))
         self.caught(witness_rules, "recover_vote", _votes_at_once, start)
 
-    def test_only_a_disk_in_sync_leads(self) -> None:
+    def test_only_a_core_with_an_in_sync_disk_leads(self) -> None:
         start = world_after_failover(Budget(1, 0, 0, 0))
         self.caught(witness_rules, "choose_view", _anyone_leads, start)
 
-    def test_only_an_equal_log_joins(self) -> None:
+    def test_only_a_disk_with_an_equal_log_is_admitted(self) -> None:
         start = world_after_failover(Budget(2, 0, 0, 0))
         self.caught(witness_rules, "choose_view", _every_voter_joins, start)
 
-    def test_primary_goes_on_with_nothing_after_a_view_change_that_failed_half_way(self) -> None:
+    def test_primary_neither_appends_nor_commits_after_a_partial_view_change(self) -> None:
         start = world_after_half_view_change(Budget(1, 1, 0, 0))
         self.assertTrue(explore(start, GUARD_LIMIT).complete)
         with mock.patch.object(core_exploration, "may_commit", _always):
--- a/tests/test_core_faults.py
+++ b/tests/test_core_faults.py
@@ -1,4 +1,4 @@
-"""Seeded faults over three cores: no promise is broken; without a guard, one is."""
+"""Seeded faults on three cores: all guarantees hold, and without any one guard one is broken."""
 
 import asyncio
 import sys
@@ -21,7 +21,7 @@
 
 
 class FaultTest(unittest.TestCase):
-    def test_no_seed_breaks_a_promise(self) -> None:
+    def test_all_guarantees_hold_with_every_seed(self) -> None:
         counts: Counter = Counter()
         for seed in SEEDS:
             with self.subTest(f"run_seed({seed})"):
@@ -42,30 +42,30 @@
 
 class GuardTest(unittest.TestCase):
     def caught(self, mutation: Mutation) -> None:
-        """Without the guard, some seed breaks a promise."""
+        """Check that without the guard some seed breaks a guarantee."""
         with mock.patch.object(mutation.owner, mutation.name, mutation.replacement):
             for seed in MUTATION_SEEDS:
                 try:
                     run_seed(seed)
                 except BrokenPromiseError:
                     return
-        self.fail(f"no seed notices that {mutation.owner.__name__}.{mutation.name} is off")
+        self.fail(f"no seed detects that {mutation.owner.__name__}.{mutation.name} is disabled")
 
-    def test_all_in_sync_acknowledge(self) -> None:
+    def test_commit_requires_all_in_sync_disks(self) -> None:
         self.caught(core_mutations.ONE_DISK)
 
-    def test_tails_are_compared(self) -> None:
+    def test_logs_are_compared_in_a_new_view(self) -> None:
         self.caught(core_mutations.NO_COMPARISON)
 
-    def test_primary_looks_at_its_lease(self) -> None:
+    def test_primary_checks_its_lease(self) -> None:
         self.caught(core_mutations.NO_LEASE)
 
-    def test_table_of_changes_is_kept(self) -> None:
+    def test_identities_of_accepted_changes_are_kept(self) -> None:
         self.caught(core_mutations.NEWEST_ONLY)
 
 
 def survives_a_power_cut() -> None:
-    """All lose power while a backup's disk stalls; what was acknowledged must be back."""
+    """Crash all cores while a backup's disk stalls; an acknowledged change must survive."""
     for seed in range(6):
         cluster = started(seed)
         oracle = Oracle(cluster)
@@ -84,7 +84,7 @@
 
 
 class DirectedGuardTest(unittest.TestCase):
-    def test_backup_that_hears_no_primary_takes_nothing_from_one_that_others_hear(self) -> None:
+    def test_backup_cut_off_from_the_primary_does_not_depose_it(self) -> None:
         cluster = started()
         oracle = Oracle(cluster)
         Operators(oracle, cluster.random, "amal").begin()
@@ -92,7 +92,7 @@
         cluster.run(cluster.now + 10.0)
         self.assertIs(cluster.primary(), cluster.cores["core-a"])
 
-    def test_no_promise_to_others_within_the_quiet_time(self) -> None:
+    def test_no_promise_to_another_core_while_the_lease_is_guarded(self) -> None:
         cluster = started()
         cluster.run(cluster.now + 1.0)
         rival = MemberDisk(core_id="core-b", disk_id="disk-core-b:core-b-1")
@@ -107,7 +107,7 @@
         granted = ask(cluster, "core-c", PrepareRequest(proposer=rival, epoch=7))
         self.assertTrue(granted.granted)
 
-    def test_answers_after_the_sync(self) -> None:
+    def test_answers_are_sent_after_the_sync(self) -> None:
         survives_a_power_cut()
         mutation = core_mutations.BEFORE_THE_SYNC
         replaced = mock.patch.object(mutation.owner, mutation.name, mutation.replacement)
@@ -116,7 +116,7 @@
 
 
 class LateMessageTest(unittest.TestCase):
-    def test_cluster_serves_again_after_every_core_was_down(self) -> None:
+    def test_cluster_serves_again_after_all_cores_were_down(self) -> None:
         cluster = Cluster(5)
         cluster.late = 0.05
         cluster.start_all()
@@ -130,11 +130,11 @@
 
 
 class StormClientTest(unittest.TestCase):
-    def test_a_call_that_nobody_takes_ends_without_an_answer(self) -> None:
-        async def ask_nobody() -> object:
+    def test_a_call_to_an_unused_address_ends_without_an_answer(self) -> None:
+        async def call_unused_address() -> object:
             client = Client()
             answer = await client.ask(free_address(), change(1, b"{}"), 1.0)
             client.close()
             return answer
 
-        self.assertIsNone(asyncio.run(ask_nobody()))
+        self.assertIsNone(asyncio.run(call_unused_address()))
--- a/tests/test_core_member_exploration.py
+++ b/tests/test_core_member_exploration.py
@@ -1,4 +1,4 @@
-"""Bounded histories of changes of the members, and the worth of each guard."""
+"""Bounded exploration of changes of the members, with and without each guard."""
 
 import sys
 import unittest
@@ -16,7 +16,7 @@
 WALKS = 1_000
 GUARD_WALKS = 20_000
 STEPS = 30
-# Rounds that a, b, c and d may begin.
+# The numbers of proposals that a, b, c and d may start.
 CHANGE_AND_RIVAL = (1, 1, 0, 0)
 CHANGE_SETTLED_AND_RIVAL = (2, 1, 0, 0)
 CHANGE_AND_LEAVER = (2, 0, 1, 0)
@@ -27,26 +27,26 @@
 
 
 def _at_once(*arguments: Any, **options: Any) -> Any:
-    """Change the members in one view, which only the new ones choose."""
+    """Change the members in a single view, which only the new members choose."""
     view = CHOOSE_VIEW(*arguments, **options)
     return view and attrs.evolve(view, previous=())
 
 
 def _settled_unseen(epoch: int, own: Any, others: Any, excluded: Any, change: Any, _: Any) -> Any:
-    """Take the newest view known as settled, though perhaps nobody has chosen it."""
+    """Treat the newest known view as chosen, although it may not be."""
     newest = witness_rules.newest_view(own, others)
     return CHOOSE_VIEW(epoch, own, others, excluded, change, newest)
 
 
 class Members(unittest.TestCase):
-    def test_a_change_and_a_rival_completely(self) -> None:
+    def test_all_states_of_a_change_and_a_competing_proposal(self) -> None:
         start = exploration.first_world(CHANGE_AND_RIVAL)
         states, complete, chosen = exploration.explore(start, LIMIT)
         print(f"{self.id()}: {states} states, {chosen} views chosen", file=sys.stderr)
         self.assertTrue(complete)
         self.assertGreater(chosen, 1)
 
-    def test_random_ways_from_a_half_change(self) -> None:
+    def test_random_walks_from_a_partial_change(self) -> None:
         for rounds in (CHANGE_AND_RIVAL, CHANGE_SETTLED_AND_RIVAL, CHANGE_AND_LEAVER):
             start = exploration.world_after_half_change(rounds)
             self.assertGreater(exploration.walk(start, WALKS, STEPS, seed=1), WALKS)
@@ -59,15 +59,15 @@
             start = exploration.world_after_half_change(rounds)
             exploration.walk(start, GUARD_WALKS, STEPS, seed=1)
 
-    def test_the_old_members_must_agree_too(self) -> None:
+    def test_the_old_members_must_accept_too(self) -> None:
         self.caught(exploration, "must_agree", _without_the_old, CHANGE_AND_RIVAL)
 
     def test_a_majority_is_more_than_half(self) -> None:
         half = mock.Mock(side_effect=lambda count: max(count // 2, 1))
         self.caught(quorum, "majority", half, CHANGE_AND_RIVAL)
 
-    def test_members_change_by_way_of_a_joint_view(self) -> None:
+    def test_members_change_through_a_joint_view(self) -> None:
         self.caught(witness_rules, "choose_view", _at_once, CHANGE_AND_RIVAL)
 
-    def test_only_a_chosen_view_is_settled(self) -> None:
+    def test_old_members_are_dropped_only_after_the_joint_view_is_chosen(self) -> None:
         self.caught(witness_rules, "choose_view", _settled_unseen, CHANGE_SETTLED_AND_RIVAL)
--- a/tests/test_core_members.py
+++ b/tests/test_core_members.py
@@ -1,4 +1,4 @@
-"""Who votes: cores that join, are replaced, or come back to members that have changed."""
+"""The voting members: cores that join, are replaced, or return after they were replaced."""
 
 import unittest
 
@@ -46,16 +46,16 @@
 
         send()
         taken = self.cluster.run(self.cluster.now + seconds, lambda: order.accepted)
-        self.assertTrue(taken, f"change {version} was not taken")
+        self.assertTrue(taken, f"change {version} was not accepted")
 
 
 class Joining(MemberCase):
-    def test_six_cores_that_know_three_seeds_become_members(self):
+    def test_six_cores_with_three_seeds_all_become_members(self):
         self.begin(SIX, copies=3)
         self.wait_whole(6.0)
         self.change(1)
 
-    def test_six_cores_bear_the_loss_of_two(self):
+    def test_six_cores_tolerate_the_loss_of_two(self):
         self.begin(SIX, copies=3)
         self.wait_whole(6.0)
         self.change(1)
@@ -66,7 +66,7 @@
         self.change(2)
         self.assertGreaterEqual(len(self.cluster.primary().component.primary.view.in_sync), 3)
 
-    def test_a_core_that_is_gone_for_good_is_replaced(self):
+    def test_a_core_that_is_lost_for_good_is_replaced(self):
         self.begin()
         self.wait_whole(3.0)
         self.change(1)
@@ -90,7 +90,7 @@
         self.change(9)
         self.assertEqual(self.members(), set(LATER_IDS[:3]))
 
-    def test_a_planned_replacement_comes_first_and_then_the_old_one_goes(self):
+    def test_a_planned_replacement_joins_before_the_old_core_leaves(self):
         for old in CORE_IDS:
             with self.subTest(old=old):
                 self.begin()
@@ -106,7 +106,7 @@
                 self.cluster.crash(other)
                 self.change(1)
 
-    def test_a_member_that_was_put_out_while_it_was_away_comes_back(self):
+    def test_a_member_that_was_replaced_while_down_joins_again(self):
         self.begin()
         self.wait_whole(3.0)
         self.cluster.crash("core-c")
@@ -124,7 +124,7 @@
 
 
 class FirstStart(MemberCase):
-    def test_blank_cores_never_form_a_second_system(self):
+    def test_blank_cores_do_not_form_a_second_cluster(self):
         self.begin()
         self.cluster.run(0.0)
         for core_id in CORE_IDS:
@@ -134,7 +134,7 @@
         self.cluster.start_all()
         self.assertFalse(self.cluster.run(30.0, lambda: self.cluster.primary() is not None))
 
-    def test_any_order_of_starting_forms_one_system(self):
+    def test_cores_form_one_cluster_in_any_start_order(self):
         for seed in range(20):
             self.cluster = Cluster(seed, delay=(0.001, 0.04))
             self.oracle = Oracle(self.cluster)
@@ -145,7 +145,7 @@
 
 
 class ComingBack(MemberCase):
-    """All processes end at once and come back: how soon is there a primary again?"""
+    """All processes end at the same time and restart: the time until there is a primary."""
 
     def last_start(self, wiped: bool, seed: int) -> float:
         self.begin(seed=seed)
@@ -165,17 +165,17 @@
         self.change(2)
         return self.cluster.now - began
 
-    def test_the_old_primary_leads_again_at_once(self):
+    def test_the_old_primary_leads_again_without_waiting_for_a_lease(self):
         for seed in range(20):
             self.assertLess(self.last_start(False, seed), 0.6)
 
-    def test_a_primary_that_lost_its_disk_frees_the_others(self):
+    def test_a_primary_that_lost_its_disk_does_not_delay_the_others(self):
         for seed in range(20):
             self.assertLess(self.last_start(True, seed), 1.2)
 
 
 class FullDisk(MemberCase):
-    def test_a_core_whose_disk_was_full_for_a_while_votes_again(self):
+    def test_a_core_whose_disk_was_full_votes_again_after_a_restart(self):
         self.begin()
         self.wait_whole(3.0)
         self.cluster.exits_on_failed_write = True
@@ -200,7 +200,7 @@
 
 
 class UnderFaults(unittest.TestCase):
-    def test_no_seed_breaks_a_promise_while_members_change(self):
+    def test_all_guarantees_hold_while_members_change(self):
         counts = {}
         for seed in range(SEEDS):
             with self.subTest(seed=seed):
@@ -211,7 +211,7 @@
         self.assertGreater(counts.get("replaced", 0), 1)
         self.assertGreater(counts.get("replaced as planned", 0), 1)
 
-    def test_no_seed_breaks_a_promise_with_six(self):
+    def test_all_guarantees_hold_with_six_cores(self):
         for seed in range(4):
             with self.subTest(seed=seed):
                 oracle, _ = run_seed(seed, core_ids=SIX, min_in_sync_replicas=3)
--- a/tests/test_core_replication.py
+++ b/tests/test_core_replication.py
@@ -1,4 +1,4 @@
-"""The thin path: first view, acknowledged changes, failover, restart from disk."""
+"""Basic replication: first view, acknowledged changes, failover, restart from disk."""
 
 import hashlib
 import unittest
@@ -46,7 +46,7 @@
             self.assertEqual(core.recorder.status.in_sync, list(CORE_IDS))
             self.assertEqual(noticed(core, internal.PrimaryKnown)[-1].address, "127.0.0.1:7000")
 
-    def test_two_blank_cores_form_nothing(self) -> None:
+    def test_two_blank_cores_form_no_view(self) -> None:
         cluster = Cluster(1)
         cluster.start("core-a")
         cluster.start("core-b")
@@ -56,7 +56,7 @@
 
 
 class CommitTest(unittest.TestCase):
-    def test_acknowledged_change_is_on_every_disk_and_read_back_as_sent(self) -> None:
+    def test_acknowledged_change_is_on_every_disk_and_is_read_back_unchanged(self) -> None:
         cluster = started()
         answer = ask(cluster, "core-a", change(1, b'{"a":1}'))
         self.assertEqual((answer.outcome, answer.repeated), ("accepted", False))
@@ -69,7 +69,7 @@
             committed = noticed(core, internal.ConfigurationCommitted)[-1]
             self.assertEqual((committed.version.epoch, committed.version.counter), (3, 1))
 
-    def test_others_name_the_primary(self) -> None:
+    def test_backup_answers_with_the_address_of_the_primary(self) -> None:
         cluster = started()
         cluster.run(cluster.now + 1.0)
         answer = ask(cluster, "core-b", change(1, b"{}"))
@@ -88,7 +88,7 @@
         again = ask(cluster, primary, change(1, b"{}"))
         self.assertEqual((again.outcome, again.repeated), ("accepted", True))
 
-    def test_restart_of_all_from_disk(self) -> None:
+    def test_all_cores_restart_from_disk(self) -> None:
         cluster = started()
         self.assertEqual(ask(cluster, "core-a", change(1, b"{}")).outcome, "accepted")
         for core_id in CORE_IDS:
@@ -102,7 +102,7 @@
         )
         self.assertEqual((read.configuration.version, read.configuration.document), (1, b"{}"))
 
-    def test_returned_member_comes_back_in_sync(self) -> None:
+    def test_restarted_member_comes_back_in_sync(self) -> None:
         cluster = started()
         cluster.crash("core-c")
         self.assertEqual(ask(cluster, "core-a", change(1, b"{}")).outcome, "accepted")
--- a/tests/test_core_scenarios.py
+++ b/tests/test_core_scenarios.py
@@ -1,4 +1,4 @@
-"""One fault at a time: what each does to the three cores, and that it heals."""
+"""Single faults and special orders of events: their effect on three cores, and the recovery."""
 
 import unittest
 from typing import Any
@@ -19,7 +19,7 @@
 
 
 class FrozenPrimaryTest(unittest.TestCase):
-    def test_woken_primary_acts_on_nothing(self) -> None:
+    def test_resumed_primary_does_not_execute_queued_requests(self) -> None:
         cluster = started()
         answers: list[Any] = []
         cluster.freeze("core-a")
@@ -36,7 +36,7 @@
         self.assertEqual(ask(cluster, new_primary, READ).configuration.document, b"{new}")
         self.assertTrue(wait_in_sync(cluster, list(CORE_IDS)))
 
-    def test_isolated_primary_stops_before_another_starts(self) -> None:
+    def test_isolated_primary_steps_down_before_another_starts(self) -> None:
         cluster = started()
         cluster.isolate("core-a")
         other = ("core-b", "core-c")
@@ -60,7 +60,7 @@
 
 
 class OperatorTest(unittest.TestCase):
-    def test_race_on_one_number_has_one_winner(self) -> None:
+    def test_one_of_two_changes_with_the_same_version_is_accepted(self) -> None:
         cluster = started()
         answers: list[Any] = []
         cluster.request("core-a", change(1, b"{1}"), answers.append)
@@ -71,7 +71,7 @@
         self.assertEqual(conflict.digest, accepted.digest)
         self.assertEqual(conflict.version, 1)
 
-    def test_patch_needs_the_newest_base_and_names_it(self) -> None:
+    def test_patch_requires_the_newest_base_and_a_conflict_names_it(self) -> None:
         cluster = started()
         ask(cluster, "core-a", change(1, b"{1}"))
         self.assertEqual(ask(cluster, "core-a", change(2, b"p", base=1)).outcome, "accepted")
@@ -81,21 +81,21 @@
         self.assertEqual((again.outcome, again.repeated), ("accepted", True))
         self.assertEqual(ask(cluster, "core-a", READ).configuration.document, b"{1}+p")
 
-    def test_invalid_document_is_refused_whole_with_all_problems(self) -> None:
+    def test_invalid_document_is_rejected_with_all_problems(self) -> None:
         cluster = started()
         answer = ask(cluster, "core-a", change(1, b"invalid"))
         self.assertEqual(answer.outcome, "invalid")
         self.assertEqual(len(answer.problems), 2)
         self.assertEqual(ask(cluster, "core-a", READ).configuration.version, 0)
 
-    def test_wrong_digest_and_version_bounds(self) -> None:
+    def test_wrong_digest_and_version_out_of_bounds_are_rejected(self) -> None:
         cluster = started()
         wrong = change(0, b"{}")
         wrong.digest = "00"
         answer = ask(cluster, "core-a", wrong)
         self.assertEqual((answer.outcome, len(answer.problems)), ("invalid", 2))
 
-    def test_zone_orders_repeat_without_effect(self) -> None:
+    def test_repeated_zone_order_has_no_effect(self) -> None:
         cluster = started()
         empty = control.SetZoneRequest(zone="north", emptied=True, operation_id="op-1")
         restore = control.SetZoneRequest(zone="north", emptied=False, operation_id="op-2")
@@ -108,7 +108,7 @@
             zones = noticed(core, internal.ZonesCommitted)
             self.assertEqual([z.body.emptied_zones for z in zones], [["north"], []])
 
-    def test_nothing_new_with_one_of_three(self) -> None:
+    def test_no_change_is_accepted_with_one_of_three_cores(self) -> None:
         cluster = started()
         cluster.crash("core-b")
         cluster.crash("core-c")
@@ -118,7 +118,7 @@
         unsure = control.ReadConfigurationRequest(linearizable=False)
         self.assertTrue(ask(cluster, "core-a", unsure).ok)
 
-    def test_graceful_stop_hands_over_at_once(self) -> None:
+    def test_graceful_stop_hands_over_before_the_lease_expires(self) -> None:
         cluster = started()
         cluster.run(cluster.now + 1.0)
         began = cluster.now
@@ -130,7 +130,7 @@
 
 
 class UnwrittenTest(unittest.TestCase):
-    def test_stopped_primary_forgets_what_its_disk_never_got(self) -> None:
+    def test_deposed_primary_discards_entries_never_written_to_disk(self) -> None:
         cluster = started()
         core = cluster.cores["core-a"]
         core.disk.stalled_until = cluster.now + 5.0
@@ -145,7 +145,7 @@
 
 
 class OrderTest(unittest.TestCase):
-    def test_checks_that_end_out_of_order_keep_the_order_of_arrival(self) -> None:
+    def test_changes_are_appended_in_order_of_arrival_not_of_their_checks(self) -> None:
         cluster = started()
         held: list[Any] = []
         obey = cluster._obey
@@ -168,7 +168,10 @@
 
 
 class HalfViewChangeTest(unittest.TestCase):
-    """The primary takes core-c in sync, but hears neither core-b's promise nor core-c's accept."""
+    """A view that admits core-c is accepted by it, but the primary doesn't learn of that.
+
+    Core-b's prepare request and core-c's answer to the accept request are lost.
+    """
 
     def half_way(self) -> Cluster:
         cluster = started()
@@ -194,7 +197,7 @@
         self.assertTrue(cluster.run(cluster.now + 10.0, accepted_at_c))
         return cluster
 
-    def test_what_is_acknowledged_after_it_is_not_lost(self) -> None:
+    def test_changes_acknowledged_afterwards_are_not_lost(self) -> None:
         cluster = self.half_way()
         oracle = Oracle(cluster)
         cluster.isolate("core-c")
@@ -212,7 +215,7 @@
 
 
 class LateAnswerTest(unittest.TestCase):
-    def test_candidate_frozen_before_its_accept_is_answered_leads_nothing(self) -> None:
+    def test_candidate_frozen_before_its_proposal_is_accepted_never_leads(self) -> None:
         cluster = started()
         cluster.crash("core-a")
 
@@ -233,8 +236,8 @@
         cluster.heal()
         self.assertTrue(cluster.run(cluster.now + 10.0, lambda: cluster.primary() is not None))
 
-    def test_late_hand_over_of_an_earlier_epoch_changes_nothing(self) -> None:
-        """core-a gave up epoch 3, then led epoch 9, of which core-c has heartbeats only."""
+    def test_late_hand_over_of_an_earlier_epoch_is_ignored(self) -> None:
+        """A hand-over for epoch 3 arrives when core-c supports epoch 9 of the same primary."""
         cluster = started()
         cluster.run(cluster.now + 1.0)
         primary = MemberDisk("core-a", "disk-core-a:core-a-1")
@@ -246,7 +249,7 @@
 
 
 class HeldUpOrderTest(unittest.TestCase):
-    def test_a_zone_order_that_was_held_up_undoes_nothing(self) -> None:
+    def test_a_delayed_zone_order_does_not_revert_later_ones(self) -> None:
         cluster = started()
         primary = cluster.primary()
         known = primary.component.store.state.zones_version()
--- a/tests/test_core_store.py
+++ b/tests/test_core_store.py
@@ -1,4 +1,4 @@
-"""The data copy against a model: restarts, cuts, rewrites, damaged records, comparisons."""
+"""The replica store against a model: restarts, truncation, rewrites, damage, log comparison."""
 
 import hashlib
 import itertools
@@ -33,7 +33,7 @@
 
 
 class StoreOnDisk:
-    """A store whose writes are applied at once to a list of records, beside a model."""
+    """A store whose writes are applied at once to a list of records, and a model of it."""
 
     def __init__(self) -> None:
         self.records: list[bytes] = []
@@ -98,7 +98,7 @@
 class StoreTest(unittest.TestCase):
     @FUZZ
     @given(STEPS)
-    def test_restart_reads_back_what_was_written(self, steps: list[tuple[str, int]]) -> None:
+    def test_restart_restores_what_was_written(self, steps: list[tuple[str, int]]) -> None:
         on_disk = run_steps(steps)
         with mock.patch.object(control_state, "CHANGES_PER_CHUNK", 2):
             on_disk.step("rewrite", 0)
@@ -119,7 +119,7 @@
 
     @FUZZ
     @given(STEPS, st.data())
-    def test_missing_record_is_a_problem_or_changes_nothing(
+    def test_missing_record_is_reported_or_has_no_effect(
         self, steps: list[tuple[str, int]], data: st.DataObject
     ) -> None:
         on_disk = run_steps(steps)
@@ -135,12 +135,12 @@
 
     @FUZZ
     @given(st.lists(st.binary(max_size=60), max_size=4))
-    def test_garbage_is_a_problem_never_an_exception(self, records: list[bytes]) -> None:
+    def test_random_records_are_reported_without_an_exception(self, records: list[bytes]) -> None:
         reader = RecordReader()
         problems = [reader.read(record) for record in records]
         self.assertTrue(all(isinstance(problem, str) for problem in problems))
 
-    def test_snapshot_that_ends_early_leaves_nothing(self) -> None:
+    def test_incomplete_snapshot_is_discarded(self) -> None:
         on_disk = run_steps([("append", 0), ("append", 0), ("commit", 2), ("rewrite", 0)])
         self.assertGreater(len(on_disk.records), 2)
         on_disk.records.pop()
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -1,4 +1,4 @@
-"""Record files and data folders: every byte damaged, every length cut."""
+"""Record files and data folders: damaged bytes, truncated files, crashes, failed writes."""
 
 import os
 import tempfile
@@ -24,7 +24,7 @@
         result = read_records(encode_records(payloads)).ok
         self.assertEqual((result.payloads, result.torn_bytes), (tuple(payloads), 0))
 
-    def test_every_cut_keeps_the_whole_records(self) -> None:
+    def test_truncation_at_any_byte_keeps_the_complete_records(self) -> None:
         data = encode_records(PAYLOADS)
         ends = [len(encode_records(PAYLOADS[:count])) for count in range(len(PAYLOADS) + 1)]
         for length in range(len(data) + 1):
@@ -35,7 +35,7 @@
                 (result.valid_bytes, result.torn_bytes + ends[whole]), (ends[whole], length)
             )
 
-    def test_every_wrong_byte_is_damage_never_a_skip(self) -> None:
+    def test_any_wrong_byte_is_damage_and_skips_no_record(self) -> None:
         data = encode_records(PAYLOADS)
         last_start = len(data) - len(encode_record(PAYLOADS[-1]))
         for offset in range(len(data)):
@@ -44,7 +44,7 @@
                 damaged[offset] ^= change
                 result = read_records(bytes(damaged))
                 if last_start <= offset < last_start + 4 and result.is_ok():
-                    # A wrong length of the last record is like a torn tail.
+                    # A damaged length of the last record can't be distinguished from a torn tail.
                     self.assertEqual(result.ok.payloads, PAYLOADS[:-1])
                 else:
                     self.assertTrue(result.is_error(), f"byte {offset} ^ {change}")
@@ -58,7 +58,7 @@
 
     @settings(derandomize=True, deadline=None)
     @given(st.binary(max_size=300))
-    def test_garbage_never_raises(self, data: bytes) -> None:
+    def test_random_bytes_raise_no_exception(self, data: bytes) -> None:
         result = read_records(data)
         self.assertTrue(result.is_error() or result.ok.valid_bytes <= len(data))
 
@@ -78,7 +78,7 @@
 
 
 class FolderAgainstOracleTest(unittest.TestCase):
-    """After any crash: all that was synced, then a whole-record prefix of what was not."""
+    """After a crash the file has all synced records, then a prefix of the unsynced ones."""
 
     @settings(derandomize=True, deadline=None, max_examples=100)
     @given(OPERATIONS)
@@ -114,7 +114,7 @@
             yield
 
     def crash(self, file: Path, synced: list, unsynced: list, kept_share: float) -> None:
-        """Lose the end of what was not synced."""
+        """Truncate the file: ``kept_share`` of the unsynced bytes remain."""
         if file.exists():
             tail = encode_records(unsynced)
             kept = len(encode_records(synced)) + int(len(tail) * kept_share)
@@ -138,7 +138,7 @@
         except OSError:
             return
 
-    def test_identity_is_made_once(self) -> None:
+    def test_identity_is_generated_once(self) -> None:
         folder, first = self.opened()
         folder.close()
         _, second = self.opened()
@@ -152,15 +152,15 @@
             path.unlink()
         self.assertNotEqual(self.opened()[1].disk_identity, first.disk_identity)
 
-    def test_another_nodes_folder_is_refused(self) -> None:
+    def test_the_folder_of_another_node_is_rejected(self) -> None:
         self.opened()[0].close()
         self.assertIn("belongs to node 'core-1'", open_folder(self.path, "core-2").error.message)
 
-    def test_a_folder_in_use_is_refused(self) -> None:
+    def test_a_folder_in_use_is_rejected(self) -> None:
         self.opened()
         self.assertIn("in use", open_folder(self.path, "core-1").error.message)
 
-    def test_every_damage_of_the_identity_is_refused_or_told(self) -> None:
+    def test_a_truncated_or_missing_identity_is_rejected(self) -> None:
         self.opened()[0].close()
         file = Path(self.path) / "identity.json"
         content = file.read_bytes()
@@ -171,11 +171,11 @@
         (Path(self.path) / "log.records").touch()
         self.assertIn("no identity", open_folder(self.path, "core-1").error.message)
 
-    def test_a_path_that_is_no_folder_is_refused(self) -> None:
+    def test_a_path_that_is_not_a_folder_is_rejected(self) -> None:
         Path(self.path).write_text("a file")
         self.assertTrue(open_folder(self.path, "core-1").is_error())
 
-    def test_torn_tail_is_cut_and_appends_go_on(self) -> None:
+    def test_torn_tail_is_truncated_and_appends_continue(self) -> None:
         folder, _ = self.opened()
         folder.append("log", [b"a", b"b"])
         folder.close()
@@ -187,7 +187,7 @@
         folder.close()
         self.assertEqual(self.opened()[1].records["log"], (b"a", b"b", b"c"))
 
-    def test_damaged_file_takes_no_appends_until_rewritten(self) -> None:
+    def test_damaged_file_rejects_appends_until_rewritten(self) -> None:
         folder, _ = self.opened()
         folder.append("log", [b"first", b"second"])
         folder.append("other", [b"x"])
@@ -204,7 +204,7 @@
         folder.close()
         self.assertEqual(self.opened()[1].records["log"], (b"new", b"third"))
 
-    def test_full_disk_keeps_what_was_there(self) -> None:
+    def test_full_disk_keeps_the_earlier_records(self) -> None:
         folder, _ = self.opened()
         folder.append("log", [b"a"])
         real_write = os.write
@@ -220,7 +220,7 @@
         folder.close()
         self.assertEqual(self.opened()[1].records["log"], (b"a", b"b"))
 
-    def test_after_a_failed_sync_nothing_is_taken_until_rewritten(self) -> None:
+    def test_appends_are_rejected_after_a_failed_sync_until_rewritten(self) -> None:
         folder, _ = self.opened()
         folder.append("log", [b"a"])
         with mock.patch("os.fdatasync", side_effect=OSError(5, "EIO")), self.assertRaises(OSError):
@@ -230,7 +230,7 @@
         folder.rewrite("log", [b"a", b"b"])
         folder.append("log", [b"c"])
 
-    def test_crash_inside_a_rewrite_leaves_the_old_content(self) -> None:
+    def test_failed_rewrite_keeps_the_old_content(self) -> None:
         folder, _ = self.opened()
         folder.append("log", [b"old"])
         with mock.patch("os.replace", side_effect=OSError(5, "EIO")), self.assertRaises(OSError):
@@ -238,7 +238,7 @@
         folder.close()
         self.assertEqual(self.opened()[1].records["log"], (b"old",))
 
-    def test_names_that_leave_the_folder_are_refused(self) -> None:
+    def test_file_names_outside_the_folder_are_rejected(self) -> None:
         folder, _ = self.opened()
         for name in ("../x", "", "a/b", ".hidden"):
             with self.assertRaises(OSError):
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -1,4 +1,4 @@
-"""Data and frames of revision a2df920 are read, and written, by this version to the byte."""
+"""This version reads the stored data and frames of revision a2df920 and writes the same bytes."""
 
 import itertools
 import json
@@ -39,14 +39,14 @@
 FOUNDERS_LEFT = ("core-a", "core-c")
 MEMBERS = {"core-a", "core-c", "core-d"}
 COMPACTED_AT = {"core-a": 3, "core-c": 2}
-"""The last entry that the snapshot at the head of a core's log stands for."""
+"""The last entry included in the snapshot at the start of each core's log."""
 COMMITTED_VERSION = 3
 NEWEST_VERSION = 4
-"""In the log, and not yet known to be committed when the folder was left."""
+"""In the log, but not known to be committed when the folder was written."""
 
 
 class Frames(unittest.TestCase):
-    """A node of either version understands the other's messages during a roll."""
+    """Nodes of either version understand each other during a rolling upgrade."""
 
     def setUp(self) -> None:
         self.stored = {
@@ -67,7 +67,7 @@
 
 
 class CoreFolders(unittest.TestCase):
-    """A core starts from the folder that an earlier version left."""
+    """A core starts from a data folder that an earlier version wrote."""
 
     def setUp(self) -> None:
         self.folder = Path(self.enterContext(tempfile.TemporaryDirectory()))
@@ -123,7 +123,7 @@
 
 
 class CutLog(unittest.TestCase):
-    """A log whose uncommitted tail was cut."""
+    """A log whose uncommitted tail was truncated."""
 
     def test_the_log_is_written_as_before(self) -> None:
         self.assertEqual(json.loads(CUT_LOG_FILE.read_text()), cut_log())
@@ -138,7 +138,7 @@
 
 
 class ClaimStoreFiles(unittest.TestCase):
-    """The claims of once-only requests on a core's disk."""
+    """The claims of once-only requests, as stored on a core's disk."""
 
     def setUp(self) -> None:
         self.stored = json.loads(CLAIMS_FILE.read_text())
@@ -162,7 +162,7 @@
 
 
 def _files(folder: Path) -> dict[str, bytes]:
-    """Return the content of the folder's files by path; the lock is no data."""
+    """Return the content of the folder's files by relative path, without the lock file."""
     return {
         str(path.relative_to(folder)): path.read_bytes()
         for path in sorted(folder.rglob("*"))
