--- a/tests/core_cluster.py
+++ b/tests/core_cluster.py
@@ -32,22 +32,22 @@
 
 
 @attrs.frozen
-class StandInProblem:
+class StubProblem:
     path: str
     message: str
 
 
-def stand_in_read(data: bytes) -> Result[bytes, tuple[StandInProblem, ...]]:
+def stub_read_configuration(data: bytes) -> Result[bytes, tuple[StubProblem, ...]]:
     if data.startswith(INVALID):
-        return Error((StandInProblem("$", "not a document"), StandInProblem("$.a", "too")))
+        return Error((StubProblem("$", "not a document"), StubProblem("$.a", "too")))
     return Ok(data)
 
 
-def stand_in_patch(document: bytes, patch: bytes) -> Result[bytes, tuple[StandInProblem, ...]]:
+def stub_apply_merge_patch(document: bytes, patch: bytes) -> Result[bytes, tuple[StubProblem, ...]]:
     return Ok(document + b"+" + patch)
 
 
-STAND_IN_CHECKER = DocumentChecker(stand_in_read, stand_in_patch)
+STUB_CHECKER = DocumentChecker(stub_read_configuration, stub_apply_merge_patch)
 
 
 class Recorder(BaseComponent):
@@ -88,10 +88,10 @@
 
 
 @attrs.define(eq=False)
-class OpenCall:
+class CallInFlight:
     caller: str
     call_id: int
-    life: int
+    incarnation: int
     target: str = ""
     on_answer: Callable[[Any], None] | None = None
 
@@ -102,10 +102,10 @@
     def __init__(self, core_id: str, disk: SimulatedDisk) -> None:
         self.core_id = core_id
         self.disk = disk
-        self.life = 0
+        self.incarnation = 0
         self.alive = False
         self.frozen = False
-        self.held: list[ev.Event] = []
+        self.held_events: list[ev.Event] = []
         self.unsynced: list[fx.WriteRecords | fx.RewriteFile] = []
         self.timers: dict[str, int] = {}
         self.reducer: CompositeReducer | None = None
@@ -136,13 +136,13 @@
         self.now = 0.0
         self.delay = delay
         self.sync = sync
-        self.drop = 0.0
-        self.late = 0.0  # share of messages delayed by up to 5 s, so that later ones overtake them
-        self.cuts: set[tuple[str, str]] = set()
+        self.lost_share = 0.0
+        self.delayed_share = 0.0  # share of messages that arrive up to 5 s late, after others
+        self.blocked_links: set[tuple[str, str]] = set()
         self.after_event: Callable[[Core], None] = lambda core: None
         self._queue: list[tuple[float, int, Callable[[], None]]] = []
         self._counter = itertools.count(1)
-        self._open: dict[int, OpenCall] = {}
+        self._calls_in_flight: dict[int, CallInFlight] = {}
         self.messages = 0
         self.cores = {
             core_id: Core(core_id, SimulatedDisk(f"disk-{core_id}")) for core_id in core_ids
@@ -150,7 +150,7 @@
 
     # time -----------------------------------------------------------------
 
-    def at(self, delay: float, action: Callable[[], None]) -> None:
+    def schedule(self, delay: float, action: Callable[[], None]) -> None:
         heapq.heappush(self._queue, (self.now + delay, next(self._counter), action))
 
     def run(self, until: float, stop: Callable[[], bool] = lambda: False) -> bool:
@@ -167,8 +167,8 @@
 
     def start(self, core_id: str) -> None:
         core = self.cores[core_id]
-        core.life += 1
-        core.alive, core.frozen, core.held = True, False, []
+        core.incarnation += 1
+        core.alive, core.frozen, core.held_events = True, False, []
         core.unsynced, core.timers = [], {}
         core.disk.busy_until = self.now
         node = NodeSettings(
@@ -184,7 +184,7 @@
         )
         context = ProcessContext(
             core_id,
-            f"{core_id}-{core.life}",
+            f"{core_id}-{core.incarnation}",
             Random(self.random.getrandbits(32)),
             Identifiers(itertools.count(1)),
         )
@@ -193,7 +193,7 @@
         settings = CoreSettings(
             node, founders, self.first_start, self.min_in_sync_replicas, self.exits_on_failed_write
         )
-        components = build_core_components(settings, context, STAND_IN_CHECKER)
+        components = build_core_components(settings, context, STUB_CHECKER)
         core.reducer = CompositeReducer([*components, core.recorder])
         files = {file: tuple(records) for file, records in core.disk.files.items()}
         self.deliver(core_id, ev.Started(files, core.disk.identity, core.disk.problem))
@@ -224,19 +224,19 @@
         """Kill the process: unsynced writes are lost, except for a random prefix of them."""
         core = self.cores[core_id]
         core.alive = False
-        core.life += 1
+        core.incarnation += 1
         closes = (
             self.random.random() < 0.5
         )  # else the machine vanishes without closing its connections
         for write in core.unsynced[: self.random.randint(0, len(core.unsynced))]:
             self._persist(core, write)
         core.unsynced = []
-        for open_id, open_call in list(self._open.items()):
-            if open_call.caller == core_id:
-                open_call.life = -1
-            elif open_call.target == core_id and closes:
-                failed = ev.CallFailed(open_call.call_id, "connection closed", True)
-                self.at(0.001, lambda i=open_id, failed=failed: self._end_call(i, failed))
+        for open_id, call_in_flight in list(self._calls_in_flight.items()):
+            if call_in_flight.caller == core_id:
+                call_in_flight.incarnation = -1
+            elif call_in_flight.target == core_id and closes:
+                failed = ev.CallFailed(call_in_flight.call_id, "connection closed", True)
+                self.schedule(0.001, lambda i=open_id, failed=failed: self._end_call(i, failed))
 
     def lose_disk(self, core_id: str) -> None:
         core = self.cores[core_id]
@@ -245,23 +245,23 @@
     def freeze(self, core_id: str) -> None:
         self.cores[core_id].frozen = True
 
-    def thaw(self, core_id: str) -> None:
+    def unfreeze(self, core_id: str) -> None:
         core = self.cores[core_id]
         core.frozen = False
-        held, core.held = core.held, []
-        for event in held:
+        held_events, core.held_events = core.held_events, []
+        for event in held_events:
             self.deliver(core_id, event)
 
-    def cut(self, source: str, target: str) -> None:
-        self.cuts.add((source, target))
+    def block_link(self, source: str, target: str) -> None:
+        self.blocked_links.add((source, target))
 
     def isolate(self, core_id: str) -> None:
         for other in (*self.cores, CLIENT):
-            self.cuts |= {(core_id, other), (other, core_id)}
+            self.blocked_links |= {(core_id, other), (other, core_id)}
 
     def heal(self) -> None:
-        self.cuts.clear()
-        self.drop = 0.0
+        self.blocked_links.clear()
+        self.lost_share = 0.0
 
     def primary(self) -> Core | None:
         """Return the core that may serve as the primary now, None if there is none."""
@@ -277,18 +277,18 @@
         if core is None or not core.alive:
             return
         if core.frozen:
-            core.held.append(event)
+            core.held_events.append(event)
             return
         effects = core.reducer.handle(event, self.now)
         for effect in effects:
-            self._obey(core, effect)
+            self._execute(core, effect)
         self.after_event(core)
 
-    def _deliver_to_life(self, core: Core, life: int, event: ev.Event) -> None:
-        if core.life == life:
+    def _deliver_to_incarnation(self, core: Core, incarnation: int, event: ev.Event) -> None:
+        if core.incarnation == incarnation:
             self.deliver(core.core_id, event)
 
-    def _obey(self, core: Core, effect: fx.Effect) -> None:
+    def _execute(self, core: Core, effect: fx.Effect) -> None:
         if isinstance(effect, fx.StartTimer):
             self._start_timer(core, effect)
         elif isinstance(effect, fx.Call):
@@ -299,8 +299,8 @@
             self._write(core, effect)
         elif isinstance(effect, fx.Compute):
             computed = ev.Computed(effect.ticket, effect.function(effect.argument))
-            life = core.life
-            self.at(0.0005, lambda: self._deliver_to_life(core, life, computed))
+            incarnation = core.incarnation
+            self.schedule(0.0005, lambda: self._deliver_to_incarnation(core, incarnation, computed))
         elif isinstance(effect, fx.StopProcess):
             self.crash(core.core_id)
 
@@ -312,32 +312,34 @@
             if core.timers.get(effect.name) == mark:
                 self.deliver(core.core_id, ev.TimerFired(effect.name))
 
-        self.at(effect.delay_s, fire)
+        self.schedule(effect.delay_s, fire)
 
     # network ------------------------------------------------------------------
 
     def request(self, core_id: str, request: Any, on_answer: Callable[[Any], None]) -> None:
         """Send a client's request over the network; if a message is lost, no answer comes."""
         open_id = next(self._counter)
-        self._open[open_id] = OpenCall(CLIENT, 0, 0, core_id, on_answer)
-        self._carry(CLIENT, core_id, lambda: self._arrive(core_id, open_id, request))
+        self._calls_in_flight[open_id] = CallInFlight(CLIENT, 0, 0, core_id, on_answer)
+        self._transmit(CLIENT, core_id, lambda: self._arrive(core_id, open_id, request))
 
     def _send(self, core: Core, effect: fx.Call) -> None:
         if effect.not_after is not None and self.now > effect.not_after:
             return
         target = BY_ADDRESS[effect.address]
         open_id = next(self._counter)
-        self._open[open_id] = OpenCall(core.core_id, effect.call_id, core.life, target)
+        self._calls_in_flight[open_id] = CallInFlight(
+            core.core_id, effect.call_id, core.incarnation, target
+        )
         self.messages += 1
-        self._carry(core.core_id, target, lambda: self._arrive(target, open_id, effect.request))
+        self._transmit(core.core_id, target, lambda: self._arrive(target, open_id, effect.request))
         failed = ev.CallFailed(effect.call_id, "deadline", True)
-        self.at(effect.deadline_s, lambda: self._end_call(open_id, failed))
+        self.schedule(effect.deadline_s, lambda: self._end_call(open_id, failed))
 
-    def _carry(self, source: str, target: str, action: Callable[[], None]) -> None:
-        if (source, target) in self.cuts or self.random.random() < self.drop:
+    def _transmit(self, source: str, target: str, action: Callable[[], None]) -> None:
+        if (source, target) in self.blocked_links or self.random.random() < self.lost_share:
             return
-        late = self.late and self.random.random() < self.late
-        self.at(
+        late = self.delayed_share and self.random.random() < self.delayed_share
+        self.schedule(
             self.random.uniform(0.05, 5.0) if late else self.random.uniform(*self.delay), action
         )
 
@@ -345,32 +347,32 @@
         core = self.cores.get(core_id)
         if core is None or not core.alive:
             failed = ev.CallFailed(0, "refused", True)
-            self.at(0.0005, lambda: self._end_call(open_id, failed))
+            self.schedule(0.0005, lambda: self._end_call(open_id, failed))
             return
         self.deliver(core_id, ev.CallArrived(open_id, "", request))
 
     def _answer(self, core: Core, effect: fx.Answer) -> None:
-        open_call = self._open.get(effect.call_id)
-        if open_call is None:
+        call_in_flight = self._calls_in_flight.get(effect.call_id)
+        if call_in_flight is None:
             return
-        answered = ev.CallAnswered(open_call.call_id, effect.answer)
-        self._carry(
-            core.core_id, open_call.caller, lambda: self._end_call(effect.call_id, answered)
+        answered = ev.CallAnswered(call_in_flight.call_id, effect.answer)
+        self._transmit(
+            core.core_id, call_in_flight.caller, lambda: self._end_call(effect.call_id, answered)
         )
 
     def _end_call(self, open_id: int, event: ev.CallAnswered | ev.CallFailed) -> None:
-        open_call = self._open.pop(open_id, None)
-        if open_call is None:
+        call_in_flight = self._calls_in_flight.pop(open_id, None)
+        if call_in_flight is None:
             return
-        if open_call.on_answer is not None:
+        if call_in_flight.on_answer is not None:
             if isinstance(event, ev.CallAnswered):
-                open_call.on_answer(event.answer)
+                call_in_flight.on_answer(event.answer)
             return
-        caller = self.cores.get(open_call.caller)
+        caller = self.cores.get(call_in_flight.caller)
         if caller is None:
             return
-        self._deliver_to_life(
-            caller, open_call.life, attrs.evolve(event, call_id=open_call.call_id)
+        self._deliver_to_incarnation(
+            caller, call_in_flight.incarnation, attrs.evolve(event, call_id=call_in_flight.call_id)
         )
 
     # disks --------------------------------------------------------------------
@@ -378,34 +380,36 @@
     def _write(self, core: Core, effect: fx.WriteRecords | fx.RewriteFile) -> None:
         if core.disk.full:
             failed = ev.WriteFailed(effect.ticket, "no space left")
-            life = core.life
-            self.at(0.001, lambda: self._deliver_to_life(core, life, failed))
+            incarnation = core.incarnation
+            self.schedule(0.001, lambda: self._deliver_to_incarnation(core, incarnation, failed))
             return
         core.unsynced.append(effect)
         begin = max(self.now, core.disk.busy_until, core.disk.stalled_until)
         core.disk.busy_until = begin + self.random.uniform(*(core.disk.sync or self.sync))
-        self._sync_later(core, core.life, effect, core.disk.busy_until)
+        self._sync_later(core, core.incarnation, effect, core.disk.busy_until)
 
     def _sync_later(
-        self, core: Core, life: int, effect: fx.WriteRecords | fx.RewriteFile, due: float
+        self, core: Core, incarnation: int, effect: fx.WriteRecords | fx.RewriteFile, due: float
     ) -> None:
         def finish() -> None:
-            if core.life != life:
+            if core.incarnation != incarnation:
                 return
             if self.now < core.disk.stalled_until:
-                self._sync_later(core, life, effect, core.disk.stalled_until)
+                self._sync_later(core, incarnation, effect, core.disk.stalled_until)
                 return
-            self._sync_up_to(core, life, effect)
+            self._sync_up_to(core, incarnation, effect)
 
-        self.at(due - self.now, finish)
+        self.schedule(due - self.now, finish)
 
-    def _sync_up_to(self, core: Core, life: int, effect: fx.WriteRecords | fx.RewriteFile) -> None:
+    def _sync_up_to(
+        self, core: Core, incarnation: int, effect: fx.WriteRecords | fx.RewriteFile
+    ) -> None:
         """Sync a write and all those before it, in order."""
         while core.unsynced and any(write is effect for write in core.unsynced):
             write = core.unsynced.pop(0)
             self._persist(core, write)
             finished = ev.WriteFinished(write.ticket, 0.001)
-            self._deliver_to_life(core, life, finished)
+            self._deliver_to_incarnation(core, incarnation, finished)
 
     def _persist(self, core: Core, write: fx.WriteRecords | fx.RewriteFile) -> None:
         if isinstance(write, fx.RewriteFile):
--- a/tests/core_cluster_waits.py
+++ b/tests/core_cluster_waits.py
@@ -26,15 +26,15 @@
 ) -> tuple[int, dict[str, Any]]:
     """Send an HTTP request to a core; return the status and the JSON body."""
     responses: list[fx.HttpRespond] = []
-    obey = cluster._obey
+    execute = cluster._execute
 
     def keep(core: Core, effect: fx.Effect) -> None:
         if isinstance(effect, fx.HttpRespond):
             responses.append(effect)
         else:
-            obey(core, effect)
+            execute(core, effect)
 
-    with mock.patch.object(cluster, "_obey", keep):
+    with mock.patch.object(cluster, "_execute", keep):
         cluster.deliver(core_id, ev.HttpRequestArrived(1, method, path, {}, {}, body))
         cluster.run(cluster.now + 5.0, lambda: bool(responses))
     return responses[0].status, json.loads(responses[0].body)
--- a/tests/core_exploration.py
+++ b/tests/core_exploration.py
@@ -35,13 +35,13 @@
     World,
     first_world,
     world_after_failover,
-    world_after_half_view_change,
+    world_after_partial_view_change,
 )
 
 
 def explore(start: World, limit: int) -> Exploration:
     """Visit all reachable states, up to ``limit``; raise if an invariant is broken."""
-    _react.cache_clear()
+    _handle_message.cache_clear()
     seen = {start}
     level = [start]
     commits: set[Commit] = set()
@@ -51,7 +51,7 @@
         for world in level:
             for successor in successors(world):
                 if successor not in seen:
-                    _judge(successor)
+                    _check_invariants(successor)
                     seen.add(successor)
                     following.append(successor)
                     commits |= successor.commits
@@ -62,7 +62,7 @@
     return Exploration(len(seen), not level, len(commits), len(chosen))
 
 
-def _judge(world: World) -> None:
+def _check_invariants(world: World) -> None:
     for one, other in combinations(world.commits, 2):
         shared = min(len(one.log), len(other.log))
         if one.log[:shared] != other.log[:shared]:
@@ -80,7 +80,7 @@
         for step in STEPS:
             yield from step(world, index)
         for message in world.messages:
-            reaction = _react(index, world.members[index], message)
+            reaction = _handle_message(index, world.members[index], message)
             if reaction is not None and _changes(world, index, *reaction):
                 yield _with(world, index, *reaction)
 
@@ -290,7 +290,7 @@
 
 
 @cache
-def _react(index: int, member: Member, message: Message) -> Reaction | None:
+def _handle_message(index: int, member: Member, message: Message) -> Reaction | None:
     """Return the member after handling the message and what it sends, None if it ignores it."""
     if isinstance(message, Prepare):
         return _on_prepare(index, member, message)
@@ -365,7 +365,7 @@
 STARTS = {
     "first": first_world,
     "failover": world_after_failover,
-    "half": world_after_half_view_change,
+    "half": world_after_partial_view_change,
 }
 
 
--- a/tests/core_exploration_states.py
+++ b/tests/core_exploration_states.py
@@ -148,7 +148,7 @@
     )
 
 
-def world_after_half_view_change(budget: Budget) -> World:
+def world_after_partial_view_change(budget: Budget) -> World:
     """``b`` abandoned a view with ``a`` in sync after both had accepted it."""
     world = world_after_failover(budget, learner=True)
     learner, primary, follower = world.members
--- a/tests/core_faults.py
+++ b/tests/core_faults.py
@@ -8,7 +8,7 @@
 
 from rooklug.engine import events as ev
 from tests.core_cluster import CORE_IDS, LATER_IDS, Cluster
-from tests.core_oracle import BrokenPromiseError, Operators, Oracle
+from tests.core_oracle import BrokenGuaranteeError, Operator, Oracle
 
 
 class Faults:
@@ -26,7 +26,7 @@
         self.counts: dict[str, int] = {}
 
     def begin(self) -> None:
-        self.cluster.at(self.random.expovariate(1 / self.mean_s), self._act)
+        self.cluster.schedule(self.random.expovariate(1 / self.mean_s), self._act)
 
     def _act(self) -> None:
         if not self.active:
@@ -52,7 +52,7 @@
         if self._is_alive(core_id):
             self._count("crash")
             self.cluster.crash(core_id)
-            self.cluster.at(self.random.uniform(0.01, 4.0), lambda: self._restart(core_id))
+            self.cluster.schedule(self.random.uniform(0.01, 4.0), lambda: self._restart(core_id))
 
     def _power_cut(self, core_id: str) -> None:
         """Crash two cores at the same time, with writes in flight."""
@@ -63,7 +63,7 @@
             disk = self.cluster.cores[stopped].disk
             if self.random.random() < 0.7:
                 disk.stalled_until = self.cluster.now + delay + 0.1
-            self.cluster.at(delay, lambda stopped=stopped: self._crash(stopped))
+            self.cluster.schedule(delay, lambda stopped=stopped: self._crash(stopped))
 
     def _restart(self, core_id: str) -> None:
         if core_id in self.cluster.cores and not self._is_alive(core_id):
@@ -77,14 +77,16 @@
         core = self.cluster.cores[core_id]
         if core.alive and not core.frozen:
             self._count("freeze")
-            life = core.life
+            incarnation = core.incarnation
             self.cluster.freeze(core_id)
-            self.cluster.at(self.random.uniform(0.5, 20.0), lambda: self._thaw(core_id, life))
+            self.cluster.schedule(
+                self.random.uniform(0.5, 20.0), lambda: self._unfreeze(core_id, incarnation)
+            )
 
-    def _thaw(self, core_id: str, life: int) -> None:
+    def _unfreeze(self, core_id: str, incarnation: int) -> None:
         core = self.cluster.cores.get(core_id)
-        if core is not None and core.life == life:
-            self.cluster.thaw(core_id)
+        if core is not None and core.incarnation == incarnation:
+            self.cluster.unfreeze(core_id)
 
     def _stall(self, core_id: str) -> None:
         self._count("stall")
@@ -94,29 +96,29 @@
     def _isolate(self, core_id: str) -> None:
         self._count("isolate")
         self.cluster.isolate(core_id)
-        self.cluster.at(self.random.uniform(0.5, 8.0), self.cluster.cuts.clear)
+        self.cluster.schedule(self.random.uniform(0.5, 8.0), self.cluster.blocked_links.clear)
 
     def _one_way(self, core_id: str) -> None:
         self._count("one way")
         others = [other for other in self.cluster.cores if other != core_id]
-        self.cluster.cut(core_id, self.random.choice(others))
-        self.cluster.at(self.random.uniform(0.5, 8.0), self.cluster.cuts.clear)
+        self.cluster.block_link(core_id, self.random.choice(others))
+        self.cluster.schedule(self.random.uniform(0.5, 8.0), self.cluster.blocked_links.clear)
 
     def _loss(self, core_id: str) -> None:
         self._count("loss")
-        self.cluster.drop = 0.15
+        self.cluster.lost_share = 0.15
 
         def end() -> None:
-            self.cluster.drop = 0.0
+            self.cluster.lost_share = 0.0
 
-        self.cluster.at(self.random.uniform(0.5, 5.0), end)
+        self.cluster.schedule(self.random.uniform(0.5, 5.0), end)
 
     def _lose_disk(self, core_id: str) -> None:
         if self._all_in_sync() and self.cluster.cores[core_id].alive:
             self._count("lost disk")
             self.cluster.crash(core_id)
             self.cluster.lose_disk(core_id)
-            self.cluster.at(self.random.uniform(0.01, 4.0), lambda: self._restart(core_id))
+            self.cluster.schedule(self.random.uniform(0.01, 4.0), lambda: self._restart(core_id))
 
     def _all_in_sync(self) -> bool:
         primary = self.cluster.primary()
@@ -158,17 +160,17 @@
         else:
             self._count("replaced as planned")
             self.cluster.add(new_id)
-            self.cluster.at(self.random.uniform(0.5, 3.0), lambda: self._leave(core_id))
+            self.cluster.schedule(self.random.uniform(0.5, 3.0), lambda: self._leave(core_id))
 
     def _leave(self, core_id: str) -> None:
         """Stop the old machine gracefully and remove it, once all members are in sync."""
         if core_id not in self.cluster.cores:
             return
         if not self._all_in_sync():
-            self.cluster.at(0.5, lambda: self._leave(core_id))
+            self.cluster.schedule(0.5, lambda: self._leave(core_id))
             return
         self.cluster.deliver(core_id, ev.StopRequested())
-        self.cluster.at(0.6, lambda: self._remove(core_id))
+        self.cluster.schedule(0.6, lambda: self._remove(core_id))
 
     def _remove(self, core_id: str) -> None:
         if core_id not in self.cluster.cores:
@@ -188,10 +190,10 @@
 ) -> tuple[Oracle, Faults]:
     """Run one seeded history; the oracle raises if a guarantee is broken."""
     cluster = Cluster(seed, core_ids=core_ids, min_in_sync_replicas=min_in_sync_replicas)
-    cluster.late = 0.01
+    cluster.delayed_share = 0.01
     oracle = Oracle(cluster)
     random = Random(seed)
-    operators = [Operators(oracle, random, name) for name in ("amal", "berit")]
+    operators = [Operator(oracle, random, name) for name in ("amal", "berit")]
     faults = kind(cluster, random, mean_s)
     cluster.start_all()
     for source in (*operators, faults):
@@ -215,7 +217,7 @@
         try:
             oracle, _ = run_seed(seed)
             acknowledged += len(oracle.acknowledged)
-        except BrokenPromiseError as problem:
+        except BrokenGuaranteeError as problem:
             broken += 1
             print(f"seed {seed}: {problem}")
     seeds = options.last + 1 - options.first
--- a/tests/core_member_exploration.py
+++ b/tests/core_member_exploration.py
@@ -102,7 +102,7 @@
         for world in level:
             for successor in successors(world):
                 if successor not in seen:
-                    judge(successor)
+                    check_invariant(successor)
                     seen.add(successor)
                     following.append(successor)
                     chosen |= successor.chosen
@@ -122,21 +122,21 @@
     for _ in range(walks):
         world = start
         for _ in range(steps):
-            ways = [way for way in successors(world) if way != world]
-            if not ways:
+            next_worlds = [next_world for next_world in successors(world) if next_world != world]
+            if not next_worlds:
                 break
-            world = random.choice(ways)
-            judge(world)
+            world = random.choice(next_worlds)
+            check_invariant(world)
             visited += 1
     return visited
 
 
-def world_after_half_change(rounds: tuple[int, ...]) -> World:
+def world_after_partial_change(rounds: tuple[int, ...]) -> World:
     """``a`` has proposed to replace ``c`` by ``d``, and no other core has accepted it yet."""
     world = first_world((1, 0, 0, 0))
     a, b, _, d = (core.state.own for core in world.cores)
     for chosen in (_begins, _promises_of(b), _promises_of(d), _promises_of(a), _proposes):
-        world = next(way for way in successors(world) if chosen(way, world))
+        world = next(next_world for next_world in successors(world) if chosen(next_world, world))
     return attrs.evolve(world, messages=frozenset(), rounds_left=rounds)
 
 
@@ -157,7 +157,7 @@
     return any("d" in proposal.view.member_ids for proposal in new)
 
 
-def judge(world: World) -> None:
+def check_invariant(world: World) -> None:
     for one in world.chosen:
         for later in world.chosen:
             if one.view.epoch < later.view.epoch and later.base < one.view.epoch:
@@ -172,7 +172,7 @@
         yield from _promise_own(world, index)
         yield from _propose(world, index)
         for message in world.messages:
-            yield from _react(world, index, message)
+            yield from _handle_message(world, index, message)
     yield from _choose(world)
 
 
@@ -261,7 +261,7 @@
     return (*electorates(latest), *electorates(view))
 
 
-def _react(world: World, index: int, message: object) -> Iterator[World]:
+def _handle_message(world: World, index: int, message: object) -> Iterator[World]:
     core = world.cores[index]
     if isinstance(message, Prepare) and message.proposer != core.state.own:
         joining = message.changing and CORES[index] == "d"
--- a/tests/core_mutations.py
+++ b/tests/core_mutations.py
@@ -23,32 +23,32 @@
     replacement: Any
 
 
-def _own_disk_only(self: Replicator) -> int:
+def _synced_on_own_disk(self: Replicator) -> int:
     return self._store.synced
 
 
-def _no_comparison(self: Backup, epoch: int, request: Any, now: float) -> bool:
+def _accept_without_comparison(self: Backup, epoch: int, request: Any, now: float) -> bool:
     self.verified_epoch = epoch
     return True
 
 
-def _no_lease(self: Primary, now: float) -> bool:
+def _active_without_lease(self: Primary, now: float) -> bool:
     return self.view is not None
 
 
-def _newest_only(
+def _classify_by_newest_version(
     self: ChangeHistory, version: int, digest: str, base_version: int | None
 ) -> Classification:
     newest = self.newest.version if self.newest else 0
     return Classification(Verdict.FRESH if version > newest else Verdict.CONFLICT)
 
 
-def _before_the_sync(self: Disk, now: float, then: Any) -> None:
+def _continue_before_sync(self: Disk, now: float, then: Any) -> None:
     then(now)
 
 
-ONE_DISK = Mutation(Replicator, "acknowledged_by_all", _own_disk_only)
-NO_COMPARISON = Mutation(Backup, "_match_log", _no_comparison)
-NO_LEASE = Mutation(Primary, "is_active", _no_lease)
-NEWEST_ONLY = Mutation(ChangeHistory, "classify_change", _newest_only)
-BEFORE_THE_SYNC = Mutation(Disk, "after_sync", _before_the_sync)
+COMMIT_FROM_OWN_DISK = Mutation(Replicator, "acknowledged_by_all", _synced_on_own_disk)
+SKIP_LOG_COMPARISON = Mutation(Backup, "_match_log", _accept_without_comparison)
+IGNORE_LEASE = Mutation(Primary, "is_active", _active_without_lease)
+KEEP_NEWEST_IDENTITY_ONLY = Mutation(ChangeHistory, "classify_change", _classify_by_newest_version)
+ANSWER_BEFORE_SYNC = Mutation(Disk, "after_sync", _continue_before_sync)
--- a/tests/core_oracle.py
+++ b/tests/core_oracle.py
@@ -10,10 +10,10 @@
 from rooklug.wire.generated.control import ttypes as control
 from tests.core_cluster import CORE_IDS, INVALID, Cluster, Core
 
-FINAL = {"accepted", "conflict", "invalid", "unavailable", "not_primary"}
+FINAL_OUTCOMES = {"accepted", "conflict", "invalid", "unavailable", "not_primary"}
 
 
-class BrokenPromiseError(AssertionError):
+class BrokenGuaranteeError(AssertionError):
     """The oracle has found a broken guarantee."""
 
 
@@ -22,7 +22,7 @@
 
 
 @attrs.define(eq=False)
-class Order:
+class OperatorChange:
     """A change that an operator submits, possibly several times, and all answers to it."""
 
     version: int
@@ -46,22 +46,22 @@
 
 
 class Oracle:
-    """Checks the cluster after each of its events; raises ``BrokenPromiseError``."""
+    """Checks the cluster after each of its events; raises ``BrokenGuaranteeError``."""
 
     def __init__(self, cluster: Cluster) -> None:
         self.cluster = cluster
-        self.orders: list[Order] = []
+        self.changes: list[OperatorChange] = []
         self.acknowledged: dict[int, str] = {}
         self.committed: dict[int, bytes] = {}
         self.documents: dict[int, str] = {}
         self._checked: dict[tuple[str, int], int] = {}
-        self._noticed: dict[tuple[str, int], tuple[int, tuple[int, int]]] = {}
+        self._announced: dict[tuple[str, int], tuple[int, tuple[int, int]]] = {}
         self.reads = 0
         cluster.after_event = self.after_event
 
     def check(self, holds: bool, message: str) -> None:
         if not holds:
-            raise BrokenPromiseError(f"at {self.cluster.now:.3f}: {message}")
+            raise BrokenGuaranteeError(f"at {self.cluster.now:.3f}: {message}")
 
     def after_event(self, core: Core) -> None:
         self._check_commits(core)
@@ -71,7 +71,7 @@
     def _check_commits(self, core: Core) -> None:
         """Every core commits the same entries, at any time."""
         store = core.component.store
-        key = (core.core_id, core.life)
+        key = (core.core_id, core.incarnation)
         done = self._checked.get(key, store.log.base.sequence)
         for entry in store.log.between(max(done, store.log.base.sequence), store.committed):
             data = encode(entry)
@@ -81,8 +81,8 @@
 
     def _check_events(self, core: Core) -> None:
         """No core announces an older configuration after a newer one, or two for one version."""
-        key = (core.core_id, core.life)
-        done, newest = self._noticed.get(key, (0, (0, 0)))
+        key = (core.core_id, core.incarnation)
+        done, newest = self._announced.get(key, (0, (0, 0)))
         seen = core.recorder.seen
         for _, event in seen[done:]:
             if isinstance(event, internal.ConfigurationCommitted):
@@ -97,7 +97,7 @@
                 self.check(
                     known == digest, f"two documents announced for version {event.body.version}"
                 )
-        self._noticed[key] = (len(seen), newest)
+        self._announced[key] = (len(seen), newest)
 
     def _check_one_primary(self) -> None:
         now = self.cluster.now
@@ -110,23 +110,25 @@
 
     # operators --------------------------------------------------------------
 
-    def send(self, order: Order, core_id: str) -> None:
-        order.sent += 1
-        if order not in self.orders:
-            self.orders.append(order)
-        self.cluster.request(core_id, order.request(), lambda answer: self._answered(order, answer))
+    def send(self, change: OperatorChange, core_id: str) -> None:
+        change.sent += 1
+        if change not in self.changes:
+            self.changes.append(change)
+        self.cluster.request(
+            core_id, change.request(), lambda answer: self._answered(change, answer)
+        )
 
-    def _answered(self, order: Order, answer: control.SubmitChangeAnswer) -> None:
-        order.answers.append(answer)
-        digest = digest_of(order.body)
+    def _answered(self, change: OperatorChange, answer: control.SubmitChangeAnswer) -> None:
+        change.answers.append(answer)
+        digest = digest_of(change.body)
         if answer.outcome == "accepted":
-            known = self.acknowledged.setdefault(order.version, digest)
-            self.check(known == digest, f"two changes accepted for version {order.version}")
-            self.check(not order.body.startswith(INVALID), "an invalid document was accepted")
+            known = self.acknowledged.setdefault(change.version, digest)
+            self.check(known == digest, f"two changes accepted for version {change.version}")
+            self.check(not change.body.startswith(INVALID), "an invalid document was accepted")
         if answer.outcome == "conflict":
             self.check(
-                not order.accepted,
-                f"version {order.version} answered as a conflict after it was accepted",
+                not change.accepted,
+                f"version {change.version} answered as a conflict after it was accepted",
             )
             self.check(
                 answer.digest != digest,
@@ -162,11 +164,11 @@
         for core in cluster.cores.values():
             core.disk.stalled_until = 0.0
             if core.frozen:
-                cluster.thaw(core.core_id)
+                cluster.unfreeze(core.core_id)
             if not core.alive:
                 cluster.start(core.core_id)
 
-        def whole() -> bool:
+        def all_in_sync() -> bool:
             primary = cluster.primary()
             if primary is None:
                 return False
@@ -176,7 +178,7 @@
             return everybody and len(in_sync) == cluster.size and not view.previous
 
         self.check(
-            cluster.run(cluster.now + 120.0, whole),
+            cluster.run(cluster.now + 120.0, all_in_sync),
             "not all cores came in sync after the faults had ended",
         )
         self._check_table(cluster.primary())
@@ -186,25 +188,27 @@
         table = {v: d.hex() for v, d in primary.component.store.state.changes.items()}
         for version, digest in sorted(self.acknowledged.items()):
             self.check(table.get(version) == digest, f"acknowledged version {version} is lost")
-        for order in self.orders:
-            taken = table.get(order.version) == digest_of(order.body)
-            outcomes = {answer.outcome for answer in order.answers}
-            certain = len(order.answers) == order.sent and outcomes <= FINAL - {"accepted"}
+        for change in self.changes:
+            taken = table.get(change.version) == digest_of(change.body)
+            outcomes = {answer.outcome for answer in change.answers}
+            certain = len(change.answers) == change.sent and outcomes <= FINAL_OUTCOMES - {
+                "accepted"
+            }
             self.check(
                 not (certain and taken),
-                f"{order.version} is committed but was answered {outcomes}",
+                f"{change.version} is committed but was answered {outcomes}",
             )
 
     def _check_resent(self) -> None:
         for version, digest in sorted(self.acknowledged.items()):
-            order = next(
-                o for o in self.orders if o.version == version and digest_of(o.body) == digest
+            change = next(
+                o for o in self.changes if o.version == version and digest_of(o.body) == digest
             )
-            answer = self._resend(order)
+            answer = self._resend(change)
             again = answer is not None and answer.outcome == "accepted" and answer.repeated
             self.check(again, f"{version} sent again, but not answered as repeated: {answer}")
 
-    def _resend(self, order: Order) -> control.SubmitChangeAnswer | None:
+    def _resend(self, change: OperatorChange) -> control.SubmitChangeAnswer | None:
         """Send a change to the primary until an answer is final; return that answer, if any."""
         cluster = self.cluster
         for _ in range(10):
@@ -212,14 +216,14 @@
             cluster.run(cluster.now + 60.0, lambda: cluster.primary() is not None)
             if cluster.primary() is None:
                 return None
-            cluster.request(cluster.primary().core_id, order.request(), answers.append)
+            cluster.request(cluster.primary().core_id, change.request(), answers.append)
             cluster.run(cluster.now + 5.0, lambda answers=answers: bool(answers))
             if answers and answers[0].outcome not in ("not_primary", "unknown", "unavailable"):
                 return answers[0]
         return None
 
 
-class Operators:
+class Operator:
     """An operator who competes for versions, patches, retries, and sends invalid documents."""
 
     def __init__(self, oracle: Oracle, random: Random, name: str, interval: float = 0.15) -> None:
@@ -232,7 +236,7 @@
         self.hint = CORE_IDS[0]
 
     def begin(self) -> None:
-        self.oracle.cluster.at(self.random.uniform(0, 2 * self.interval), self._act)
+        self.oracle.cluster.schedule(self.random.uniform(0, 2 * self.interval), self._act)
 
     def _act(self) -> None:
         if not self.active:
@@ -240,13 +244,13 @@
         self.begin()
         if self.random.random() < 0.2:
             self.oracle.read(self._target())
-        open_orders = [o for o in self.oracle.orders[-20:] if not o.accepted]
-        if open_orders and self.random.random() < 0.35:
-            self._send(self.random.choice(open_orders))
+        open_changes = [o for o in self.oracle.changes[-20:] if not o.accepted]
+        if open_changes and self.random.random() < 0.35:
+            self._send(self.random.choice(open_changes))
         else:
-            self._send(self._new_order())
+            self._send(self._new_change())
 
-    def _new_order(self) -> Order:
+    def _new_change(self) -> OperatorChange:
         self.count += 1
         newest = max(self.oracle.acknowledged, default=0)
         version = newest + self.random.choice((1, 1, 1, 2, 0))
@@ -254,10 +258,10 @@
         patch = self.random.random() < 0.3
         if not patch and self.random.random() < 0.1:
             body = INVALID + body
-        return Order(max(version, 1), body, newest if patch else None)
+        return OperatorChange(max(version, 1), body, newest if patch else None)
 
-    def _send(self, order: Order) -> None:
-        self.oracle.send(order, self._target())
+    def _send(self, change: OperatorChange) -> None:
+        self.oracle.send(change, self._target())
 
     def _target(self) -> str:
         primary = self.oracle.cluster.primary()
--- a/tests/core_storm.py
+++ b/tests/core_storm.py
@@ -39,7 +39,7 @@
         return f"127.0.0.1:{probe.getsockname()[1]}"
 
 
-class Cores:
+class CoreProcesses:
     """Three core processes on loopback, with data folders under ``folder``."""
 
     def __init__(self, folder: Path) -> None:
@@ -113,8 +113,8 @@
 
 
 @attrs.define(eq=False)
-class Storm:
-    cores: Cores
+class ChangeLoad:
+    cores: CoreProcesses
     client: Client
     document: bytes
     primary: str = ""
@@ -168,7 +168,7 @@
                 self.cores.kill_at(self.primary)
         await asyncio.gather(*tasks)
 
-    async def lost(self) -> int:
+    async def count_lost(self) -> int:
         """Return how many acknowledged changes are not answered as repeated when sent again."""
         await self.find_primary()
         lost = 0
@@ -183,22 +183,22 @@
     document = (Path(examples.__file__).parent / "payroll.json").read_bytes()
     document += b" " * max(0, options.bytes - len(document))
     client = Client()
-    cores = Cores(folder)
-    storm = Storm(cores, client, document)
+    cores = CoreProcesses(folder)
+    load = ChangeLoad(cores, client, document)
     try:
-        await storm.find_primary()
-        await storm.run(options.seconds, options.in_flight, options.kill)
-        lost = await storm.lost()
+        await load.find_primary()
+        await load.run(options.seconds, options.in_flight, options.kill)
+        lost = await load.count_lost()
     finally:
         client.close()
         cores.stop()
-    latencies = sorted(storm.latencies)
+    latencies = sorted(load.latencies)
     print(
         f"{len(latencies) / options.seconds:.0f} acknowledged per second "
         f"({len(document)} bytes each, {options.in_flight} in flight, {options.seconds} s), "
         f"p50 {1000 * latencies[len(latencies) // 2]:.1f} ms, "
         f"p99 {1000 * latencies[len(latencies) * 99 // 100]:.1f} ms, "
-        f"longest gap {storm.longest_gap_s:.2f} s, lost {lost}, {storm.outcomes}"
+        f"longest gap {load.longest_gap_s:.2f} s, lost {lost}, {load.outcomes}"
     )
 
 
--- a/tests/stored_data.py
+++ b/tests/stored_data.py
@@ -36,7 +36,7 @@
 from rooklug.wire.generated.core.ttypes import LogEntry, ZoneChange
 from rooklug.wire.registry import struct_classes
 from tests.core_cluster import Cluster
-from tests.core_oracle import Oracle, Order
+from tests.core_oracle import OperatorChange, Oracle
 
 DATA = Path(__file__).resolve().parent / "data"
 FRAMES_FILE = DATA / "frames.json"
@@ -107,10 +107,10 @@
 
 
 def _change(cluster: Cluster, oracle: Oracle, version: int) -> None:
-    order = Order(version, b"{%d}" % version, None)
+    operator_change = OperatorChange(version, b"{%d}" % version, None)
     cluster.run(cluster.now + 5.0, lambda: cluster.primary() is not None)
-    oracle.send(order, cluster.primary().core_id)
-    assert cluster.run(cluster.now + 5.0, lambda: order.accepted)
+    oracle.send(operator_change, cluster.primary().core_id)
+    assert cluster.run(cluster.now + 5.0, lambda: operator_change.accepted)
 
 
 def disk_identity(core_id: str) -> str:
--- a/tests/test_core_exploration.py
+++ b/tests/test_core_exploration.py
@@ -19,7 +19,7 @@
     World,
     first_world,
     world_after_failover,
-    world_after_half_view_change,
+    world_after_partial_view_change,
 )
 
 CHOOSE_VIEW = witness_rules.choose_view
@@ -81,7 +81,7 @@
     """Without any one of the guards, some reachable state breaks an invariant."""
 
     def caught(self, owner: Any, name: str, replacement: Any, start: World) -> None:
-        self.addCleanup(core_exploration._react.cache_clear)
+        self.addCleanup(core_exploration._handle_message.cache_clear)
         with mock.patch.object(owner, name, replacement), self.assertRaises(BrokenInvariantError):
             explore(start, GUARD_LIMIT)
 
@@ -106,7 +106,7 @@
         self.caught(witness_rules, "choose_view", _every_voter_joins, start)
 
     def test_primary_neither_appends_nor_commits_after_a_partial_view_change(self) -> None:
-        start = world_after_half_view_change(Budget(1, 1, 0, 0))
+        start = world_after_partial_view_change(Budget(1, 1, 0, 0))
         self.assertTrue(explore(start, GUARD_LIMIT).complete)
         with mock.patch.object(core_exploration, "may_commit", _always):
             self.caught(core_exploration, "may_lead_append", _always, start)
--- a/tests/test_core_faults.py
+++ b/tests/test_core_faults.py
@@ -12,7 +12,7 @@
 from tests.core_cluster import CORE_IDS, Cluster
 from tests.core_faults import run_seed
 from tests.core_mutations import Mutation
-from tests.core_oracle import BrokenPromiseError, Operators, Oracle
+from tests.core_oracle import BrokenGuaranteeError, Operator, Oracle
 from tests.core_storm import Client, free_address
 from tests.test_core_replication import ask, change, started
 
@@ -47,21 +47,21 @@
             for seed in MUTATION_SEEDS:
                 try:
                     run_seed(seed)
-                except BrokenPromiseError:
+                except BrokenGuaranteeError:
                     return
         self.fail(f"no seed detects that {mutation.owner.__name__}.{mutation.name} is disabled")
 
     def test_commit_requires_all_in_sync_disks(self) -> None:
-        self.caught(core_mutations.ONE_DISK)
+        self.caught(core_mutations.COMMIT_FROM_OWN_DISK)
 
     def test_logs_are_compared_in_a_new_view(self) -> None:
-        self.caught(core_mutations.NO_COMPARISON)
+        self.caught(core_mutations.SKIP_LOG_COMPARISON)
 
     def test_primary_checks_its_lease(self) -> None:
-        self.caught(core_mutations.NO_LEASE)
+        self.caught(core_mutations.IGNORE_LEASE)
 
     def test_identities_of_accepted_changes_are_kept(self) -> None:
-        self.caught(core_mutations.NEWEST_ONLY)
+        self.caught(core_mutations.KEEP_NEWEST_IDENTITY_ONLY)
 
 
 def survives_a_power_cut() -> None:
@@ -87,8 +87,8 @@
     def test_backup_cut_off_from_the_primary_does_not_depose_it(self) -> None:
         cluster = started()
         oracle = Oracle(cluster)
-        Operators(oracle, cluster.random, "amal").begin()
-        cluster.cuts |= {("core-a", "core-b"), ("core-b", "core-a")}
+        Operator(oracle, cluster.random, "amal").begin()
+        cluster.blocked_links |= {("core-a", "core-b"), ("core-b", "core-a")}
         cluster.run(cluster.now + 10.0)
         self.assertIs(cluster.primary(), cluster.cores["core-a"])
 
@@ -102,23 +102,23 @@
         granted = ask(cluster, "core-c", PrepareRequest(proposer=primary, epoch=6))
         self.assertTrue(granted.granted)
         cluster.isolate("core-a")
-        cluster.cut("core-b", "core-c")
+        cluster.block_link("core-b", "core-c")
         cluster.run(cluster.now + LEASE_GUARD_S + 0.1)
         granted = ask(cluster, "core-c", PrepareRequest(proposer=rival, epoch=7))
         self.assertTrue(granted.granted)
 
     def test_answers_are_sent_after_the_sync(self) -> None:
         survives_a_power_cut()
-        mutation = core_mutations.BEFORE_THE_SYNC
+        mutation = core_mutations.ANSWER_BEFORE_SYNC
         replaced = mock.patch.object(mutation.owner, mutation.name, mutation.replacement)
-        with replaced, self.assertRaises(BrokenPromiseError):
+        with replaced, self.assertRaises(BrokenGuaranteeError):
             survives_a_power_cut()
 
 
 class LateMessageTest(unittest.TestCase):
     def test_cluster_serves_again_after_all_cores_were_down(self) -> None:
         cluster = Cluster(5)
-        cluster.late = 0.05
+        cluster.delayed_share = 0.05
         cluster.start_all()
         cluster.run(10.0, lambda: cluster.primary() is not None)
         for _ in range(5):
--- a/tests/test_core_member_exploration.py
+++ b/tests/test_core_member_exploration.py
@@ -48,7 +48,7 @@
 
     def test_random_walks_from_a_partial_change(self) -> None:
         for rounds in (CHANGE_AND_RIVAL, CHANGE_SETTLED_AND_RIVAL, CHANGE_AND_LEAVER):
-            start = exploration.world_after_half_change(rounds)
+            start = exploration.world_after_partial_change(rounds)
             self.assertGreater(exploration.walk(start, WALKS, STEPS, seed=1), WALKS)
 
 
@@ -56,7 +56,7 @@
     def caught(self, owner: Any, name: str, replacement: Any, rounds: tuple[int, ...]) -> None:
         patched = mock.patch.object(owner, name, replacement)
         with patched, self.assertRaises(exploration.BrokenInvariantError):
-            start = exploration.world_after_half_change(rounds)
+            start = exploration.world_after_partial_change(rounds)
             exploration.walk(start, GUARD_WALKS, STEPS, seed=1)
 
     def test_the_old_members_must_accept_too(self) -> None:
--- a/tests/test_core_members.py
+++ b/tests/test_core_members.py
@@ -6,15 +6,15 @@
 from rooklug.engine import events as ev
 from tests.core_cluster import CORE_IDS, LATER_IDS, Cluster
 from tests.core_faults import Replacements, run_seed
-from tests.core_oracle import Oracle, Order
+from tests.core_oracle import OperatorChange, Oracle
 
 SIX = (*CORE_IDS, *LATER_IDS[:3])
 SEEDS = 12
 
 
-class MemberCase(unittest.TestCase):
-    def begin(self, core_ids=CORE_IDS, copies=2, seed=1) -> None:
-        self.cluster = Cluster(seed, core_ids=core_ids, min_in_sync_replicas=copies)
+class MembersTestCase(unittest.TestCase):
+    def begin(self, core_ids=CORE_IDS, min_in_sync_replicas=2, seed=1) -> None:
+        self.cluster = Cluster(seed, core_ids=core_ids, min_in_sync_replicas=min_in_sync_replicas)
         self.oracle = Oracle(self.cluster)
         self.cluster.start_all()
 
@@ -24,40 +24,40 @@
             return set()
         return set(primary.component.primary.view.member_ids)
 
-    def is_whole(self) -> bool:
+    def all_in_sync(self) -> bool:
         primary = self.cluster.primary()
         if primary is None:
             return False
         in_sync = {disk.core_id for disk in primary.component.primary.view.in_sync}
         return in_sync == self.members() == set(self.cluster.cores)
 
-    def wait_whole(self, seconds: float) -> None:
-        whole = self.cluster.run(self.cluster.now + seconds, self.is_whole)
-        self.assertTrue(whole, f"members {self.members()} of {set(self.cluster.cores)}")
+    def wait_all_in_sync(self, seconds: float) -> None:
+        in_sync = self.cluster.run(self.cluster.now + seconds, self.all_in_sync)
+        self.assertTrue(in_sync, f"members {self.members()} of {set(self.cluster.cores)}")
 
     def change(self, version: int, seconds: float = 5.0) -> None:
-        order = Order(version, b"{%d}" % version, None)
+        operator_change = OperatorChange(version, b"{%d}" % version, None)
 
         def send() -> None:
-            if not order.accepted and self.cluster.primary() is not None:
-                self.oracle.send(order, self.cluster.primary().core_id)
-            if not order.accepted:
-                self.cluster.at(0.2, send)
+            if not operator_change.accepted and self.cluster.primary() is not None:
+                self.oracle.send(operator_change, self.cluster.primary().core_id)
+            if not operator_change.accepted:
+                self.cluster.schedule(0.2, send)
 
         send()
-        taken = self.cluster.run(self.cluster.now + seconds, lambda: order.accepted)
+        taken = self.cluster.run(self.cluster.now + seconds, lambda: operator_change.accepted)
         self.assertTrue(taken, f"change {version} was not accepted")
 
 
-class Joining(MemberCase):
+class Joining(MembersTestCase):
     def test_six_cores_with_three_seeds_all_become_members(self):
-        self.begin(SIX, copies=3)
-        self.wait_whole(6.0)
+        self.begin(SIX, min_in_sync_replicas=3)
+        self.wait_all_in_sync(6.0)
         self.change(1)
 
     def test_six_cores_tolerate_the_loss_of_two(self):
-        self.begin(SIX, copies=3)
-        self.wait_whole(6.0)
+        self.begin(SIX, min_in_sync_replicas=3)
+        self.wait_all_in_sync(6.0)
         self.change(1)
         primary = self.cluster.primary().core_id
         other = next(core_id for core_id in SIX if core_id != primary)
@@ -68,10 +68,10 @@
 
     def test_a_core_that_is_lost_for_good_is_replaced(self):
         self.begin()
-        self.wait_whole(3.0)
+        self.wait_all_in_sync(3.0)
         self.change(1)
         self.cluster.replace(self.cluster.primary().core_id, "core-d")
-        self.wait_whole(8.0)
+        self.wait_all_in_sync(8.0)
         self.change(2)
         victim = next(iter(self.members() - {self.cluster.primary().core_id, "core-d"}))
         self.cluster.crash(victim)
@@ -82,11 +82,11 @@
 
     def test_all_founders_can_be_replaced_in_turn(self):
         self.begin()
-        self.wait_whole(3.0)
+        self.wait_all_in_sync(3.0)
         for number, (old, new) in enumerate(zip(CORE_IDS, LATER_IDS, strict=False)):
             self.change(number + 1)
             self.cluster.replace(old, new)
-            self.wait_whole(8.0)
+            self.wait_all_in_sync(8.0)
         self.change(9)
         self.assertEqual(self.members(), set(LATER_IDS[:3]))
 
@@ -94,21 +94,21 @@
         for old in CORE_IDS:
             with self.subTest(old=old):
                 self.begin()
-                self.wait_whole(3.0)
+                self.wait_all_in_sync(3.0)
                 self.cluster.add("core-d")
                 self.cluster.run(self.cluster.now + 2.0)
                 self.assertEqual(self.members(), set(CORE_IDS))
                 self.cluster.deliver(old, ev.StopRequested())
                 self.cluster.run(self.cluster.now + 0.8)
                 self.cluster.remove(old)
-                self.wait_whole(1.5)
+                self.wait_all_in_sync(1.5)
                 other = next(i for i in CORE_IDS if i != old)
                 self.cluster.crash(other)
                 self.change(1)
 
     def test_a_member_that_was_replaced_while_down_joins_again(self):
         self.begin()
-        self.wait_whole(3.0)
+        self.wait_all_in_sync(3.0)
         self.cluster.crash("core-c")
         self.cluster.run(self.cluster.now + 2.0)
         self.cluster.add("core-d")
@@ -119,11 +119,11 @@
         self.assertEqual(self.members(), {"core-a", "core-b", "core-d"})
         self.cluster.crash("core-d")
         self.cluster.remove("core-d")
-        self.wait_whole(5.0)
+        self.wait_all_in_sync(5.0)
         self.change(1)
 
 
-class FirstStart(MemberCase):
+class FirstStart(MembersTestCase):
     def test_blank_cores_do_not_form_a_second_cluster(self):
         self.begin()
         self.cluster.run(0.0)
@@ -140,16 +140,16 @@
             self.oracle = Oracle(self.cluster)
             for core_id in CORE_IDS:
                 delay = self.cluster.random.uniform(0.0, 0.3)
-                self.cluster.at(delay, lambda core_id=core_id: self.cluster.start(core_id))
+                self.cluster.schedule(delay, lambda core_id=core_id: self.cluster.start(core_id))
             self.assertTrue(self.cluster.run(2.0, lambda: self.cluster.primary() is not None))
 
 
-class ComingBack(MemberCase):
+class ComingBack(MembersTestCase):
     """All processes end at the same time and restart: the time until there is a primary."""
 
-    def last_start(self, wiped: bool, seed: int) -> float:
+    def restart_time_s(self, wiped: bool, seed: int) -> float:
         self.begin(seed=seed)
-        self.wait_whole(3.0)
+        self.wait_all_in_sync(3.0)
         self.change(1)
         primary = self.cluster.primary().core_id
         for core_id in CORE_IDS:
@@ -159,7 +159,7 @@
         self.cluster.first_start = False
         for core_id in CORE_IDS:
             delay = self.cluster.random.uniform(0.0, 0.4)
-            self.cluster.at(delay, lambda core_id=core_id: self.cluster.start(core_id))
+            self.cluster.schedule(delay, lambda core_id=core_id: self.cluster.start(core_id))
         began = self.cluster.now + 0.4
         self.assertTrue(self.cluster.run(began + 10.0, lambda: self.cluster.primary() is not None))
         self.change(2)
@@ -167,30 +167,30 @@
 
     def test_the_old_primary_leads_again_without_waiting_for_a_lease(self):
         for seed in range(20):
-            self.assertLess(self.last_start(False, seed), 0.6)
+            self.assertLess(self.restart_time_s(False, seed), 0.6)
 
     def test_a_primary_that_lost_its_disk_does_not_delay_the_others(self):
         for seed in range(20):
-            self.assertLess(self.last_start(True, seed), 1.2)
+            self.assertLess(self.restart_time_s(True, seed), 1.2)
 
 
-class FullDisk(MemberCase):
+class FullDisk(MembersTestCase):
     def test_a_core_whose_disk_was_full_votes_again_after_a_restart(self):
         self.begin()
-        self.wait_whole(3.0)
+        self.wait_all_in_sync(3.0)
         self.cluster.exits_on_failed_write = True
         self.cluster.first_start = False
         for core_id in CORE_IDS:
             self.cluster.crash(core_id)
             self.cluster.start(core_id)
-        self.wait_whole(5.0)
+        self.wait_all_in_sync(5.0)
         full = self.cluster.primary().core_id
         self.cluster.cores[full].disk.full = True
         self.change(1)
         self.assertTrue(self.cluster.run(self.cluster.now + 2.0, lambda: not self.is_alive(full)))
         self.cluster.cores[full].disk.full = False
         self.cluster.start(full)
-        self.wait_whole(5.0)
+        self.wait_all_in_sync(5.0)
         other = next(core_id for core_id in CORE_IDS if core_id != full)
         self.cluster.crash(other)
         self.change(2)
--- a/tests/test_core_scenarios.py
+++ b/tests/test_core_scenarios.py
@@ -14,7 +14,7 @@
 from rooklug.wire.generated.core import ttypes as wire
 from tests.core_cluster import CLIENT, CORE_IDS, Cluster, Core
 from tests.core_cluster_waits import READ, wait_in_sync
-from tests.core_oracle import Oracle, Order
+from tests.core_oracle import OperatorChange, Oracle
 from tests.test_core_replication import ask, change, noticed, started
 
 
@@ -28,7 +28,7 @@
         new_primary = cluster.primary().core_id
         self.assertNotEqual(new_primary, "core-a")
         self.assertEqual(ask(cluster, new_primary, change(1, b"{new}")).outcome, "accepted")
-        cluster.thaw("core-a")
+        cluster.unfreeze("core-a")
         self.assertTrue(cluster.run(cluster.now + 1.0, lambda: bool(answers)))
         self.assertIn(answers[0].outcome, ("unavailable", "not_primary"))
         stopped = noticed(cluster.cores["core-a"], internal.PrimaryStopped)
@@ -148,16 +148,16 @@
     def test_changes_are_appended_in_order_of_arrival_not_of_their_checks(self) -> None:
         cluster = started()
         held: list[Any] = []
-        obey = cluster._obey
+        execute = cluster._execute
 
         def hold_checks(core: Any, effect: fx.Effect) -> None:
             if isinstance(effect, fx.Compute):
                 held.append(ev.Computed(effect.ticket, effect.function(effect.argument)))
             else:
-                obey(core, effect)
+                execute(core, effect)
 
         answers: list[Any] = []
-        with mock.patch.object(cluster, "_obey", hold_checks):
+        with mock.patch.object(cluster, "_execute", hold_checks):
             for version in (1, 2):
                 cluster.request("core-a", change(version, b"{%d}" % version), answers.append)
                 cluster.run(cluster.now + 0.05)
@@ -173,7 +173,7 @@
     Core-b's prepare request and core-c's answer to the accept request are lost.
     """
 
-    def half_way(self) -> Cluster:
+    def partially_accepted(self) -> Cluster:
         cluster = started()
         cluster.isolate("core-c")
         self.assertTrue(wait_in_sync(cluster, ["core-a", "core-b"]))
@@ -198,14 +198,14 @@
         return cluster
 
     def test_changes_acknowledged_afterwards_are_not_lost(self) -> None:
-        cluster = self.half_way()
+        cluster = self.partially_accepted()
         oracle = Oracle(cluster)
         cluster.isolate("core-c")
-        cluster.cuts = {pair for pair in cluster.cuts if CLIENT not in pair}
+        cluster.blocked_links = {pair for pair in cluster.blocked_links if CLIENT not in pair}
         for version in range(1, 200):
-            order = Order(version, b"{%d}" % version, None)
+            operator_change = OperatorChange(version, b"{%d}" % version, None)
             cluster.run(cluster.now + 0.02)
-            oracle.send(order, "core-a")
+            oracle.send(operator_change, "core-a")
         cluster.run(cluster.now + 0.5)
         del cluster._arrive, cluster._answer
         cluster.crash("core-a")
@@ -231,7 +231,7 @@
         cluster.run(cluster.now + 0.1)
         cluster.isolate(candidate.core_id)
         cluster.run(cluster.now + 20.0)
-        cluster.thaw(candidate.core_id)
+        cluster.unfreeze(candidate.core_id)
         self.assertEqual(noticed(candidate, internal.PrimaryStarted), [])
         cluster.heal()
         self.assertTrue(cluster.run(cluster.now + 10.0, lambda: cluster.primary() is not None))
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -209,12 +209,12 @@
         folder.append("log", [b"a"])
         real_write = os.write
 
-        def half_then_full(descriptor: int, data: bytes) -> int:
+        def write_partly_then_fail(descriptor: int, data: bytes) -> int:
             if len(data) < 10:
                 raise OSError(28, "No space left on device")
             return real_write(descriptor, data[: len(data) - 5])
 
-        with mock.patch("os.write", half_then_full), self.assertRaises(OSError):
+        with mock.patch("os.write", write_partly_then_fail), self.assertRaises(OSError):
             folder.append("log", [b"long enough"])
         folder.append("log", [b"b"])
         folder.close()
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -20,7 +20,7 @@
 from rooklug.wire.frames import LENGTH_BYTES, decode_payload, payload_length
 from rooklug.wire.generated.core.ttypes import LogEntry
 from rooklug.wire.registry import struct_classes
-from tests.core_cluster import ADDRESSES, CORE_IDS, STAND_IN_CHECKER
+from tests.core_cluster import ADDRESSES, CORE_IDS, STUB_CHECKER
 from tests.stored_data import (
     CLAIMS_FILE,
     CUT_LOG_FILE,
@@ -101,7 +101,7 @@
         )
         settings = CoreSettings(node, {seed: ADDRESSES[seed] for seed in CORE_IDS})
         context = ProcessContext(core_id, "again", Random(1), Identifiers(itertools.count(1)))
-        (component,) = build_core_components(settings, context, STAND_IN_CHECKER)
+        (component,) = build_core_components(settings, context, STUB_CHECKER)
         component.handle(ev.Started(found.records, found.disk_identity, found.problem), 0.0)
         return component
 
