--- a/tests/core_cluster_waits.py
+++ b/tests/core_cluster_waits.py
@@ -1,4 +1,4 @@
-"""What tests of a simulated cluster of cores wait for, and how they ask over HTTP."""
+"""Wait conditions and HTTP requests for tests with a simulated cluster of cores."""
 
 import json
 from typing import Any
@@ -24,24 +24,24 @@
 def http(
     cluster: Cluster, core_id: str, method: str, path: str, body: bytes = b""
 ) -> tuple[int, dict[str, Any]]:
-    """Send an HTTP request to a core; return status and body."""
+    """Send an HTTP request to a core; return the status and the JSON body."""
     responses: list[fx.HttpRespond] = []
-    obey = cluster._obey
+    execute = cluster._execute
 
     def keep(core: Core, effect: fx.Effect) -> None:
         if isinstance(effect, fx.HttpRespond):
             responses.append(effect)
         else:
-            obey(core, effect)
+            execute(core, effect)
 
-    with mock.patch.object(cluster, "_obey", keep):
+    with mock.patch.object(cluster, "_execute", keep):
         cluster.deliver(core_id, ev.HttpRequestArrived(1, method, path, {}, {}, body))
         cluster.run(cluster.now + 5.0, lambda: bool(responses))
     return responses[0].status, json.loads(responses[0].body)
 
 
 def wait_back(cluster: Cluster, core_id: str, wait_s: float = 30.0) -> bool:
-    """Wait until this core's present disk is in sync."""
+    """Wait until this core's current disk is in sync; return whether it is."""
 
     def is_back() -> bool:
         primary = cluster.primary()
--- a/tests/core_exploration.py
+++ b/tests/core_exploration.py
@@ -1,8 +1,9 @@
-"""Breadth-first exploration of the epoch and in-sync protocol, over the real witness rules.
+"""Breadth-first exploration of a model of view changes and replication.
 
-Messages are never taken out of the network: each may come late, twice, or not at all, in
-any order. Leases and deadlines are left out, which only allows more histories. A state is
-judged by what was ever committed and which views were ever chosen.
+The model uses the real ``witness_rules``. Messages are never removed from the network: each may
+arrive late, several times, or never, in any order. Leases and deadlines are not modelled, which
+only allows more histories. The invariants are checked against every entry that was ever
+committed and every view that was ever chosen.
 """
 
 import argparse
@@ -34,13 +35,13 @@
     World,
     first_world,
     world_after_failover,
-    world_after_half_view_change,
+    world_after_partial_view_change,
 )
 
 
 def explore(start: World, limit: int) -> Exploration:
-    """Visit every reachable state, at most ``limit``; raise on a broken invariant."""
-    _react.cache_clear()
+    """Visit all reachable states, up to ``limit``; raise if an invariant is broken."""
+    _handle_message.cache_clear()
     seen = {start}
     level = [start]
     commits: set[Commit] = set()
@@ -50,7 +51,7 @@
         for world in level:
             for successor in successors(world):
                 if successor not in seen:
-                    _judge(successor)
+                    _check_invariants(successor)
                     seen.add(successor)
                     following.append(successor)
                     commits |= successor.commits
@@ -61,25 +62,25 @@
     return Exploration(len(seen), not level, len(commits), len(chosen))
 
 
-def _judge(world: World) -> None:
+def _check_invariants(world: World) -> None:
     for one, other in combinations(world.commits, 2):
         shared = min(len(one.log), len(other.log))
         if one.log[:shared] != other.log[:shared]:
-            raise BrokenInvariantError(f"committed {one} and {other}")
+            raise BrokenInvariantError(f"two logs committed that differ: {one} and {other}")
     for commit in world.commits:
         for start in world.chosen:
             lost = start.log[: len(commit.log)] != commit.log
             if start.view.epoch > commit.epoch and lost:
-                raise BrokenInvariantError(f"{commit} is missing in {start}")
+                raise BrokenInvariantError(f"{commit} is not in the log of the later view {start}")
 
 
 def successors(world: World) -> Iterator[World]:
-    """Every state one step away."""
+    """Yield every state that is one step away."""
     for index in range(len(CORES)):
         for step in STEPS:
             yield from step(world, index)
         for message in world.messages:
-            reaction = _react(index, world.members[index], message)
+            reaction = _handle_message(index, world.members[index], message)
             if reaction is not None and _changes(world, index, *reaction):
                 yield _with(world, index, *reaction)
 
@@ -180,19 +181,19 @@
 
 
 def _abandon(world: World, index: int) -> Iterator[World]:
-    """A round ends without an answer that counts; its messages stay on their way."""
+    """End a proposal without a result; its messages stay in the network."""
     member = world.members[index]
     if member.round_epoch:
         yield _with(world, index, attrs.evolve(member, round_epoch=0, proposed=False))
 
 
 def may_lead_append(member: Member) -> bool:
-    """As ``Primary.may_append``."""
+    """Mirrors the epoch check of ``Primary.may_append``."""
     return member.state.promised_epoch == member.leading.epoch
 
 
 def may_commit(member: Member) -> bool:
-    """As ``Primary.may_commit``."""
+    """Mirrors the epoch check of ``Primary._may_commit``."""
     return member.state.accepted_epoch == member.leading.epoch
 
 
@@ -242,13 +243,13 @@
 
 
 def _read_epochs(world: World, index: int) -> Iterator[World]:
-    """Another witness registers the new disk, and answers with its state."""
+    """Read another witness: it registers the new disk and answers with its state."""
     reader = world.members[index].state
     if reader.voting:
         return
     for other, answering in enumerate(world.members):
         if other != index and answering.state.voting:
-            state = witness_rules.register(answering.state, reader.own)
+            state = witness_rules.register_disk(answering.state, reader.own)
             if state is not None:
                 answer = ReadAnswer(reader.own, state)
                 yield _with(world, other, attrs.evolve(answering, state=state), [answer])
@@ -265,7 +266,7 @@
     ]
     for pair in combinations(answers, 2):
         if pair[0].own.core_id != pair[1].own.core_id:
-            state = witness_rules.recover(member.state, pair)
+            state = witness_rules.recover_vote(member.state, pair)
             if state is not None:
                 yield _with(world, index, attrs.evolve(member, state=state))
 
@@ -289,8 +290,8 @@
 
 
 @cache
-def _react(index: int, member: Member, message: Message) -> Reaction | None:
-    """Return the member after the message and what it sends, None when it ignores it."""
+def _handle_message(index: int, member: Member, message: Message) -> Reaction | None:
+    """Return the member after handling the message and what it sends, None if it ignores it."""
     if isinstance(message, Prepare):
         return _on_prepare(index, member, message)
     if isinstance(message, Accept):
@@ -333,7 +334,7 @@
 
 
 def may_skip_comparison(member: Member, epoch: int) -> bool:
-    """As ``Backup._match``: entries of the view's own epoch are never cut."""
+    """Mirrors ``Backup._match_log``: entries of the view's own epoch are never truncated."""
     return member.verified == epoch or _last(member.log).epoch == epoch
 
 
@@ -345,7 +346,7 @@
 
 
 def may_append(member: Member, epoch: int) -> bool:
-    """As ``Backup.on_append``."""
+    """Mirrors the epoch check of ``Backup.on_append``."""
     return epoch >= member.state.promised_epoch and member.verified == epoch
 
 
@@ -364,12 +365,12 @@
 STARTS = {
     "first": first_world,
     "failover": world_after_failover,
-    "half": world_after_half_view_change,
+    "half": world_after_partial_view_change,
 }
 
 
 def main() -> None:
-    """Explore further than the tests do, and print what was seen."""
+    """Explore with larger budgets than the tests do, and print the counts."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("start", choices=sorted(STARTS))
     for name in ("proposals", "appends", "crashes", "lost_disks"):
--- a/tests/core_faults.py
+++ b/tests/core_faults.py
@@ -1,16 +1,22 @@
-"""Seeded faults for cores, histories under them, and the command that runs many."""
+"""Seeded random faults for a simulated cluster, and a command that runs many seeds.
+
+``python -m tests.core_faults FIRST LAST`` runs the seeds from ``FIRST`` to ``LAST``.
+"""
 
 import argparse
 from random import Random
 
 from rooklug.engine import events as ev
 from tests.core_cluster import CORE_IDS, LATER_IDS, Cluster
-from tests.core_oracle import BrokenPromiseError, Operators, Oracle
+from tests.core_oracle import BrokenGuaranteeError, Operator, Oracle
 
 
 class Faults:
-    """Seeded faults: crashes, freezes, stalled disks, cuts, loss; a disk is lost only if
-    both others hold everything in sync at that moment."""
+    """Random crashes, freezes, stalled disks, partitions, message loss and lost disks.
+
+    A disk is lost only while all others are in sync: more simultaneous losses than that need
+    an operator.
+    """
 
     def __init__(self, cluster: Cluster, random: Random, mean_s: float = 2.0) -> None:
         self.cluster = cluster
@@ -20,7 +26,7 @@
         self.counts: dict[str, int] = {}
 
     def begin(self) -> None:
-        self.cluster.at(self.random.expovariate(1 / self.mean_s), self._act)
+        self.cluster.schedule(self.random.expovariate(1 / self.mean_s), self._act)
 
     def _act(self) -> None:
         if not self.active:
@@ -46,10 +52,10 @@
         if self._is_alive(core_id):
             self._count("crash")
             self.cluster.crash(core_id)
-            self.cluster.at(self.random.uniform(0.01, 4.0), lambda: self._restart(core_id))
+            self.cluster.schedule(self.random.uniform(0.01, 4.0), lambda: self._restart(core_id))
 
     def _power_cut(self, core_id: str) -> None:
-        """Two cores stop at once, while one or both were still writing."""
+        """Crash two cores at the same time, with writes in flight."""
         self._count("power cut")
         other = self.random.choice([other for other in self.cluster.cores if other != core_id])
         delay = self.random.uniform(0.05, 0.9)
@@ -57,7 +63,7 @@
             disk = self.cluster.cores[stopped].disk
             if self.random.random() < 0.7:
                 disk.stalled_until = self.cluster.now + delay + 0.1
-            self.cluster.at(delay, lambda stopped=stopped: self._crash(stopped))
+            self.cluster.schedule(delay, lambda stopped=stopped: self._crash(stopped))
 
     def _restart(self, core_id: str) -> None:
         if core_id in self.cluster.cores and not self._is_alive(core_id):
@@ -71,14 +77,16 @@
         core = self.cluster.cores[core_id]
         if core.alive and not core.frozen:
             self._count("freeze")
-            life = core.life
+            incarnation = core.incarnation
             self.cluster.freeze(core_id)
-            self.cluster.at(self.random.uniform(0.5, 20.0), lambda: self._thaw(core_id, life))
+            self.cluster.schedule(
+                self.random.uniform(0.5, 20.0), lambda: self._unfreeze(core_id, incarnation)
+            )
 
-    def _thaw(self, core_id: str, life: int) -> None:
+    def _unfreeze(self, core_id: str, incarnation: int) -> None:
         core = self.cluster.cores.get(core_id)
-        if core is not None and core.life == life:
-            self.cluster.thaw(core_id)
+        if core is not None and core.incarnation == incarnation:
+            self.cluster.unfreeze(core_id)
 
     def _stall(self, core_id: str) -> None:
         self._count("stall")
@@ -88,29 +96,29 @@
     def _isolate(self, core_id: str) -> None:
         self._count("isolate")
         self.cluster.isolate(core_id)
-        self.cluster.at(self.random.uniform(0.5, 8.0), self.cluster.cuts.clear)
+        self.cluster.schedule(self.random.uniform(0.5, 8.0), self.cluster.blocked_links.clear)
 
     def _one_way(self, core_id: str) -> None:
         self._count("one way")
         others = [other for other in self.cluster.cores if other != core_id]
-        self.cluster.cut(core_id, self.random.choice(others))
-        self.cluster.at(self.random.uniform(0.5, 8.0), self.cluster.cuts.clear)
+        self.cluster.block_link(core_id, self.random.choice(others))
+        self.cluster.schedule(self.random.uniform(0.5, 8.0), self.cluster.blocked_links.clear)
 
     def _loss(self, core_id: str) -> None:
         self._count("loss")
-        self.cluster.drop = 0.15
+        self.cluster.lost_share = 0.15
 
         def end() -> None:
-            self.cluster.drop = 0.0
+            self.cluster.lost_share = 0.0
 
-        self.cluster.at(self.random.uniform(0.5, 5.0), end)
+        self.cluster.schedule(self.random.uniform(0.5, 5.0), end)
 
     def _lose_disk(self, core_id: str) -> None:
         if self._all_in_sync() and self.cluster.cores[core_id].alive:
             self._count("lost disk")
             self.cluster.crash(core_id)
             self.cluster.lose_disk(core_id)
-            self.cluster.at(self.random.uniform(0.01, 4.0), lambda: self._restart(core_id))
+            self.cluster.schedule(self.random.uniform(0.01, 4.0), lambda: self._restart(core_id))
 
     def _all_in_sync(self) -> bool:
         primary = self.cluster.primary()
@@ -129,10 +137,10 @@
 
 
 class Replacements(Faults):
-    """Also machines that are gone for good, and new ones at other addresses.
+    """Also replaces machines, unplanned or planned, by new ones at other addresses.
 
-    At most one machine is away for good at a time, and only while all others hold everything:
-    that is what the system is asked to bear.
+    At most one machine is removed at a time, and only while all others are in sync: this is what
+    the system has to tolerate.
     """
 
     def __init__(self, cluster: Cluster, random: Random, mean_s: float = 2.0) -> None:
@@ -140,7 +148,7 @@
         self._names = iter(LATER_IDS)
 
     def _power_cut(self, core_id: str) -> None:
-        """In the place of a cut of two machines: one is replaced."""
+        """Replace a machine instead of cutting the power of two."""
         if not self._all_in_sync() or core_id not in self.cluster.primary().component.peers.members:
             return
         new_id = next(self._names, "")
@@ -152,17 +160,17 @@
         else:
             self._count("replaced as planned")
             self.cluster.add(new_id)
-            self.cluster.at(self.random.uniform(0.5, 3.0), lambda: self._leave(core_id))
+            self.cluster.schedule(self.random.uniform(0.5, 3.0), lambda: self._leave(core_id))
 
     def _leave(self, core_id: str) -> None:
-        """The old machine gets SIGTERM, and is gone a moment later; after other losses."""
+        """Stop the old machine gracefully and remove it, once all members are in sync."""
         if core_id not in self.cluster.cores:
             return
         if not self._all_in_sync():
-            self.cluster.at(0.5, lambda: self._leave(core_id))
+            self.cluster.schedule(0.5, lambda: self._leave(core_id))
             return
         self.cluster.deliver(core_id, ev.StopRequested())
-        self.cluster.at(0.6, lambda: self._remove(core_id))
+        self.cluster.schedule(0.6, lambda: self._remove(core_id))
 
     def _remove(self, core_id: str) -> None:
         if core_id not in self.cluster.cores:
@@ -180,12 +188,12 @@
     core_ids: tuple[str, ...] = CORE_IDS,
     min_in_sync_replicas: int = 2,
 ) -> tuple[Oracle, Faults]:
-    """Run one seeded history and judge it; the oracle raises on a broken promise."""
+    """Run one seeded history; the oracle raises if a guarantee is broken."""
     cluster = Cluster(seed, core_ids=core_ids, min_in_sync_replicas=min_in_sync_replicas)
-    cluster.late = 0.01
+    cluster.delayed_share = 0.01
     oracle = Oracle(cluster)
     random = Random(seed)
-    operators = [Operators(oracle, random, name) for name in ("amal", "berit")]
+    operators = [Operator(oracle, random, name) for name in ("amal", "berit")]
     faults = kind(cluster, random, mean_s)
     cluster.start_all()
     for source in (*operators, faults):
@@ -199,7 +207,7 @@
 
 
 def main() -> None:
-    """Run many seeds, and print each that breaks a promise."""
+    """Run many seeds and print each one that breaks a guarantee."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("first", type=int)
     parser.add_argument("last", type=int)
@@ -209,11 +217,11 @@
         try:
             oracle, _ = run_seed(seed)
             acknowledged += len(oracle.acknowledged)
-        except BrokenPromiseError as problem:
+        except BrokenGuaranteeError as problem:
             broken += 1
             print(f"seed {seed}: {problem}")
     seeds = options.last + 1 - options.first
-    print(f"{seeds} seeds, {acknowledged} changes acknowledged, {broken} seeds broke a promise")
+    print(f"{seeds} seeds, {acknowledged} changes acknowledged, {broken} seeds broke a guarantee")
 
 
 if __name__ == "__main__":
--- a/tests/core_oracle.py
+++ b/tests/core_oracle.py
@@ -1,4 +1,4 @@
-"""What must hold of three cores under faults, classified from answers, events and commits."""
+"""Checks the guarantees of a cluster under faults from its answers, events and commits."""
 
 import hashlib
 from random import Random
@@ -10,11 +10,11 @@
 from rooklug.wire.generated.control import ttypes as control
 from tests.core_cluster import CORE_IDS, INVALID, Cluster, Core
 
-FINAL = {"accepted", "conflict", "invalid", "unavailable", "not_primary"}
+FINAL_OUTCOMES = {"accepted", "conflict", "invalid", "unavailable", "not_primary"}
 
 
-class BrokenPromiseError(AssertionError):
-    """The oracle has caught a broken promise."""
+class BrokenGuaranteeError(AssertionError):
+    """The oracle has found a broken guarantee."""
 
 
 def digest_of(body: bytes) -> str:
@@ -22,8 +22,8 @@
 
 
 @attrs.define(eq=False)
-class Order:
-    """One change an operator wants, with everything that was answered to its sendings."""
+class OperatorChange:
+    """A change that an operator submits, possibly several times, and all answers to it."""
 
     version: int
     body: bytes
@@ -46,22 +46,22 @@
 
 
 class Oracle:
-    """Watches every event of a cluster; raises ``BrokenPromiseError``."""
+    """Checks the cluster after each of its events; raises ``BrokenGuaranteeError``."""
 
     def __init__(self, cluster: Cluster) -> None:
         self.cluster = cluster
-        self.orders: list[Order] = []
+        self.changes: list[OperatorChange] = []
         self.acknowledged: dict[int, str] = {}
         self.committed: dict[int, bytes] = {}
         self.documents: dict[int, str] = {}
         self._checked: dict[tuple[str, int], int] = {}
-        self._noticed: dict[tuple[str, int], tuple[int, tuple[int, int]]] = {}
+        self._announced: dict[tuple[str, int], tuple[int, tuple[int, int]]] = {}
         self.reads = 0
         cluster.after_event = self.after_event
 
     def check(self, holds: bool, message: str) -> None:
         if not holds:
-            raise BrokenPromiseError(f"at {self.cluster.now:.3f}: {message}")
+            raise BrokenGuaranteeError(f"at {self.cluster.now:.3f}: {message}")
 
     def after_event(self, core: Core) -> None:
         self._check_commits(core)
@@ -69,31 +69,35 @@
         self._check_one_primary()
 
     def _check_commits(self, core: Core) -> None:
-        """The committed sequence is the same at every core, at any time."""
+        """Every core commits the same entries, at any time."""
         store = core.component.store
-        key = (core.core_id, core.life)
+        key = (core.core_id, core.incarnation)
         done = self._checked.get(key, store.log.base.sequence)
         for entry in store.log.between(max(done, store.log.base.sequence), store.committed):
             data = encode(entry)
             known = self.committed.setdefault(entry.sequence, data)
-            self.check(known == data, f"two entries committed as {entry.sequence}")
+            self.check(known == data, f"two entries committed with sequence {entry.sequence}")
         self._checked[key] = max(done, store.committed)
 
     def _check_events(self, core: Core) -> None:
-        """No core announces an older configuration after a newer, nor two under one version."""
-        key = (core.core_id, core.life)
-        done, newest = self._noticed.get(key, (0, (0, 0)))
+        """No core announces an older configuration after a newer one, or two for one version."""
+        key = (core.core_id, core.incarnation)
+        done, newest = self._announced.get(key, (0, (0, 0)))
         seen = core.recorder.seen
         for _, event in seen[done:]:
             if isinstance(event, internal.ConfigurationCommitted):
                 mark = (event.version.epoch, event.version.counter)
-                self.check(mark > newest, f"{core.core_id} slides back to {mark}")
+                self.check(mark > newest, f"{core.core_id} announced the older version {mark}")
                 newest = mark
                 digest = digest_of(event.body.document)
-                self.check(digest == event.body.digest, "the digest isn't the document's")
+                self.check(
+                    digest == event.body.digest, "announced digest doesn't match the document"
+                )
                 known = self.documents.setdefault(event.body.version, digest)
-                self.check(known == digest, f"two documents as version {event.body.version}")
-        self._noticed[key] = (len(seen), newest)
+                self.check(
+                    known == digest, f"two documents announced for version {event.body.version}"
+                )
+        self._announced[key] = (len(seen), newest)
 
     def _check_one_primary(self) -> None:
         now = self.cluster.now
@@ -102,29 +106,37 @@
             for core in self.cluster.cores.values()
             if core.alive and not core.frozen and core.component.primary.may_serve(now)
         ]
-        self.check(len(serving) <= 1, f"two primaries serve: {serving}")
+        self.check(len(serving) <= 1, f"several primaries serve at once: {serving}")
 
     # operators --------------------------------------------------------------
 
-    def send(self, order: Order, core_id: str) -> None:
-        order.sent += 1
-        if order not in self.orders:
-            self.orders.append(order)
-        self.cluster.request(core_id, order.request(), lambda answer: self._answered(order, answer))
+    def send(self, change: OperatorChange, core_id: str) -> None:
+        change.sent += 1
+        if change not in self.changes:
+            self.changes.append(change)
+        self.cluster.request(
+            core_id, change.request(), lambda answer: self._answered(change, answer)
+        )
 
-    def _answered(self, order: Order, answer: control.SubmitChangeAnswer) -> None:
-        order.answers.append(answer)
-        digest = digest_of(order.body)
+    def _answered(self, change: OperatorChange, answer: control.SubmitChangeAnswer) -> None:
+        change.answers.append(answer)
+        digest = digest_of(change.body)
         if answer.outcome == "accepted":
-            known = self.acknowledged.setdefault(order.version, digest)
-            self.check(known == digest, f"two winners of version {order.version}")
-            self.check(not order.body.startswith(INVALID), "an invalid document was taken")
+            known = self.acknowledged.setdefault(change.version, digest)
+            self.check(known == digest, f"two changes accepted for version {change.version}")
+            self.check(not change.body.startswith(INVALID), "an invalid document was accepted")
         if answer.outcome == "conflict":
-            self.check(not order.accepted, f"version {order.version}: refused after accepted")
-            self.check(answer.digest != digest, "a conflict that names the loser as winner")
+            self.check(
+                not change.accepted,
+                f"version {change.version} answered as a conflict after it was accepted",
+            )
+            self.check(
+                answer.digest != digest,
+                "the answer to a conflict has the digest of the rejected change",
+            )
 
     def read(self, core_id: str) -> None:
-        """A linearizable read is at least as new as what was acknowledged before it."""
+        """Send a linearizable read; it must return every change acknowledged before it."""
         least = max(self.acknowledged, default=0)
 
         def answered(answer: control.ReadConfigurationAnswer) -> None:
@@ -132,8 +144,13 @@
                 return
             self.reads += 1
             body = answer.configuration
-            self.check(body.version >= least, f"read {body.version} after {least} was taken")
-            self.check(digest_of(body.document) == body.digest or not body.version, "digest")
+            self.check(
+                body.version >= least, f"read version {body.version} after {least} was acknowledged"
+            )
+            self.check(
+                digest_of(body.document) == body.digest or not body.version,
+                "digest read doesn't match the document",
+            )
 
         request = control.ReadConfigurationRequest(linearizable=True)
         self.cluster.request(core_id, request, answered)
@@ -141,17 +158,17 @@
     # the end ------------------------------------------------------------------
 
     def finish(self) -> None:
-        """Heal everything; then every acknowledged change must be there, exactly once."""
+        """End all faults; then every acknowledged change must be present, exactly once."""
         cluster = self.cluster
         cluster.heal()
         for core in cluster.cores.values():
             core.disk.stalled_until = 0.0
             if core.frozen:
-                cluster.thaw(core.core_id)
+                cluster.unfreeze(core.core_id)
             if not core.alive:
                 cluster.start(core.core_id)
 
-        def whole() -> bool:
+        def all_in_sync() -> bool:
             primary = cluster.primary()
             if primary is None:
                 return False
@@ -160,46 +177,54 @@
             everybody = in_sync == view.member_ids <= set(cluster.cores)
             return everybody and len(in_sync) == cluster.size and not view.previous
 
-        self.check(cluster.run(cluster.now + 120.0, whole), "no whole view after healing")
+        self.check(
+            cluster.run(cluster.now + 120.0, all_in_sync),
+            "not all cores came in sync after the faults had ended",
+        )
         self._check_table(cluster.primary())
         self._check_resent()
 
     def _check_table(self, primary: Core) -> None:
         table = {v: d.hex() for v, d in primary.component.store.state.changes.items()}
         for version, digest in sorted(self.acknowledged.items()):
-            self.check(table.get(version) == digest, f"acknowledged {version} is lost")
-        for order in self.orders:
-            taken = table.get(order.version) == digest_of(order.body)
-            outcomes = {answer.outcome for answer in order.answers}
-            certain = len(order.answers) == order.sent and outcomes <= FINAL - {"accepted"}
-            self.check(not (certain and taken), f"{order.version} is taken but was {outcomes}")
+            self.check(table.get(version) == digest, f"acknowledged version {version} is lost")
+        for change in self.changes:
+            taken = table.get(change.version) == digest_of(change.body)
+            outcomes = {answer.outcome for answer in change.answers}
+            certain = len(change.answers) == change.sent and outcomes <= FINAL_OUTCOMES - {
+                "accepted"
+            }
+            self.check(
+                not (certain and taken),
+                f"{change.version} is committed but was answered {outcomes}",
+            )
 
     def _check_resent(self) -> None:
         for version, digest in sorted(self.acknowledged.items()):
-            order = next(
-                o for o in self.orders if o.version == version and digest_of(o.body) == digest
+            change = next(
+                o for o in self.changes if o.version == version and digest_of(o.body) == digest
             )
-            answer = self._resend(order)
+            answer = self._resend(change)
             again = answer is not None and answer.outcome == "accepted" and answer.repeated
-            self.check(again, f"{version} sent again: {answer}")
+            self.check(again, f"{version} sent again, but not answered as repeated: {answer}")
 
-    def _resend(self, order: Order) -> control.SubmitChangeAnswer | None:
-        """Send as an operator does: to the primary, again after an answer that isn't final."""
+    def _resend(self, change: OperatorChange) -> control.SubmitChangeAnswer | None:
+        """Send a change to the primary until an answer is final; return that answer, if any."""
         cluster = self.cluster
         for _ in range(10):
             answers: list[control.SubmitChangeAnswer] = []
             cluster.run(cluster.now + 60.0, lambda: cluster.primary() is not None)
             if cluster.primary() is None:
                 return None
-            cluster.request(cluster.primary().core_id, order.request(), answers.append)
+            cluster.request(cluster.primary().core_id, change.request(), answers.append)
             cluster.run(cluster.now + 5.0, lambda answers=answers: bool(answers))
             if answers and answers[0].outcome not in ("not_primary", "unknown", "unavailable"):
                 return answers[0]
         return None
 
 
-class Operators:
-    """Two operators who race on versions, patch, send again, and sometimes send rubbish."""
+class Operator:
+    """An operator who competes for versions, patches, retries, and sends invalid documents."""
 
     def __init__(self, oracle: Oracle, random: Random, name: str, interval: float = 0.15) -> None:
         self.oracle = oracle
@@ -211,7 +236,7 @@
         self.hint = CORE_IDS[0]
 
     def begin(self) -> None:
-        self.oracle.cluster.at(self.random.uniform(0, 2 * self.interval), self._act)
+        self.oracle.cluster.schedule(self.random.uniform(0, 2 * self.interval), self._act)
 
     def _act(self) -> None:
         if not self.active:
@@ -219,13 +244,13 @@
         self.begin()
         if self.random.random() < 0.2:
             self.oracle.read(self._target())
-        open_orders = [o for o in self.oracle.orders[-20:] if not o.accepted]
-        if open_orders and self.random.random() < 0.35:
-            self._send(self.random.choice(open_orders))
+        open_changes = [o for o in self.oracle.changes[-20:] if not o.accepted]
+        if open_changes and self.random.random() < 0.35:
+            self._send(self.random.choice(open_changes))
         else:
-            self._send(self._new_order())
+            self._send(self._new_change())
 
-    def _new_order(self) -> Order:
+    def _new_change(self) -> OperatorChange:
         self.count += 1
         newest = max(self.oracle.acknowledged, default=0)
         version = newest + self.random.choice((1, 1, 1, 2, 0))
@@ -233,10 +258,10 @@
         patch = self.random.random() < 0.3
         if not patch and self.random.random() < 0.1:
             body = INVALID + body
-        return Order(max(version, 1), body, newest if patch else None)
+        return OperatorChange(max(version, 1), body, newest if patch else None)
 
-    def _send(self, order: Order) -> None:
-        self.oracle.send(order, self._target())
+    def _send(self, change: OperatorChange) -> None:
+        self.oracle.send(change, self._target())
 
     def _target(self) -> str:
         primary = self.oracle.cluster.primary()
