--- a/rooklug/gateway/answers.py
+++ b/rooklug/gateway/answers.py
@@ -27,7 +27,7 @@
         return self.value[1]
 
     @property
-    def says_not_run(self) -> bool:
+    def guarantees_not_run(self) -> bool:
         """Whether the response guarantees that the request has not run and never will."""
         return self.status == 503
 
--- a/rooklug/gateway/client_answers.py
+++ b/rooklug/gateway/client_answers.py
@@ -39,7 +39,7 @@
         headers = self.headers({})
         if request.request_id:
             headers[self._names.request_id] = request.request_id
-        if error.says_not_run:
+        if error.guarantees_not_run:
             retry_after_s = max(retry_after_s, MIN_RETRY_AFTER_S)
             if request.deadline_s is not None:
                 retry_after_s = min(retry_after_s, request.deadline_s * RETRY_AFTER_SHARE)
--- a/rooklug/gateway/decision.py
+++ b/rooklug/gateway/decision.py
@@ -191,7 +191,7 @@
         if not (route.affinity and request.prefix_blocks):
             return self._least_running(candidates, now)
         model = self._cost_model(request, route, candidates, owner)
-        costs = [model.of(r, self.traffic.usage_of(r, now), now) for r in candidates]
+        costs = [model.cost_of(r, self.traffic.usage_of(r, now), now) for r in candidates]
         return min(costs, key=lambda cost: cost.order).replica
 
     def _least_running(self, candidates: list[GatewayReplica], now: float) -> GatewayReplica:
@@ -229,7 +229,7 @@
         """Return each replica with whether its rate limits allow one more request."""
         shares = self.view.send_shares
         front_id = self.traffic.slow_start_limiter.front_id
-        by_region = {r.region: shares.towards(r.region, front_id) for r in replicas}
+        by_region = {r.region: shares.share_at(r.region, front_id) for r in replicas}
         return [(r, self._allowance(r, service, by_region[r.region], now)) for r in replicas]
 
     def _allowance(
--- a/rooklug/gateway/directory.py
+++ b/rooklug/gateway/directory.py
@@ -89,8 +89,8 @@
         configuration = view.configuration
         if configuration is None:
             return addresses_for(resolve.region, frozenset(), view, backups=frozenset())
-        homes = configuration.hosts_home(resolve.host)
-        backups = configuration.common_homes(resolve.host)
+        homes = configuration.host_home_regions(resolve.host)
+        backups = configuration.common_home_regions(resolve.host)
         return addresses_for(resolve.region, homes, view, backups)
 
 
@@ -118,13 +118,13 @@
         for node in allowed
         if node.region != region and (backups is None or node.region in backups)
     ]
-    far = _backup(region, others if near else [], view)
+    far = _backup_addresses(region, others if near else [], view)
     weight = max(1, (MAX_ADDRESSES - len(far)) // max(len(nearest), 1))
     times = min(NEAR_FRONT_REPEATS, weight) if far else 1
     return sorted(node.http_address for node in nearest) * times + far
 
 
-def _backup(region: str, others: list[NodeRecord], view: GatewayView) -> list[str]:
+def _backup_addresses(region: str, others: list[NodeRecord], view: GatewayView) -> list[str]:
     """Return the address of a serving front in the region next in name order, if there is one."""
     regions = sorted({node.region for node in others})
     if not regions:
--- a/rooklug/gateway/document.py
+++ b/rooklug/gateway/document.py
@@ -99,7 +99,7 @@
         """Return the routes of all hosts as one list."""
         return [route for by_prefix in self.routes.values() for route in by_prefix.values()]
 
-    def hosts_home(self, host: str) -> frozenset[str]:
+    def host_home_regions(self, host: str) -> frozenset[str]:
         """Return the union of the home regions of a host's routes.
 
         Empty if any route of the host is unbound, or if the host is unknown.
@@ -109,7 +109,7 @@
             return frozenset()
         return frozenset.union(*homes)
 
-    def common_homes(self, host: str) -> frozenset[str] | None:
+    def common_home_regions(self, host: str) -> frozenset[str] | None:
         """Return the home regions that all bound routes of a host share; None if none is bound."""
         bound = [
             frozenset(route.home_regions)
--- a/rooklug/gateway/executor.py
+++ b/rooklug/gateway/executor.py
@@ -22,7 +22,7 @@
 from rooklug.gateway.gateway_events import RequestCounted, ViewChanged
 from rooklug.gateway.protocols import HeaderNames
 from rooklug.gateway.proxied_request import ProxiedRequest, ResponseState
-from rooklug.gateway.request_forwarder import GatewayFigures, RequestForwarder
+from rooklug.gateway.request_forwarder import GatewayCounters, RequestForwarder
 from rooklug.gateway.requests import InboundRequest, read_request
 from rooklug.gateway.response_handler import ResponseHandler
 from rooklug.gateway.retry_budget import RetryBudgetSettings
@@ -69,17 +69,17 @@
         self._is_stall_check_pending = False
         responses = ResponseHandler(self._forwarder)
         self._handlers: dict[type, Callable[[Any, float], list[fx.Effect]]] = {
-            ev.HttpRequestArrived: self._arrived,
-            ev.HttpAnswered: responses.answered,
-            ev.HttpResponseStarted: responses.started,
-            ev.HttpBodyChunk: responses.chunk,
-            ev.HttpResponseCompleted: responses.completed,
-            ev.HttpFailed: responses.failed,
-            ev.HttpRequestClosed: self._client_left,
-            ev.TimerFired: self._check_stalls,
-            ev.Started: self._started,
-            ev.StopRequested: self._stop_requested,
-            ViewChanged: self._view_changed,
+            ev.HttpRequestArrived: self._on_request_arrived,
+            ev.HttpAnswered: responses.on_answered,
+            ev.HttpResponseStarted: responses.on_response_started,
+            ev.HttpBodyChunk: responses.on_body_chunk,
+            ev.HttpResponseCompleted: responses.on_response_completed,
+            ev.HttpFailed: responses.on_failed,
+            ev.HttpRequestClosed: self._on_client_disconnected,
+            ev.TimerFired: self._on_stall_check,
+            ev.Started: self._on_started,
+            ev.StopRequested: self._on_stop_requested,
+            ViewChanged: self._on_view_changed,
         }
 
     @property
@@ -93,9 +93,9 @@
         return self._forwarder
 
     @property
-    def figures(self) -> GatewayFigures:
+    def counters(self) -> GatewayCounters:
         """Counters since the start of the process."""
-        return self._forwarder.figures
+        return self._forwarder.counters
 
     def active(self) -> int:
         """Return how many requests are in flight."""
@@ -110,28 +110,28 @@
         """Return the request counters and the number of requests in flight."""
         return [
             MetricSample(f"gateway_requests_{name}_total", float(value), "counter", name)
-            for name, value in attrs.asdict(self.figures).items()
+            for name, value in attrs.asdict(self.counters).items()
         ] + [MetricSample("gateway_requests_active", float(self.active()), "gauge", "under way")]
 
     # Process lifecycle ----------------------------------------------------
 
-    def _started(self, event: ev.Started, now: float) -> list[fx.Effect]:
+    def _on_started(self, event: ev.Started, now: float) -> list[fx.Effect]:
         self._started_at = now
         return []
 
-    def _stop_requested(self, event: ev.StopRequested, now: float) -> list[fx.Effect]:
+    def _on_stop_requested(self, event: ev.StopRequested, now: float) -> list[fx.Effect]:
         self._draining_since = now
         self._forwarder.answers.is_draining = True
         return []
 
-    def _view_changed(self, event: ViewChanged, now: float) -> list[fx.Effect]:
+    def _on_view_changed(self, event: ViewChanged, now: float) -> list[fx.Effect]:
         self.decision.take_view(event.view)
         return []
 
     # Requests -------------------------------------------------------------
 
-    def _arrived(self, event: ev.HttpRequestArrived, now: float) -> list[fx.Effect]:
-        self.figures.arrived += 1
+    def _on_request_arrived(self, event: ev.HttpRequestArrived, now: float) -> list[fx.Effect]:
+        self.counters.arrived += 1
         request = read_request(event, self._forwarder.names)
         configuration = self.decision.view.configuration
         if configuration is None or not self.decision.view.is_listed:
@@ -164,7 +164,7 @@
         service = self.decision.service_for(request, route)
         return ProxiedRequest(request, route, service, now, now + timeout_s)
 
-    def _client_left(self, event: ev.HttpRequestClosed, now: float) -> list[fx.Effect]:
+    def _on_client_disconnected(self, event: ev.HttpRequestClosed, now: float) -> list[fx.Effect]:
         proxied = self._forwarder.by_http.pop(event.request_id, None)
         if proxied is None or self._forwarder.by_call.pop(proxied.call_id, None) is None:
             return []
@@ -179,7 +179,7 @@
         self._is_stall_check_pending = True
         return [fx.StartTimer(_STALL_CHECK_TIMER, STALL_CHECK_INTERVAL_S)]
 
-    def _check_stalls(self, event: ev.TimerFired, now: float) -> list[fx.Effect]:
+    def _on_stall_check(self, event: ev.TimerFired, now: float) -> list[fx.Effect]:
         """Move idempotent requests away from replicas that have stopped responding."""
         self._is_stall_check_pending = False
         effects = [
--- a/rooklug/gateway/lifecycle.py
+++ b/rooklug/gateway/lifecycle.py
@@ -10,7 +10,7 @@
 from rooklug.gateway.view import GatewayView
 
 _TIMER = "drain"
-_CHECK_S = 0.1
+_CHECK_INTERVAL_S = 0.1
 PROPAGATION_S = 2.5
 """Time for clients and the directory to learn that this front is draining."""
 EXIT_RESERVE_S = 0.5
@@ -64,7 +64,7 @@
         return [
             *self._core_link.set_ready(False),
             *self._core_link.set_draining(True),
-            fx.StartTimer(_TIMER, _CHECK_S),
+            fx.StartTimer(_TIMER, _CHECK_INTERVAL_S),
         ]
 
     def _check_drain(self, now: float) -> list[fx.Effect]:
@@ -75,4 +75,4 @@
             return [fx.StopProcess(0, f"end of the grace, {self._active()} requests cut off")]
         if elapsed_s >= min(PROPAGATION_S, self._grace_s / 2) and self._active() == 0:
             return [fx.StopProcess(0, "drained")]
-        return [fx.StartTimer(_TIMER, _CHECK_S)]
+        return [fx.StartTimer(_TIMER, _CHECK_INTERVAL_S)]
--- a/rooklug/gateway/listing.py
+++ b/rooklug/gateway/listing.py
@@ -55,7 +55,7 @@
         self._identifiers = identifiers
         self._epoch = 0
         self._sequence = 0
-        self._read: _ListRead | None = None
+        self._current_read: _ListRead | None = None
         self._last_published: tuple[_ReplicaIdentity, ...] | None = None
 
     def handle(self, event: ev.Event, now: float) -> list[fx.Effect]:
@@ -68,9 +68,9 @@
             case ev.TimerFired():
                 return self._start_read()
             case ev.HttpAnswered():
-                return self._page_received(event)
+                return self._on_page_received(event)
             case ev.HttpFailed():
-                self._read = None
+                self._current_read = None
         return []
 
     def _start_term(self, epoch: int) -> list[fx.Effect]:
@@ -83,14 +83,14 @@
 
     def _end_term(self) -> list[fx.Effect]:
         self._epoch = 0
-        self._read = None
+        self._current_read = None
         return [fx.CancelTimer(_TIMER)]
 
     def _start_read(self) -> list[fx.Effect]:
         if not self._epoch or not self._address:
             return []
-        self._read = _ListRead()
-        return [fx.StartTimer(_TIMER, READ_INTERVAL_S), self._fetch_page(self._read, "")]
+        self._current_read = _ListRead()
+        return [fx.StartTimer(_TIMER, READ_INTERVAL_S), self._fetch_page(self._current_read, "")]
 
     def _fetch_page(self, read: _ListRead, page: str) -> fx.HttpCall:
         read.call_id = self._identifiers.next()
@@ -104,18 +104,18 @@
             connect_deadline_s=CALL_DEADLINE_S,
         )
 
-    def _page_received(self, event: ev.HttpAnswered) -> list[fx.Effect]:
-        current = self._read
+    def _on_page_received(self, event: ev.HttpAnswered) -> list[fx.Effect]:
+        current = self._current_read
         if current is None or event.call_id != current.call_id or event.status != _OK:
             return []
         page = self._protocol.read_listing(event.body)
         if page is None:
-            self._read = None
+            self._current_read = None
             return [fx.Log("warning", "list of replicas unreadable; keeping the previous list")]
         current.replicas.extend(page.replicas)
         if page.next_page:
             return [self._fetch_page(current, page.next_page)]
-        self._read = None
+        self._current_read = None
         return self._publish(sorted(current.replicas, key=lambda replica: replica.replica_id))
 
     def _publish(self, replicas: list[ListedReplica]) -> list[fx.Effect]:
--- a/rooklug/gateway/load_collector.py
+++ b/rooklug/gateway/load_collector.py
@@ -19,7 +19,7 @@
 """Maximum number of prompts in a response; older ones are dropped, which only costs cache hits."""
 
 
-def read_uses(reported: list[ReplicaUse]) -> dict[str, ReplicaUsage]:
+def usages_by_replica(reported: list[ReplicaUse]) -> dict[str, ReplicaUsage]:
     """Return a wire report's usages by replica id."""
     return {use.replica_id: ReplicaUsage(use.running, use.waiting_tokens) for use in reported}
 
@@ -37,29 +37,31 @@
 
     loads: PeerLoads = attrs.field(factory=PeerLoads)
     _prompts: deque[_NumberedPrompt] = attrs.field(factory=lambda: deque(maxlen=MAX_STORED_PROMPTS))
-    _newest: int = 0
+    _last_prompt_number: int = 0
 
-    def take(self, message: FrontUse, now: float) -> FrontUseTaken:
+    def record_report(self, message: FrontUse, now: float) -> FrontUseTaken:
         """Record a front's report; return the other fronts' totals and their new prompts."""
         node_id = message.node_id
-        uses = read_uses(message.uses)
-        if self.loads.take(node_id, message.incarnation, message.sequence, uses, now):
+        uses = usages_by_replica(message.uses)
+        if self.loads.record_report(node_id, message.incarnation, message.sequence, uses, now):
             for prompt in message.prompts:
-                self._newest += 1
-                self._prompts.append(_NumberedPrompt(self._newest, node_id, prompt))
+                self._last_prompt_number += 1
+                self._prompts.append(_NumberedPrompt(self._last_prompt_number, node_id, prompt))
         others = self.loads.totals_without(node_id, now)
         reported = [
             ReplicaUse(replica_id, use.running, use.queued_prefill_tokens)
             for replica_id, use in sorted(others.items())
         ]
-        return FrontUseTaken(reported, self._since(message.prompts_seen, node_id), self._newest)
+        return FrontUseTaken(
+            reported, self._prompts_since(message.prompts_seen, node_id), self._last_prompt_number
+        )
 
-    def _since(self, seen: int, node_id: str) -> list[SentPrompt]:
+    def _prompts_since(self, seen: int, node_id: str) -> list[SentPrompt]:
         """Return the other fronts' prompts numbered above ``seen``.
 
         A number that this collector has not assigned yet stems from another one and counts as 0.
         """
-        after = seen if 0 <= seen <= self._newest else 0
+        after = seen if 0 <= seen <= self._last_prompt_number else 0
         found = [
             entry.prompt
             for entry in self._prompts
--- a/rooklug/gateway/operator_api.py
+++ b/rooklug/gateway/operator_api.py
@@ -78,9 +78,9 @@
             case ZonesCommitted():
                 self._known_zones = event.version
             case ev.HttpRequestArrived():
-                return self._arrived(event, now)
+                return self._on_request_arrived(event, now)
             case ev.CallAnswered():
-                return self._answered(event, now)
+                return self._on_answered(event, now)
             case ev.CallFailed():
                 return self._schedule_retry(self._by_call.pop(event.call_id, None), now)
             case ev.TimerFired():
@@ -92,7 +92,7 @@
                     self._by_call.pop(forward.call_id, None)
         return []
 
-    def _arrived(self, event: ev.HttpRequestArrived, now: float) -> list[fx.Effect]:
+    def _on_request_arrived(self, event: ev.HttpRequestArrived, now: float) -> list[fx.Effect]:
         call = self._protocol.read_call(event)
         if isinstance(call, BadCall):
             return [_respond(event.request_id, call.status, {"error": call.message})]
@@ -123,7 +123,9 @@
 
     def _attempt(self, forward: _ForwardedCall, now: float) -> list[fx.Effect]:
         if now >= forward.deadline:
-            return self._end(forward, _UNKNOWN_OUTCOME_STATUS, {"error": "no primary has answered"})
+            return self._finish(
+                forward, _UNKNOWN_OUTCOME_STATUS, {"error": "no primary has answered"}
+            )
         if not self._primary:
             return self._schedule_retry(forward, now)
         forward.call_id = self._context.identifiers.next()
@@ -139,20 +141,20 @@
         delay_s = max(min(RETRY_INTERVAL_S, forward.deadline - now), 0.0)
         return [fx.StartTimer(f"{_TIMER_PREFIX}{forward.http_id}", delay_s)]
 
-    def _answered(self, event: ev.CallAnswered, now: float) -> list[fx.Effect]:
+    def _on_answered(self, event: ev.CallAnswered, now: float) -> list[fx.Effect]:
         forward = self._by_call.pop(event.call_id, None)
         if forward is None:
             return []
         answer = event.answer
         if isinstance(answer, ReadConfigurationAnswer):
-            return self._read(forward, answer, now)
+            return self._respond_with_configuration(forward, answer, now)
         status = _STATUS_OF_OUTCOME.get(answer.outcome)
         if status is None:  # not the primary any more, or the outcome is unknown
             return self._schedule_retry(forward, now)
         body = {"outcome": answer.outcome, "problems": answer.problems}
-        return self._end(forward, status, body)
+        return self._finish(forward, status, body)
 
-    def _read(
+    def _respond_with_configuration(
         self, forward: _ForwardedCall, answer: ReadConfigurationAnswer, now: float
     ) -> list[fx.Effect]:
         if not answer.ok:
@@ -163,7 +165,7 @@
         body = self._protocol.write_configuration(answer.configuration.document)
         return [fx.HttpRespond(forward.http_id, 200, body, _JSON)]
 
-    def _end(self, forward: _ForwardedCall, status: int, body: dict) -> list[fx.Effect]:
+    def _finish(self, forward: _ForwardedCall, status: int, body: dict) -> list[fx.Effect]:
         self._by_http.pop(forward.http_id, None)
         return [_respond(forward.http_id, status, body)]
 
--- a/rooklug/gateway/peer_exchange.py
+++ b/rooklug/gateway/peer_exchange.py
@@ -15,7 +15,7 @@
 from rooklug.engine.reducer import ProcessContext
 from rooklug.gateway.decision import Decision
 from rooklug.gateway.gateway_events import ViewChanged
-from rooklug.gateway.load_collector import LoadCollector, read_uses
+from rooklug.gateway.load_collector import LoadCollector, usages_by_replica
 from rooklug.gateway.requests import PrefixBlock
 from rooklug.model.settings import NodeSettings
 from rooklug.wire.generated.control.ttypes import NodeRecord
@@ -75,7 +75,7 @@
         self._prompts_seen = 0
         self._called_collector = ""
         self._sequence = 0
-        self._reported_nothing = True
+        self._last_report_was_empty = True
         self._calls_in_flight: dict[int, str] = {}
 
     def handle(self, event: ev.Event, now: float) -> list[fx.Effect]:
@@ -87,32 +87,32 @@
                 effects = self._report(now)
                 return [fx.StartTimer(_TIMER, self._interval_s(now)), *effects]
             case ev.CallArrived():
-                return self._report_received(event, now)
+                return self._on_report_received(event, now)
             case ev.CallAnswered():
                 self._calls_in_flight.pop(event.call_id, None)
-                self._collector_answered(event.answer, now)
+                self._record_collector_answer(event.answer, now)
             case ev.CallFailed():
-                self._record_lost(self._calls_in_flight.pop(event.call_id, ""), now)
+                self._record_no_answer(self._calls_in_flight.pop(event.call_id, ""), now)
             case ViewChanged():
-                self._take_view()
+                self._apply_view()
         return []
 
-    def _take_view(self) -> None:
+    def _apply_view(self) -> None:
         view = self._decision.view
         region = self._settings.region
         serving = set(view.send_shares.serving.get(region, ()))
         fronts = [node for node in view.ready_fronts if node.node_id in serving]
-        self._peers = self._others(fronts)
-        self._collectors = self._others(view.load_collectors(region))
+        self._peers = self._peers_among(fronts)
+        self._collectors = self._peers_among(view.load_collectors(region))
         ready = frozenset(node.node_id for node in view.ready_fronts)
         self._decision.traffic.peers.forget_except(ready | {COLLECTOR_SOURCE})
         self._collector.loads.forget_except(ready)
 
-    def _others(self, fronts: list[NodeRecord]) -> list[Peer]:
+    def _peers_among(self, fronts: list[NodeRecord]) -> list[Peer]:
         own_id = self._settings.node_id
         return [Peer(n.node_id, n.internal_address) for n in fronts if n.node_id != own_id]
 
-    def _collector_now(self, now: float) -> Peer | None:
+    def _available_collector(self, now: float) -> Peer | None:
         """Return the collector to call; None if reports go directly to the peers."""
         if len(self._peers) <= MAX_PEERS_WITHOUT_COLLECTOR:
             return None
@@ -122,9 +122,9 @@
         return None
 
     def _interval_s(self, now: float) -> float:
-        if self._reported_nothing and not self._is_serving():
+        if self._last_report_was_empty and not self._is_serving():
             return STANDBY_INTERVAL_S
-        if self._collector_now(now) is not None:
+        if self._available_collector(now) is not None:
             return max(COLLECTOR_INTERVAL_S, COLLECTOR_INTERVAL_S_PER_FRONT * len(self._peers))
         return min(PEER_REPORT_INTERVAL_S * max(len(self._peers), 1), MAX_REPORT_INTERVAL_S)
 
@@ -140,9 +140,9 @@
             for replica_id, load in self._decision.traffic.loads.items()
             if load.running
         ]
-        if not self._peers or (not uses and not prompts and self._reported_nothing):
+        if not self._peers or (not uses and not prompts and self._last_report_was_empty):
             return []
-        self._reported_nothing = not uses
+        self._last_report_was_empty = not uses
         self._sequence += 1
         message = FrontUse(
             node_id=self._settings.node_id,
@@ -152,7 +152,7 @@
             prompts=prompts,
         )
         busy = set(self._calls_in_flight.values())
-        collector = self._collector_now(now)
+        collector = self._available_collector(now)
         if collector is None:
             receivers = self._peers[:MAX_DIRECT_PEERS]
             return [self._call(peer, message) for peer in receivers if peer.node_id not in busy]
@@ -170,30 +170,30 @@
         self._calls_in_flight[call_id] = peer.node_id
         return fx.Call(call_id, peer.address, message, CALL_DEADLINE_S)
 
-    def _record_lost(self, node_id: str, now: float) -> None:
-        """Skip the collector for a while if it is the node that did not answer."""
+    def _record_no_answer(self, node_id: str, now: float) -> None:
+        """Record that a call failed; a collector is then skipped for ``COLLECTOR_RETRY_S``."""
         if node_id == self._called_collector:
             self._retry_at[node_id] = now + COLLECTOR_RETRY_S
 
-    def _collector_answered(self, answer: FrontUseTaken | None, now: float) -> None:
+    def _record_collector_answer(self, answer: FrontUseTaken | None, now: float) -> None:
         """Record a collector's sums in place of all other reports; a peer's answer has none."""
         if answer is None or answer.others is None:
             return
-        uses = read_uses(answer.others)
+        uses = usages_by_replica(answer.others)
         self._decision.traffic.peers.forget_except(frozenset({COLLECTOR_SOURCE}))
-        self._decision.traffic.peers.take(
+        self._decision.traffic.peers.record_report(
             COLLECTOR_SOURCE, self._context.incarnation, self._sequence, uses, now
         )
         self._prompts_seen = answer.prompts_seen or 0
         self._record_prompts(answer.prompts or [], now)
 
-    def _report_received(self, event: ev.CallArrived, now: float) -> list[fx.Effect]:
+    def _on_report_received(self, event: ev.CallArrived, now: float) -> list[fx.Effect]:
         message: FrontUse = event.request
         if message.prompts_seen is not None:
-            return [fx.Answer(event.call_id, self._collector.take(message, now))]
-        uses = read_uses(message.uses)
+            return [fx.Answer(event.call_id, self._collector.record_report(message, now))]
+        uses = usages_by_replica(message.uses)
         peers = self._decision.traffic.peers
-        if peers.take(message.node_id, message.incarnation, message.sequence, uses, now):
+        if peers.record_report(message.node_id, message.incarnation, message.sequence, uses, now):
             self._record_prompts(message.prompts, now)
         return [fx.Answer(event.call_id, FrontUseTaken())]
 
--- a/rooklug/gateway/region_planner.py
+++ b/rooklug/gateway/region_planner.py
@@ -55,7 +55,7 @@
 class _FrontDemand:
     """A front's latest report: loads in tokens/s by matrix key, and the observed prefill rate."""
 
-    at: float
+    received_at: float
     loads: dict[MatrixKey, float]
     read_tokens_per_s: float | None
 
@@ -99,13 +99,13 @@
             case ZonesCommitted():
                 self._drained_zones = frozenset(event.body.emptied_zones)
             case ConfigurationCommitted():
-                self._take_configuration(event)
+                self._apply_configuration(event)
             case ev.CallArrived():
-                return self._demand_reported(event, now)
+                return self._on_demand_reported(event, now)
             case ev.TimerFired():
                 return [fx.StartTimer(_TIMER, SOLVE_INTERVAL_S), *self._solve(now)]
             case ev.Computed():
-                return self._solved(event)
+                return self._on_solved(event)
         return []
 
     def _start_term(self, epoch: int) -> list[fx.Effect]:
@@ -118,14 +118,14 @@
         self._ticket = 0
         return [fx.StartTimer(_TIMER, SOLVE_INTERVAL_S)]
 
-    def _take_configuration(self, event: ConfigurationCommitted) -> None:
+    def _apply_configuration(self, event: ConfigurationCommitted) -> None:
         read = read_gateway_configuration(event.body.document)
         if read.is_ok():
             self._configuration = read.ok
             self._configuration_version = event.body.version
             self._homes = {route.name: route.home_regions for route in read.ok.all_routes()}
 
-    def _demand_reported(self, event: ev.CallArrived, now: float) -> list[fx.Effect]:
+    def _on_demand_reported(self, event: ev.CallArrived, now: float) -> list[fx.Effect]:
         if not self._epoch:
             return [fx.Answer(event.call_id, DemandAnswer(accepted=False))]
         report = event.request
@@ -141,32 +141,32 @@
     def _solve(self, now: float) -> list[fx.Effect]:
         if self._ticket or self._configuration is None or not self._replicas:
             return []
-        from rooklug.gateway.region_problem import RegionSite
+        from rooklug.gateway.region_problem import RegionPlanInputs
 
         self._ticket = self._identifiers.next()
-        site = RegionSite(
+        inputs = RegionPlanInputs(
             self._configuration, self._replicas, self._drained_zones, self._prefill_rate(now)
         )
-        return [fx.Compute(self._ticket, solve_lazily, site.problem(self._measured(now)))]
+        return [fx.Compute(self._ticket, solve_lazily, inputs.problem(self._measured_loads(now)))]
 
     def _prefill_rate(self, now: float) -> float | None:
         """Return the mean of the fronts' reported prefill rates; None if there are none."""
         rates = [
             front.read_tokens_per_s
             for front in self._fronts.values()
-            if front.read_tokens_per_s and now - front.at <= REPORT_VALID_S
+            if front.read_tokens_per_s and now - front.received_at <= REPORT_VALID_S
         ]
         return sum(rates) / len(rates) if rates else None
 
-    def _measured(self, now: float) -> dict[MatrixKey, float]:
+    def _measured_loads(self, now: float) -> dict[MatrixKey, float]:
         measured: dict[MatrixKey, float] = defaultdict(float)
         for front in self._fronts.values():
-            if now - front.at <= REPORT_VALID_S:
+            if now - front.received_at <= REPORT_VALID_S:
                 for key, load in front.loads.items():
                     measured[key] += load
         return measured
 
-    def _solved(self, event: ev.Computed) -> list[fx.Effect]:
+    def _on_solved(self, event: ev.Computed) -> list[fx.Effect]:
         if event.ticket != self._ticket:
             return []
         self._ticket = 0
--- a/rooklug/gateway/region_problem.py
+++ b/rooklug/gateway/region_problem.py
@@ -31,7 +31,7 @@
 """Assumed before any front has observed a prefill rate."""
 REQUESTS_PER_SLOT_S = 40.0
 """Requests per second that one slot of a service without an engine is assumed to sustain."""
-_CLASS = "any"
+_LATENCY_CLASS = "any"
 
 MeasuredLoads = dict[MatrixKey, float]
 """Load by matrix key in tokens per second: prefilled prompt tokens plus answer tokens. Each request
@@ -39,7 +39,7 @@
 
 
 @attrs.frozen
-class RegionSite:
+class RegionPlanInputs:
     """Inputs of a region plan.
 
     ``read_tokens_per_s`` is the prefill rate that fronts have observed, None before any report.
@@ -65,8 +65,10 @@
         ]
         return PlacementProblem(
             models={name: self._model(name, usable) for name in services},
-            regions={region: _facts(region, regions) for region in regions},
-            slots=tuple(_slot(replica) for replica in usable if replica.backend in services),
+            regions={region: _region_facts(region, regions) for region in regions},
+            slots=tuple(
+                _replica_slot(replica) for replica in usable if replica.backend in services
+            ),
             demand=self._demand(services, regions, measured),
             max_moves=0,
             solve_limit_s=SOLVE_LIMIT_S,
@@ -79,14 +81,16 @@
         else:
             capacity = TARGET_UTILIZATION * (self.read_tokens_per_s or DEFAULT_PREFILL_TOKENS_PER_S)
         need = ResourceNeed(units=1.0, tokens_per_s=capacity, concurrency=slots)
-        return Model(latency_classes={_CLASS: RoundTrip.ZONAL}, resources={service: need})
+        return Model(latency_classes={_LATENCY_CLASS: RoundTrip.ZONAL}, resources={service: need})
 
     def _demand(
         self, services: list[str], regions: list[str], measured: MeasuredLoads
     ) -> dict[DemandKey, float]:
         homes = self._homes_by_service()
         return {
-            DemandKey(service, _CLASS, region, bound): measured.get((service, region, bound), 0.0)
+            DemandKey(service, _LATENCY_CLASS, region, bound): measured.get(
+                (service, region, bound), 0.0
+            )
             for service in services
             for region in regions
             for bound in sorted(homes[service])
@@ -100,12 +104,12 @@
         return homes
 
 
-def _facts(region: str, regions: list[str]) -> RegionFacts:
+def _region_facts(region: str, regions: list[str]) -> RegionFacts:
     others = {other: ASSUMED_ROUND_TRIP_MS for other in regions if other != region}
     return RegionFacts(RegionWeights(spill=1.0), others)
 
 
-def _slot(replica: ListedReplica) -> ReplicaSlot:
+def _replica_slot(replica: ListedReplica) -> ReplicaSlot:
     return ReplicaSlot(
         replica_id=replica.replica_id,
         region=replica.region,
@@ -126,10 +130,10 @@
     totals: dict[DemandKey, float] = defaultdict(float)
     for share in matrix:
         totals[share.demand_key] += share.planned
-    return [_cell(share, totals[share.demand_key]) for share in matrix]
+    return [_route_weight(share, totals[share.demand_key]) for share in matrix]
 
 
-def _cell(share: RouteShare, total: float) -> RouteWeight:
+def _route_weight(share: RouteShare, total: float) -> RouteWeight:
     key = share.demand_key
     planned = total > 0 and share.planned > 0
     return RouteWeight(
--- a/rooklug/gateway/replica_cost.py
+++ b/rooklug/gateway/replica_cost.py
@@ -71,7 +71,7 @@
     ranks: dict[str, int]
     owner: str
 
-    def of(self, replica: GatewayReplica, usage: ReplicaUsage, now: float) -> Cost:
+    def cost_of(self, replica: GatewayReplica, usage: ReplicaUsage, now: float) -> Cost:
         """Return the cost of the request at a replica with the given usage."""
         missing = self.prefixes.missing_tokens(replica.replica_id, self.shared_blocks, now)
         backlog_s = usage.queued_prefill_tokens / self.tokens_per_s
--- a/rooklug/gateway/request_forwarder.py
+++ b/rooklug/gateway/request_forwarder.py
@@ -26,7 +26,7 @@
 
 
 @attrs.define
-class GatewayFigures:
+class GatewayCounters:
     """Counters since the start of the process; field names become parts of metric names."""
 
     arrived: int = 0
@@ -53,7 +53,7 @@
         self.budgets = RetryBudgets(budget)
         self.by_http: dict[int, ProxiedRequest] = {}
         self.by_call: dict[int, ProxiedRequest] = {}
-        self.figures = GatewayFigures()
+        self.counters = GatewayCounters()
         self._identifiers = identifiers
 
     def accept(self, proxied: ProxiedRequest, now: float) -> None:
@@ -72,7 +72,7 @@
         replica = verdict.replica
         if proxied.sends:
             self.budgets.of(proxied.service.name).count_retry(now)
-            self.figures.repeated += 1
+            self.counters.repeated += 1
         proxied.replica = replica
         proxied.tried.add(replica.replica_id)
         proxied.executions += 1
@@ -126,19 +126,19 @@
         if proxied.response_state is ResponseState.STREAMING:
             return self.abort_stream(proxied)
         self.forget(proxied)
-        self.figures.answered += 1
+        self.counters.answered += 1
         headers = self.answers.headers(headers)
         return [fx.HttpRespond(proxied.request.http_id, status, body, headers)]
 
     def end_stream(self, proxied: ProxiedRequest) -> list[fx.Effect]:
         """End a complete stream with its final chunk."""
         self.forget(proxied)
-        self.figures.answered += 1
+        self.counters.answered += 1
         return [fx.HttpStreamEnd(proxied.request.http_id)]
 
     def abort_stream(self, proxied: ProxiedRequest) -> list[fx.Effect]:
         """End a stream without its final chunk, so that the client sees that it is incomplete."""
-        self.figures.broken += 1
+        self.counters.broken += 1
         self.forget(proxied)
         return [fx.HttpStreamAbort(proxied.request.http_id)]
 
@@ -160,9 +160,9 @@
     ) -> list[fx.Effect]:
         """Send the front's own error response to a request and count it."""
         if error in (GatewayError.TIMED_OUT, GatewayError.MAY_HAVE_RUN):
-            self.figures.failed += 1
+            self.counters.failed += 1
         else:
-            self.figures.refused += 1
+            self.counters.refused += 1
         return [self.answers.refusal(request, error, retry_after_s)]
 
     def forget(self, proxied: ProxiedRequest) -> None:
--- a/rooklug/gateway/response_handler.py
+++ b/rooklug/gateway/response_handler.py
@@ -29,14 +29,14 @@
     def __init__(self, forwarder: RequestForwarder) -> None:
         self._forwarder = forwarder
 
-    def answered(self, event: ev.HttpAnswered, now: float) -> list[fx.Effect]:
+    def on_answered(self, event: ev.HttpAnswered, now: float) -> list[fx.Effect]:
         """Handle a complete response of a call that is not streamed."""
         proxied = self._forwarder.by_call.pop(event.call_id, None)
         if proxied is None:
             return []
         return self._complete_answer(proxied, event.status, event.headers, event.body, now)
 
-    def started(self, event: ev.HttpResponseStarted, now: float) -> list[fx.Effect]:
+    def on_response_started(self, event: ev.HttpResponseStarted, now: float) -> list[fx.Effect]:
         """Handle the status and headers of a streamed response."""
         proxied = self._forwarder.by_call.get(event.call_id)
         if proxied is None:
@@ -56,7 +56,7 @@
         headers = self._forwarder.answers.headers(event.headers)
         return [fx.HttpStreamStart(proxied.request.http_id, event.status, headers)]
 
-    def chunk(self, event: ev.HttpBodyChunk, now: float) -> list[fx.Effect]:
+    def on_body_chunk(self, event: ev.HttpBodyChunk, now: float) -> list[fx.Effect]:
         """Handle bytes of a streamed response; only complete events are forwarded."""
         proxied = self._forwarder.by_call.get(event.call_id)
         if proxied is None:
@@ -73,7 +73,7 @@
         proxied.last_event_id = last_event_id(events) or proxied.last_event_id
         return [fx.HttpStreamChunk(proxied.request.http_id, events)]
 
-    def completed(self, event: ev.HttpResponseCompleted, now: float) -> list[fx.Effect]:
+    def on_response_completed(self, event: ev.HttpResponseCompleted, now: float) -> list[fx.Effect]:
         """Handle the end of a streamed response; one that ends within an event is broken."""
         proxied = self._forwarder.by_call.pop(event.call_id, None)
         if proxied is None:
@@ -87,7 +87,7 @@
         self._forwarder.record_end(proxied, AttemptOutcome.SUCCESS, now)
         return self._forwarder.end_stream(proxied)
 
-    def failed(self, event: ev.HttpFailed, now: float) -> list[fx.Effect]:
+    def on_failed(self, event: ev.HttpFailed, now: float) -> list[fx.Effect]:
         """Handle a failed call: retry or resume if the route allows it."""
         proxied = self._forwarder.by_call.pop(event.call_id, None)
         if proxied is None:
--- a/rooklug/gateway/stale_endpoint_detector.py
+++ b/rooklug/gateway/stale_endpoint_detector.py
@@ -45,7 +45,7 @@
         replaced_in_zone = sum(other == zone for other in self._replaced.values())
         return replaced_in_zone >= MISMATCHES_FOR_SUSPICION
 
-    def take_list(self, replica_ids: set[str]) -> None:
+    def apply_list(self, replica_ids: set[str]) -> None:
         """Apply a newer list: drop the records of replicas that it no longer contains."""
         self._replaced = {key: zone for key, zone in self._replaced.items() if key in replica_ids}
         self._confirmed &= replica_ids
--- a/rooklug/gateway/traffic_record.py
+++ b/rooklug/gateway/traffic_record.py
@@ -146,7 +146,7 @@
         self.slow_start_limiter.forget_except(listed)
         self.rate_limiter.forget_except(listed)
         self.prefixes.forget_except(listed)
-        self.stale_endpoints.take_list(listed)
+        self.stale_endpoints.apply_list(listed)
 
     def _update_prefill_share(self, request: InboundRequest, missing: int) -> None:
         total = sum(block.tokens for block in request.prefix_blocks)
--- a/rooklug/gateway/view_builder.py
+++ b/rooklug/gateway/view_builder.py
@@ -40,11 +40,11 @@
         self._listed_until: dict[str, float] = {}
         self._restored_until: dict[str, float] = {}
         self._handlers: dict[str, Callable[[Any, float], list[fx.Effect]]] = {
-            CONFIGURATION: self._take_configuration,
-            ZONES: self._take_zones,
-            MEMBERS: self._take_members,
-            REPLICAS: self._take_replicas,
-            PLAN: self._take_plan,
+            CONFIGURATION: self._apply_configuration,
+            ZONES: self._apply_zones,
+            MEMBERS: self._apply_members,
+            REPLICAS: self._apply_replicas,
+            PLAN: self._apply_plan,
         }
 
     def handle(self, event: ev.Event, now: float) -> list[fx.Effect]:
@@ -54,7 +54,7 @@
         effects = self._handlers[event.topic](event.body, now)
         return [*effects, EmitEvent(ViewChanged(self.view))]
 
-    def _take_configuration(self, body: ConfigurationBody, now: float) -> list[fx.Effect]:
+    def _apply_configuration(self, body: ConfigurationBody, now: float) -> list[fx.Effect]:
         read = read_gateway_configuration(body.document)
         if read.is_error():
             fields = {"version": body.version, "problems": [p.message for p in read.error[:5]]}
@@ -62,7 +62,7 @@
         self.view = attrs.evolve(self.view, configuration=read.ok)
         return [fx.Log("debug", "serves under a configuration", {"version": body.version})]
 
-    def _take_zones(self, body: ZonesBody, now: float) -> list[fx.Effect]:
+    def _apply_zones(self, body: ZonesBody, now: float) -> list[fx.Effect]:
         drained = frozenset(body.emptied_zones)
         for zone in self.view.drained_zones - drained:
             self._restored_until[zone] = now + RESTORED_SLOW_START_S
@@ -73,13 +73,13 @@
         self.view = attrs.evolve(self.view, drained_zones=drained, replicas=replicas)
         return []
 
-    def _take_members(self, body: MembersBody, now: float) -> list[fx.Effect]:
+    def _apply_members(self, body: MembersBody, now: float) -> list[fx.Effect]:
         fronts = tuple(node for node in body.nodes if node.role == FRONT_ROLE)
         machines = {machine_of(address) for address in body.core_addresses or ()}
         self.view = attrs.evolve(self.view, fronts=fronts, core_machines=frozenset(machines))
         return []
 
-    def _take_replicas(self, body: ReplicasBody, now: float) -> list[fx.Effect]:
+    def _apply_replicas(self, body: ReplicasBody, now: float) -> list[fx.Effect]:
         self._record_slow_starts(body.replicas, now)
         by_service: dict[str, list[GatewayReplica]] = {}
         for listed in body.replicas:
@@ -103,7 +103,7 @@
         restored = self._restored_until.get(replica.zone, 0.0)
         return attrs.evolve(replica, slow_start_until=max(listed, restored))
 
-    def _take_plan(self, body: PlanBody, now: float) -> list[fx.Effect]:
+    def _apply_plan(self, body: PlanBody, now: float) -> list[fx.Effect]:
         self.view = attrs.evolve(self.view, matrix=matrix_of(body.matrix))
         return []
 
--- a/rooklug/routing/peer_loads.py
+++ b/rooklug/routing/peer_loads.py
@@ -19,7 +19,7 @@
 
 @attrs.frozen
 class _PeerReport:
-    at: float
+    received_at: float
     incarnation: str
     sequence: int
     usages: dict[str, ReplicaUsage]
@@ -31,7 +31,7 @@
 
     _reports: dict[str, _PeerReport] = attrs.field(factory=dict)
 
-    def take(
+    def record_report(
         self,
         node_id: str,
         incarnation: str,
@@ -51,7 +51,7 @@
         running = queued_prefill_tokens = 0
         for report in self._reports.values():
             usage = report.usages.get(replica_id)
-            if usage is not None and now - report.at <= REPORT_TTL_S:
+            if usage is not None and now - report.received_at <= REPORT_TTL_S:
                 running += usage.running
                 queued_prefill_tokens += usage.queued_prefill_tokens
         return ReplicaUsage(running, queued_prefill_tokens)
@@ -60,7 +60,7 @@
         """Return the sums of all peers' current reports except one peer's, by replica id."""
         totals: dict[str, ReplicaUsage] = {}
         for name, report in self._reports.items():
-            if name == node_id or now - report.at > REPORT_TTL_S:
+            if name == node_id or now - report.received_at > REPORT_TTL_S:
                 continue
             for replica_id, usage in report.usages.items():
                 total = totals.get(replica_id, NO_USAGE)
--- a/rooklug/routing/send_shares.py
+++ b/rooklug/routing/send_shares.py
@@ -1,9 +1,9 @@
 """A front's share of the rate at which all fronts together may send to a replica.
 
 The core's list of members determines which fronts serve each region. The serving fronts of a
-replica's own region share most of the bound, those of all other regions the rest. Neither a standby
-front nor a front that is not on the list has a share, although either may still receive a client's
-request.
+replica's own region share most of the bound, those of all other regions the rest. A standby front
+has no share; neither has a front that is missing from the list, which can't know who else sends.
+Either may still receive a client's request.
 """
 
 from enum import Enum
@@ -43,7 +43,7 @@
         """Return the serving fronts of a region; if it has none, those of all other regions."""
         return self.serving.get(region) or self._serving_elsewhere(region)
 
-    def towards(self, region: str, node_id: str) -> SendShare:
+    def share_at(self, region: str, node_id: str) -> SendShare:
         """Return a front's share at the replicas of ``region``."""
         near = self.senders(region)
         if node_id in near:
--- a/tests/gateway_control_support.py
+++ b/tests/gateway_control_support.py
@@ -1,4 +1,4 @@
-"""Stand-ins for the tests of a gateway core: an operator protocol, listed replicas, a context."""
+"""Fixtures for tests of a gateway core: an operator protocol, listed replicas, a context."""
 
 from random import Random
 
@@ -19,6 +19,7 @@
 
 
 def listed(number: int, **fields) -> ListedReplica:
+    """Return an entry of the platform's list; ``fields`` replace the defaults."""
     defaults = {
         "replica_id": f"r-{number}",
         "address": f"10.9.0.{number}:80",
@@ -36,13 +37,14 @@
 
 
 def operator_protocol(pages: dict[str, ListingPage] | None = None) -> OperatorProtocol:
-    orders = {
+    """Return a protocol that maps paths to calls, and bodies of listing answers to ``pages``."""
+    calls = {
         "/change": SubmitConfiguration(2, b"{}", False, 1),
         "/zone": DrainZone("north-a", True),
         "/read": ReadConfiguration(),
     }
     return OperatorProtocol(
-        read_call=lambda event: orders.get(event.path, BadCall(404, "no such call")),
+        read_call=lambda event: calls.get(event.path, BadCall(404, "no such call")),
         write_configuration=lambda body: b"<" + body + b">",
         listing_path=lambda page: f"/list/{page}",
         read_listing=lambda body: (pages or {}).get(body.decode()),
--- a/tests/gateway_support.py
+++ b/tests/gateway_support.py
@@ -1,4 +1,4 @@
-"""A front's gateway without sockets: topics and events in, effects out."""
+"""Runs a front's gateway without sockets: tests pass in events and check the effects."""
 
 import json
 from random import Random
@@ -25,7 +25,7 @@
 
 
 def route_item(name: str, prefix: str, **fields: Any) -> dict[str, Any]:
-    """Return a route of the document; ``fields`` replace the defaults."""
+    """Return a route as it appears in a document; ``fields`` replace the defaults."""
     return {
         "name": name,
         "host": HOST,
@@ -41,7 +41,7 @@
 
 
 def document(routes: list[dict[str, Any]], version: int = 1, **fields: Any) -> dict[str, Any]:
-    """Return a whole configuration document with two services."""
+    """Return a complete configuration document with two services, ``ledger`` and ``model``."""
     services = [
         {"name": "ledger", "health_path": "/health", "max_connections": 10},
         {
@@ -56,12 +56,12 @@
 
 
 def configuration(routes: list[dict[str, Any]]) -> GatewayConfiguration:
-    """Return a configuration that is known to be right."""
+    """Return the configuration read from a valid document with these routes."""
     return read_gateway_configuration(json.dumps(document(routes)).encode()).ok
 
 
 def replica(number: int, service: str = "ledger", **fields: Any) -> GatewayReplica:
-    """Return a replica of a service, in the own zone unless ``fields`` say otherwise."""
+    """Return a replica in the front's own zone; ``fields`` replace the defaults."""
     defaults = {
         "replica_id": f"{service}-{number}",
         "address": f"10.0.0.{number}:80",
@@ -75,7 +75,7 @@
 
 
 def front(number: int, **fields: Any) -> NodeRecord:
-    """Return the membership record of a ready front."""
+    """Return the membership record of a ready front; ``fields`` replace the defaults."""
     defaults = {
         "node_id": f"front-{number}",
         "role": "front",
@@ -92,7 +92,7 @@
 
 
 class GatewayFront:
-    """One executor with its decision; remembers what it asked for."""
+    """One executor with its decision object, a virtual clock ``now`` and a fixed view."""
 
     def __init__(
         self,
@@ -121,7 +121,7 @@
         self._next_http_id = 1000
 
     def request(self, path: str = "/pay/1", **fields: Any) -> list[fx.Effect]:
-        """Let a client's request arrive."""
+        """Deliver a client's request; return the effects without internal events and timers."""
         self._next_http_id += 1
         headers = {
             "host": HOST,
@@ -142,13 +142,13 @@
         return self.handle(event)
 
     def handle(self, event: ev.Event) -> list[fx.Effect]:
-        """Deliver an event; internal events and timers are left out."""
+        """Deliver an event; return the effects without internal events and timers."""
         effects = self.executor.handle(event, self.now)
         return [effect for effect in effects if not isinstance(effect, EmitEvent | fx.StartTimer)]
 
 
 def answer_headers(call: fx.HttpCall, **fields: str) -> dict[str, str]:
-    """Return the headers of a replica's own answer to a call."""
+    """Return the headers of a replica's response to a call, with the call's request id."""
     return {
         NAMES.request_id: call.headers[NAMES.request_id],
         NAMES.signature: "signed",
@@ -158,5 +158,5 @@
 
 
 def every_replica(view: GatewayView, service: str, homes: tuple[str, ...]) -> list[Any]:
-    """Stand in for ``GatewayView.usable`` without its guards."""
+    """Replacement for ``GatewayView.usable`` that excludes no replicas."""
     return list(view.replicas.get(service, ()))
--- a/tests/test_gateway_directory.py
+++ b/tests/test_gateway_directory.py
@@ -1,4 +1,4 @@
-"""Clients ask which fronts to connect to; the platform asks whether a front is ready."""
+"""Address lookups by clients, readiness checks by the platform, and draining."""
 
 import json
 import unittest
@@ -21,8 +21,8 @@
 from tests.gateway_support import document, front, route_item
 
 
-class _Link:
-    """Stands in for the core link: takes what is said of readiness."""
+class _FakeCoreLink:
+    """Replaces the core link; ignores readiness reports."""
 
     def set_ready(self, ready):
         return []
@@ -35,7 +35,7 @@
     def setUp(self):
         self.view_builder = GatewayViewBuilder()
         self.active = 0
-        self.lifecycle = Lifecycle(_Link(), lambda: self.active, grace_s=8.0)
+        self.lifecycle = Lifecycle(_FakeCoreLink(), lambda: self.active, grace_s=8.0)
         self.protocol = ClientProtocol(
             HeaderNames(),
             "/ready",
@@ -50,7 +50,7 @@
     def be_ready(self, routes=None, **view):
         routes = routes or [route_item("a", "/a/", home_regions=["south"])]
         read = json.dumps(document(routes)).encode()
-        self.view_builder._take_configuration(ConfigurationBody(1, "", read), 0.0)
+        self.view_builder._apply_configuration(ConfigurationBody(1, "", read), 0.0)
         known = GatewayView(
             configuration=self.view_builder.view.configuration, is_listed=True, **view
         )
@@ -70,7 +70,7 @@
         (respond,) = self.component.handle(event, 0.0)
         return respond.status
 
-    def test_near_fronts_first_and_only_ready_ones(self):
+    def test_ready_fronts_of_the_region_come_first(self):
         far = {"region": "south", "zone": "south-a"}
         self.be_ready(
             fronts=(
@@ -90,7 +90,7 @@
         self.assertIn(far_one, {"10.1.0.1:8000", "10.1.0.5:8000"})
         self.assertEqual(len(self.where(region="west", zone="west-a")), 2)
 
-    def test_few_clients_are_sent_far_and_no_answer_is_too_long(self):
+    def test_few_clients_get_the_backup_and_answers_are_bounded(self):
         fronts = [front(n) for n in range(1, 200)]
         fronts += [front(n, region="south", zone="south-a") for n in range(200, 250)]
         for near_count in (1, 2, 60, 199):
@@ -100,13 +100,13 @@
             self.assertEqual(len(set(answer)) - len(set(answer[:-1])), 1)
             self.assertGreaterEqual(answer.count(answer[0]) * len(set(answer[:-1])), 8)
 
-    def test_a_region_that_is_bound_alone_names_no_other(self):
+    def test_a_host_bound_to_one_region_gets_no_backup(self):
         self.be_ready(fronts=(front(1), front(6, region="south", zone="south-a")))
         answer = self.where(host="desk.example", region="south", zone="south-a")
         self.assertEqual(answer, ["10.1.0.6:8000"])
 
-    def test_a_host_with_a_bound_route_names_no_far_front_outside_its_home(self):
-        """Seen on a hunted day: one in seventeen connections led bound requests away."""
+    def test_the_backup_of_a_host_with_a_bound_route_is_in_its_home_region(self):
+        """Such a backup sent one in seventeen connections with bound requests to another region."""
         routes = [route_item("a", "/a/", home_regions=["south"]), route_item("b", "/b/")]
         fronts = (front(1), front(2), front(6, region="south", zone="south-a"))
         self.be_ready(routes, fronts=fronts)
@@ -115,7 +115,7 @@
         answer = self.where(host="desk.example")
         self.assertEqual(set(answer), {"10.1.0.1:8000", "10.1.0.2:8000", "10.1.0.6:8000"})
 
-    def test_the_far_front_of_several_bound_routes_is_at_home_for_all(self):
+    def test_the_backup_is_in_a_home_region_common_to_all_bound_routes(self):
         routes = [
             route_item("a", "/a/", home_regions=["south", "east"]),
             route_item("b", "/b/", home_regions=["south", "west"]),
@@ -137,14 +137,14 @@
         self.be_ready(fronts=fronts[:2], core_machines=frozenset({"10.1.0.1"}))
         self.assertEqual(self.where(), ["10.1.0.1:8000", "10.1.0.2:8000"])
 
-    def test_a_bound_host_gets_fronts_of_its_home(self):
+    def test_a_bound_host_gets_fronts_of_its_home_region(self):
         self.be_ready(fronts=(front(1), front(2), front(6, region="south", zone="south-a")))
         self.assertEqual(self.where(host="desk.example"), ["10.1.0.6:8000"])
 
-    def test_a_front_that_knows_no_others_names_itself(self):
+    def test_a_front_without_a_list_of_members_returns_its_own_address(self):
         self.assertEqual(self.where(), ["10.1.0.9:8000"])
 
-    def test_a_front_that_drains_is_not_ready_at_once_and_ends_when_idle(self):
+    def test_a_draining_front_is_unready_immediately_and_exits_when_idle(self):
         self.assertEqual(self.ready(), 200)
         self.active = 1
         self.lifecycle.handle(ev.StopRequested(), 100.0)
@@ -157,7 +157,7 @@
             self.lifecycle.handle(ev.TimerFired("drain"), 105.1)[0], fx.StopProcess
         )
 
-    def test_the_grace_is_the_end_also_for_what_still_runs(self):
+    def test_the_process_exits_at_the_end_of_the_grace_period_with_requests_in_flight(self):
         self.active = 1
         self.lifecycle.handle(ev.StopRequested(), 100.0)
         self.assertIsInstance(
--- a/tests/test_gateway_document.py
+++ b/tests/test_gateway_document.py
@@ -1,3 +1,5 @@
+"""Reading and patching of the gateway's configuration document."""
+
 import json
 import unittest
 
@@ -24,7 +26,7 @@
         self.assertIsNone(found.find(HOST, "/pay"))
         self.assertIsNone(found.find("other.example", "/pay/x"))
 
-    def test_streams_that_may_be_resumed_are_repeatable(self):
+    def test_resumable_streams_are_idempotent(self):
         found = configuration(
             [
                 route_item("a", "/a/", execution="event_stream", resumable=True),
@@ -33,11 +35,11 @@
                 route_item("d", "/d/"),
             ]
         )
-        repeatable = {p: r.is_idempotent for p, r in found.routes[HOST].items()}
-        self.assertEqual(repeatable, {"/a/": True, "/b/": False, "/c/": True, "/d/": False})
+        idempotent = {p: r.is_idempotent for p, r in found.routes[HOST].items()}
+        self.assertEqual(idempotent, {"/a/": True, "/b/": False, "/c/": True, "/d/": False})
         self.assertIs(found.find(HOST, "/a/1").execution, Execution.EVENT_STREAM)
 
-    def test_each_kind_of_invalid_document_is_refused(self):
+    def test_each_kind_of_invalid_document_is_rejected(self):
         good = route_item("a", "/a/")
         split = [{"service": "ledger", "weight": 0}, {"service": "model", "weight": 0}]
         cases = {
@@ -54,7 +56,7 @@
             with self.subTest(name):
                 self.assertTrue(problems_of(document(routes)))
 
-    def test_text_that_is_cut_short_is_refused(self):
+    def test_truncated_documents_are_rejected(self):
         whole = json.dumps(document([route_item("a", "/a/")])).encode()
         for length in range(0, len(whole), 7):
             self.assertTrue(read_gateway_configuration(whole[:length]).is_error())
@@ -88,7 +90,7 @@
         )
     )
     @settings(max_examples=200, deadline=None)
-    def test_any_json_is_read_or_refused(self, value):
+    def test_any_json_is_read_or_rejected(self, value):
         read = read_gateway_configuration(json.dumps(value).encode())
         self.assertTrue(read.is_ok() or read.error)
 
@@ -117,7 +119,7 @@
         self.assertEqual(result["extra"], {"y": 1})
         self.assertEqual(result["routes"][0]["later"], "x")
 
-    def test_a_patch_of_another_shape_is_refused(self):
+    def test_a_patch_of_invalid_shape_is_rejected(self):
         base = json.dumps(document([])).encode()
         for patch in ([], {"upsert": []}, {"upsert": {"routes": ["a"]}}, {"remove": {"routes": 1}}):
             self.assertTrue(apply_named_patch(base, json.dumps(patch).encode()).is_error())
--- a/tests/test_gateway_large.py
+++ b/tests/test_gateway_large.py
@@ -1,4 +1,7 @@
-"""Faults of two hundred machines in virtual time, and guards whose absence is noticed there."""
+"""Fault scenarios with two hundred machines in virtual time.
+
+The tests of ``Guards`` disable one safeguard each and check that an oracle reports it.
+"""
 
 import unittest
 from concurrent.futures import ProcessPoolExecutor
@@ -15,19 +18,19 @@
 
 LEAST_SERVED = 0.85
 LEAST_SERVED_WHERE_REPLICAS_REJECT = 0.65
-"""Of attempts: four of six replicas of a service reject all that they get for a third of the run,
-and each rejected attempt is followed at once by three more."""
+"""Share of attempts. Four of a service's six replicas reject every request for a third of the run,
+and clients follow each rejected attempt immediately by three more."""
 MACHINES = 200
 
 
 WORKERS = 4
-"""A day takes half a minute of one processor."""
+"""Processes that run scenarios in parallel; each scenario takes half a minute of one processor."""
 SEEDS = {"packets_pass_one_way": 2, "clients_repeat_at_once": 2, "power_goes_with_disks": 2}
-"""Seeds other than 1."""
+"""Seeds of the scenarios that run with a seed other than 1."""
 
 
 def play(name: str) -> tuple[dict[str, list[str]], float]:
-    """Return what a day broke, and the share that was served."""
+    """Run a scenario; return the broken oracles and the share of attempts that were served."""
     run = run_gateway_scenario(name, SEEDS.get(name, 1))
     return run.broken, run.served_share
 
@@ -82,30 +85,30 @@
     return True
 
 
-def _own_memory_only(replicator: Replicator) -> int:
+def _own_last_sequence(replicator: Replicator) -> int:
     return replicator._store.last.sequence
 
 
 class Guards(unittest.TestCase):
-    """A guard that is switched off is noticed at this size, too."""
+    """An oracle detects each disabled safeguard at this size, too."""
 
     def caught(self, oracle: str, scenario: str, seed: int = 1) -> None:
         self.assertIn(oracle, run_gateway_scenario(scenario, seed).broken)
 
-    def test_leaving_replicas_are_left_out_by_slow_machines(self) -> None:
+    def test_slow_machines_send_nothing_to_draining_replicas(self) -> None:
         with mock.patch.object(GatewayView, "usable", every_replica):
             self.caught("leaving_get_nothing", "machines_turn_slow")
 
-    def test_emptied_zones_are_left_out_by_added_machines(self) -> None:
+    def test_added_machines_send_nothing_to_drained_zones(self) -> None:
         with mock.patch.object(GatewayView, "usable", every_replica):
             self.caught("emptied_get_nothing", "machines_are_added")
 
-    def test_repeats_have_a_budget_whatever_clients_do(self) -> None:
+    def test_retries_stay_within_the_budget_when_clients_retry_at_once(self) -> None:
         with mock.patch.object(RetryBudget, "may_retry", _always):
             self.caught("repeats_within_budget", "clients_repeat_at_once", 2)
 
-    def test_enough_disks_hold_a_change(self) -> None:
-        with mock.patch.object(Replicator, "acknowledged_by_all", _own_memory_only):
+    def test_an_acknowledged_change_is_on_enough_disks(self) -> None:
+        with mock.patch.object(Replicator, "acknowledged_by_all", _own_last_sequence):
             self.caught("newest_is_read_back", "power_goes_with_disks", 2)
 
 
--- a/tests/test_gateway_listing.py
+++ b/tests/test_gateway_listing.py
@@ -1,4 +1,4 @@
-"""The primary reads the platform's list of replicas, page by page."""
+"""The primary polls the platform's list of replicas page by page and publishes changes."""
 
 import unittest
 
@@ -58,20 +58,20 @@
         self.start(ev.TimerFired("read"))
         self.assertEqual(self.offered(self.read("gone")).sequence, 2)
 
-    def test_only_a_primary_asks(self):
+    def test_only_the_primary_polls(self):
         self.start()
         self.component.handle(PrimaryStopped("lease"), 0.0)
         self.assertEqual(self.read("warm"), [])
         self.assertEqual(self.component.handle(ev.TimerFired("read"), 0.0), [])
 
-    def test_a_new_term_distributes_the_list_anew(self):
+    def test_a_new_term_distributes_the_list_again(self):
         self.start()
         self.read("warm")
         self.component.handle(PrimaryStopped("lease"), 0.0)
         self.start(PrimaryStarted(9))
         self.assertEqual(self.offered(self.read("warm")).epoch, 9)
 
-    def test_a_failed_round_is_followed_by_another(self):
+    def test_a_failed_read_is_followed_by_another(self):
         self.start()
         self.component.handle(ev.HttpFailed(self.call_id, "cut", ev.SendState.MAYBE_SENT), 0.0)
         self.start(ev.TimerFired("read"))
--- a/tests/test_gateway_operator_api.py
+++ b/tests/test_gateway_operator_api.py
@@ -1,4 +1,4 @@
-"""The operators' calls at a core: forwarded to the primary, retried, answered in time."""
+"""Operators' calls at a core are forwarded to the primary, retried, and answered in time."""
 
 import unittest
 
@@ -20,7 +20,7 @@
         self.component = GatewayOperatorApi(operator_protocol(), context())
         self.component.handle(PrimaryKnown(1, PRIMARY), self.now)
 
-    def ask(self, path: str) -> list[fx.Effect]:
+    def call(self, path: str) -> list[fx.Effect]:
         event = ev.HttpRequestArrived(1, "POST", path, {}, {}, b"", listener=LISTENER)
         return self.component.handle(event, self.now)
 
@@ -30,21 +30,21 @@
 
     def test_outcomes_of_the_primary_become_statuses(self):
         for outcome, status in (("accepted", 200), ("conflict", 412), ("invalid", 400)):
-            (call,) = self.ask("/change")
+            (call,) = self.call("/change")
             self.assertEqual(call.address, PRIMARY)
             self.assertTrue(call.request.base_required)
             (respond,) = self.answer(call, outcome)
             self.assertEqual(respond.status, status)
 
-    def test_an_order_that_may_be_taken_is_never_refused(self):
-        for ending in ("unknown", "unavailable", "not_primary", None):
-            (call,) = self.ask("/change")
+    def test_a_change_that_may_be_committed_is_never_rejected(self):
+        for outcome in ("unknown", "unavailable", "not_primary", None):
+            (call,) = self.call("/change")
             for _ in range(100):
-                if ending is None:
+                if outcome is None:
                     failed = ev.CallFailed(call.call_id, "cut", True)
                     (effect,) = self.component.handle(failed, self.now)
                 else:
-                    (effect,) = self.answer(call, ending)
+                    (effect,) = self.answer(call, outcome)
                 self.assertIsInstance(effect, fx.StartTimer)
                 self.now += 0.1
                 (effect,) = self.component.handle(ev.TimerFired(effect.name), self.now)
@@ -55,19 +55,19 @@
 
     def test_without_a_primary_the_answer_comes_within_a_second(self):
         self.component.handle(PrimaryKnown(2, ""), self.now)
-        (timer,) = self.ask("/zone")
-        began = self.now
+        (timer,) = self.call("/zone")
+        called_at = self.now
         while isinstance(timer, fx.StartTimer):
             self.now += timer.delay_s
             (timer,) = self.component.handle(ev.TimerFired(timer.name), self.now)
         self.assertEqual(timer.status, 503)
-        self.assertLess(self.now - began, 1.0)
+        self.assertLess(self.now - called_at, 1.0)
 
-    def test_a_call_that_is_none_is_told_so(self):
-        (respond,) = self.ask("/other")
+    def test_an_unknown_call_gets_404(self):
+        (respond,) = self.call("/other")
         self.assertEqual(respond.status, 404)
 
-    def test_each_zone_order_is_an_order_of_its_own(self):
-        (first,) = self.ask("/zone")
-        (second,) = self.ask("/zone")
+    def test_each_zone_call_has_its_own_operation_id(self):
+        (first,) = self.call("/zone")
+        (second,) = self.call("/zone")
         self.assertNotEqual(first.request.operation_id, second.request.operation_id)
--- a/tests/test_gateway_peers.py
+++ b/tests/test_gateway_peers.py
@@ -1,4 +1,4 @@
-"""Fronts of a region tell each other what they have under way, and decide by it."""
+"""Fronts of a region report their calls in flight to each other and use the reports."""
 
 import unittest
 from random import Random
@@ -60,53 +60,53 @@
         self.sender = exchange_of(self.one, 1)
         self.receiver = exchange_of(self.two, 2)
 
-    def tell(self) -> list[fx.Call]:
+    def send_report(self) -> list[fx.Call]:
         return calls_of(self.sender.handle(ev.TimerFired("tell"), self.one.now))
 
-    def carry(self, call: fx.Call) -> list[fx.Effect]:
-        """Carry a message over the wire to the other front."""
+    def deliver(self, call: fx.Call) -> list[fx.Effect]:
+        """Deliver a report to the other front, encoded and decoded as on the wire."""
         message = decode(FrontUse, encode(call.request)).ok
         return self.receiver.handle(ev.CallArrived(1, "front-1", message), self.two.now)
 
-    def test_a_front_with_nothing_under_way_says_nothing(self):
-        self.assertEqual(self.tell(), [])
+    def test_an_idle_front_sends_no_report(self):
+        self.assertEqual(self.send_report(), [])
 
-    def test_a_short_prompt_avoids_the_replica_that_reads_a_peers_long_one(self):
+    def test_a_short_prompt_avoids_a_replica_that_prefills_a_peers_long_prompt(self):
         (busy,) = self.one.request("/s/1", headers=LONG)
-        (call,) = self.tell()
-        (answer,) = self.carry(call)
+        (call,) = self.send_report()
+        (answer,) = self.deliver(call)
         self.assertIsInstance(answer.answer, FrontUseTaken)
         for _ in range(5):
             (sent,) = self.two.request("/s/2", headers=SHORT)
             self.assertNotEqual(sent.address, busy.address)
 
-    def test_a_prompt_goes_where_a_peer_has_just_sent_its_shared_parts(self):
+    def test_a_prompt_goes_where_a_peer_has_just_sent_its_shared_blocks(self):
         (busy,) = self.one.request("/s/1", headers={NAMES.prompt_parts: "shared:3000,own:10"})
-        (told,) = self.tell()
-        self.carry(told)
-        self.sender.handle(ev.CallAnswered(told.call_id, None), self.one.now)
+        (call,) = self.send_report()
+        self.deliver(call)
+        self.sender.handle(ev.CallAnswered(call.call_id, None), self.one.now)
         self.one.handle(ev.HttpFailed(busy.call_id, "x", ev.SendState.MAYBE_SENT))
-        self.carry(self.tell()[0])
+        self.deliver(self.send_report()[0])
         (sent,) = self.two.request("/s/1", headers={NAMES.prompt_parts: "shared:3000,other:10"})
         self.assertEqual(sent.address, busy.address)
 
-    def test_the_end_of_everything_is_told_once(self):
+    def test_becoming_idle_is_reported_once(self):
         (call,) = self.one.request("/s/1", headers=LONG)
-        self.sender.handle(ev.CallAnswered(self.tell()[0].call_id, None), self.one.now)
+        self.sender.handle(ev.CallAnswered(self.send_report()[0].call_id, None), self.one.now)
         self.one.handle(ev.HttpFailed(call.call_id, "x", ev.SendState.MAYBE_SENT))
-        (last,) = self.tell()
+        (last,) = self.send_report()
         self.assertEqual(last.request.uses, [])
         self.sender.handle(ev.CallAnswered(last.call_id, None), self.one.now)
-        self.assertEqual(self.tell(), [])
+        self.assertEqual(self.send_report(), [])
 
-    def test_a_peer_that_does_not_answer_gets_one_message_at_a_time(self):
+    def test_a_peer_that_does_not_answer_gets_one_report_at_a_time(self):
         self.one.request("/s/1", headers=LONG)
-        (call,) = self.tell()
-        self.assertEqual(self.tell(), [])
+        (call,) = self.send_report()
+        self.assertEqual(self.send_report(), [])
         self.sender.handle(ev.CallFailed(call.call_id, "deadline", True), self.one.now)
-        self.assertEqual(len(self.tell()), 1)
+        self.assertEqual(len(self.send_report()), 1)
 
-    def test_only_the_serving_fronts_of_the_own_region_are_told(self):
+    def test_only_serving_fronts_of_the_own_region_get_reports(self):
         gateway = GatewayFront([ROUTE], [replica(1, "model")], fronts=30)
         exchange = exchange_of(gateway)
         gateway.request("/s/1", headers=LONG)
@@ -115,36 +115,36 @@
         self.assertLessEqual(len(calls), min(len(serving), MAX_DIRECT_PEERS))
         self.assertGreater(len(calls), 0)
 
-    def test_prompts_of_a_front_without_peers_are_not_kept_for_ever(self):
+    def test_unreported_prompts_are_bounded(self):
         for _ in range(600):
             self.one.request("/s/1", headers=SHORT)
         self.assertLessEqual(len(self.one.decision.traffic.take_unreported_prompts()), 256)
 
 
 class Loads(unittest.TestCase):
-    def test_all_peers_count_together(self):
+    def test_reports_of_all_peers_are_summed(self):
         loads = PeerLoads()
-        loads.take("a", "1", 1, {"r": ReplicaUsage(2, 100)}, 0.0)
-        loads.take("b", "1", 1, {"r": ReplicaUsage(3, 50)}, 0.0)
+        loads.record_report("a", "1", 1, {"r": ReplicaUsage(2, 100)}, 0.0)
+        loads.record_report("b", "1", 1, {"r": ReplicaUsage(3, 50)}, 0.0)
         self.assertEqual(loads.usage_at("r", 0.1), ReplicaUsage(5, 150))
         self.assertEqual(loads.usage_at("other", 0.1), NO_USAGE)
 
-    def test_a_silent_peer_lapses(self):
+    def test_the_report_of_a_silent_peer_expires(self):
         loads = PeerLoads()
-        loads.take("a", "1", 1, {"r": ReplicaUsage(2, 100)}, 0.0)
+        loads.record_report("a", "1", 1, {"r": ReplicaUsage(2, 100)}, 0.0)
         self.assertEqual(loads.usage_at("r", REPORT_TTL_S + 0.1), NO_USAGE)
 
-    def test_an_older_message_changes_nothing_and_a_restart_begins_anew(self):
+    def test_an_older_report_is_ignored_and_a_restarted_peer_replaces_its_report(self):
         loads = PeerLoads()
-        self.assertTrue(loads.take("a", "1", 7, {"r": ReplicaUsage(2, 100)}, 0.0))
-        self.assertFalse(loads.take("a", "1", 6, {}, 0.0))
+        self.assertTrue(loads.record_report("a", "1", 7, {"r": ReplicaUsage(2, 100)}, 0.0))
+        self.assertFalse(loads.record_report("a", "1", 6, {}, 0.0))
         self.assertEqual(loads.usage_at("r", 0.1).running, 2)
-        self.assertTrue(loads.take("a", "2", 1, {}, 0.2))
+        self.assertTrue(loads.record_report("a", "2", 1, {}, 0.2))
         self.assertEqual(loads.usage_at("r", 0.3), NO_USAGE)
 
-    def test_fronts_that_have_gone_are_forgotten(self):
+    def test_reports_of_removed_fronts_are_dropped(self):
         loads = PeerLoads()
-        loads.take("a", "1", 1, {"r": ReplicaUsage(2, 100)}, 0.0)
+        loads.record_report("a", "1", 1, {"r": ReplicaUsage(2, 100)}, 0.0)
         loads.forget_except(frozenset({"b"}))
         self.assertEqual(loads.usage_at("r", 0.1), NO_USAGE)
 
@@ -156,7 +156,7 @@
         message = FrontUse("front-2", "1", 1, [ReplicaUse("model-1", 1, 10)], [])
         exchange.handle(ev.CallArrived(1, "front-2", message), gateway.now)
         self.assertEqual(gateway.decision.traffic.peers.usage_at("model-1", gateway.now).running, 1)
-        parts = (PrefixBlock("shared", 10),)
+        blocks = (PrefixBlock("shared", 10),)
         self.assertEqual(
-            gateway.decision.traffic.prefixes.missing_tokens("model-1", parts, gateway.now), 10
+            gateway.decision.traffic.prefixes.missing_tokens("model-1", blocks, gateway.now), 10
         )
--- a/tests/test_gateway_planning.py
+++ b/tests/test_gateway_planning.py
@@ -1,4 +1,4 @@
-"""The regions' plan: what fronts report, and where it sends what a region can't take."""
+"""The region plan, from the fronts' demand reports to the traffic that a region can't serve."""
 
 import json
 import unittest
@@ -8,7 +8,7 @@
 from rooklug.engine.reducer import Identifiers
 from rooklug.gateway.gateway_events import ReplicasListed
 from rooklug.gateway.region_planner import RegionPlanner, solve_lazily
-from rooklug.gateway.region_problem import RegionSite
+from rooklug.gateway.region_problem import RegionPlanInputs
 from rooklug.gateway.view import matrix_of
 from rooklug.model.internal_events import ConfigurationCommitted, PrimaryStarted
 from rooklug.wire.generated.control.ttypes import (
@@ -21,7 +21,7 @@
 )
 from tests.gateway_support import configuration, document, route_item
 
-FREE = route_item("free", "/free/", service="model", execution="event_stream")
+UNBOUND = route_item("free", "/free/", service="model", execution="event_stream")
 BOUND = route_item(
     "bound", "/bound/", service="model", execution="event_stream", home_regions=["north"]
 )
@@ -46,7 +46,7 @@
     def setUp(self):
         self.planner = RegionPlanner(Identifiers())
         self.matrix = {}
-        body = ConfigurationBody(1, "", json.dumps(document([FREE, BOUND])).encode())
+        body = ConfigurationBody(1, "", json.dumps(document([UNBOUND, BOUND])).encode())
         self.handle(ConfigurationCommitted(VersionMark(1, 1), body))
         self.handle(PrimaryStarted(1))
         replicas = [listed("north", n) for n in range(6)] + [listed("south", 9)]
@@ -72,33 +72,33 @@
         first = [cell for cell in cells if cell.preference == 0]
         return sum(cell.weight for cell in first if cell.region == destination)
 
-    def test_what_a_region_can_not_read_in_time_goes_to_others(self):
+    def test_demand_beyond_a_regions_prefill_capacity_goes_to_others(self):
         self.report("free", "south", 40_000.0, 40_000.0)
         self.solve()
         self.assertGreater(self.share("south", "north"), 0.5)
         self.assertGreater(self.share("south", "south"), 0.2)
 
-    def test_what_it_can_read_stays(self):
+    def test_demand_within_a_regions_capacity_stays(self):
         self.report("free", "south", 8_000.0, 40_000.0)
         self.solve()
         self.assertEqual(self.share("south", "south"), 1.0)
 
-    def test_capacity_follows_how_fast_replicas_were_seen_to_read(self):
+    def test_capacity_follows_the_observed_prefill_rate(self):
         self.report("free", "south", 8_000.0, 10_000.0)
         self.solve()
         self.assertGreater(self.share("south", "north"), 0.3)
 
-    def test_demand_of_a_bound_route_is_not_taken_for_demand_of_a_free_one(self):
+    def test_demand_of_bound_and_unbound_routes_is_kept_apart(self):
         self.report("bound", "south", 40_000.0, 40_000.0)
         self.solve()
         self.assertEqual(self.share("south", "south"), 1.0)
         self.assertEqual(self.share("south", "north", ("north",)), 1.0)
 
     def test_a_service_without_an_engine_is_planned_by_its_slots(self):
-        site = RegionSite(configuration([route_item("once", "/once/")]), (), frozenset())
+        inputs = RegionPlanInputs(configuration([route_item("once", "/once/")]), (), frozenset())
         ledger = listed("north", 1)
         ledger.backend = "ledger"
-        problem = RegionSite(site.configuration, (ledger,), frozenset()).problem({})
+        problem = RegionPlanInputs(inputs.configuration, (ledger,), frozenset()).problem({})
         self.assertEqual(problem.models["ledger"].resources["ledger"].concurrency, 96)
 
 
--- a/tests/test_gateway_rate_limiter.py
+++ b/tests/test_gateway_rate_limiter.py
@@ -1,4 +1,4 @@
-"""Replicas that restart unannounced: the slow-start bound holds from the first moment."""
+"""The rate limits on warm replicas, which keep the slow-start bound when one restarts unnoticed."""
 
 import unittest
 from collections import Counter
@@ -21,7 +21,7 @@
 
 
 def view_of(north: int, south: int) -> GatewayView:
-    """Return a view with so many ready fronts in two regions."""
+    """Return a view with the given numbers of ready fronts in two regions."""
     fronts = [front(n) for n in range(1, north + 1)]
     fronts += [front(100 + n, region="south", zone="south-a") for n in range(1, south + 1)]
     return GatewayView(fronts=tuple(fronts))
@@ -33,15 +33,15 @@
             for rate in (6.0, 10.0, 40.0):
                 with self.subTest(north=north, south=south, rate=rate):
                     view, target = view_of(north, south), replica(1, "model")
-                    most = BOUND.requests(rate)
+                    bound = BOUND.requests(rate)
                     total = 0
                     for node in view.fronts:
-                        share = view.send_shares.towards(target.region, node.node_id)
+                        share = view.send_shares.share_at(target.region, node.node_id)
                         if share.role in (SenderRole.OWN_REGION, SenderRole.OTHER_REGION):
-                            total += allowed_counts(most, share).share
-                    self.assertLessEqual(total, most)
+                            total += allowed_counts(bound, share).share
+                    self.assertLessEqual(total, bound)
 
-    def test_a_front_keeps_to_its_limit_in_every_second(self):
+    def test_a_front_stays_within_its_limit_in_every_second(self):
         limiter, share, times = ReplicaRateLimiter(BOUND), SendShare(SenderRole.OWN_REGION, 3), []
         for step in range(600):
             now = step / 200
@@ -50,7 +50,7 @@
                 times.append(now)
         self.assertEqual(busiest_second(times), allowed_counts(20.0, share).limit)
 
-    def test_a_service_without_a_cold_rate_is_not_limited(self):
+    def test_a_service_without_a_slow_start_rate_is_not_limited(self):
         limiter = ReplicaRateLimiter(BOUND)
         for _ in range(100):
             limiter.record_send("r-1", 0.0)
@@ -62,7 +62,7 @@
         limiter.record_send("r-1", 0.0)
         self.assertIs(limiter.allowance("r-1", 10.0, NO_SHARE, 0.5), Allowance.NONE)
 
-    def test_replicas_that_are_gone_are_forgotten(self):
+    def test_removed_replicas_are_forgotten(self):
         limiter = ReplicaRateLimiter(BOUND)
         limiter.record_send("r-1", 0.0)
         limiter.forget_except({"r-2"})
@@ -74,10 +74,10 @@
         (effect,) = gateway.request("/s/1", headers={NAMES.prompt_parts: "aa:10,bb:10"})
         return effect
 
-    def test_a_burst_goes_on_to_other_replicas_then_it_is_refused_at_once(self):
+    def test_a_burst_spreads_to_other_replicas_and_is_then_rejected(self):
         gateway = GatewayFront([ROUTE], [replica(n, "model") for n in (1, 2)])
         bound = gateway.decision.traffic.rate_limiter.bound.requests(10.0)
-        allowed = allowed_counts(bound, gateway.view.send_shares.towards("north", "front-1"))
+        allowed = allowed_counts(bound, gateway.view.send_shares.share_at("north", "front-1"))
         calls = [self.send(gateway) for _ in range(2 * allowed.share)]
         self.assertEqual(
             Counter(call.address for call in calls).most_common()[-1][1], allowed.share
@@ -92,19 +92,19 @@
         gateway.now += 1.2
         self.assertIsInstance(self.send(gateway), fx.HttpCall)
 
-    def test_another_region_comes_before_more_than_the_own_share(self):
+    def test_another_region_is_preferred_over_exceeding_the_own_share(self):
         far = replica(2, "model", region="south", zone="south-a")
         gateway = GatewayFront([ROUTE], [replica(1, "model"), far])
         bound = gateway.decision.traffic.rate_limiter.bound.requests(10.0)
         own_share = allowed_counts(
-            bound, gateway.view.send_shares.towards("north", "front-1")
+            bound, gateway.view.send_shares.share_at("north", "front-1")
         ).share
         addresses = [self.send(gateway).address for _ in range(own_share + 1)]
         self.assertEqual(addresses, ["10.0.0.1:80"] * own_share + [far.address])
 
 
 class ServingFronts(unittest.TestCase):
-    def test_zones_take_turns_and_core_machines_come_last(self):
+    def test_zones_alternate_and_core_machines_come_last(self):
         zones = {1: "a", 2: "a", 3: "b", 4: "b", 5: "b", 6: "b", 7: "a", 8: "a"}
         fronts = [front(number, zone=zone) for number, zone in zones.items()]
         chosen = serving_fronts(fronts, frozenset({"10.1.0.1", "10.1.0.3"}))
--- a/tests/test_gateway_region_planner.py
+++ b/tests/test_gateway_region_planner.py
@@ -1,4 +1,4 @@
-"""The primary solves for the regions, and publishes the matrix."""
+"""The primary solves the region plan and publishes its matrix."""
 
 import json
 import unittest
@@ -64,14 +64,14 @@
         self.assertEqual(list(self.weights(cells, "north")), ["north"])
         self.assertEqual(list(self.weights(cells, "south")), ["south"])
 
-    def test_what_a_region_cannot_carry_goes_to_the_other(self):
+    def test_demand_beyond_a_regions_capacity_goes_to_the_other(self):
         self.demand("f2", "south", 9000.0)
         self.demand("f3", "south", 11500.0, route="b")
         cells = self.plan()
         self.assertGreater(self.weights(cells, "south").get("north", 0.0), 0.9)
         self.assertEqual(self.weights(cells, "south", ("south",)), {"south": 1.0})
 
-    def test_no_cell_leaves_a_home(self):
+    def test_no_cell_of_a_bound_route_leaves_its_home_region(self):
         self.demand("f1", "north", 90000.0)
         bound = [c for c in self.plan() if c.home_regions]
         self.assertTrue(bound)
@@ -82,7 +82,7 @@
         self.assertTrue(self.plan())
         self.assertEqual(self.plan(), [])
 
-    def test_only_a_primary_plans(self):
+    def test_only_the_primary_plans(self):
         self.component.handle(PrimaryStopped("lease"), 1.0)
         effects = self.component.handle(ev.TimerFired("solve"), 2.0)
         self.assertFalse(any(isinstance(effect, EmitEvent) for effect in effects))
--- a/tests/test_gateway_replica_pool.py
+++ b/tests/test_gateway_replica_pool.py
@@ -1,4 +1,4 @@
-"""A large pool of replicas is chosen from without looking at all of it."""
+"""Choices in a large pool compare a bounded number of replicas."""
 
 import unittest
 from collections import Counter
@@ -26,7 +26,7 @@
         for number in range(200):
             self.assertEqual(one.owner(f"part-{number}"), other.owner(f"part-{number}"))
 
-    def test_a_member_that_leaves_moves_only_its_own_keys(self):
+    def test_a_removed_member_moves_only_its_own_keys(self):
         names = [f"replica-{number}" for number in range(40)]
         before, after = HashRing.of(names), HashRing.of(names[1:])
         for number in range(500):
@@ -45,7 +45,7 @@
 
 
 class Pools(unittest.TestCase):
-    def test_a_small_pool_is_looked_at_whole(self):
+    def test_a_small_pool_is_compared_as_a_whole(self):
         self.assertFalse(pool_of(MAX_SMALL_POOL).is_large)
         self.assertTrue(pool_of(MAX_SMALL_POOL + 1).is_large)
 
@@ -64,11 +64,11 @@
                 found = pool_of(size).candidates("replica-9", holders, Random(seed))
                 self.assertLessEqual(len(found), RANDOM_CHOICES + len(holders) + 1)
 
-    def test_replicas_that_are_no_longer_listed_are_passed_over(self):
+    def test_unlisted_replicas_are_skipped(self):
         found = pool_of(20).candidates("gone", ["gone-too"], Random(1))
         self.assertEqual(RANDOM_CHOICES, len(found))
 
-    def test_every_replica_is_drawn_some_time(self):
+    def test_every_replica_is_sampled_eventually(self):
         pool, seen = pool_of(60), set()
         random = Random(1)
         for _ in range(200):
@@ -76,23 +76,23 @@
         self.assertEqual(60, len(seen))
 
 
-class Users(unittest.TestCase):
-    def test_the_latest_user_comes_first(self):
+class CacheUsers(unittest.TestCase):
+    def test_the_most_recent_user_comes_first(self):
         table = PrefixCacheTable()
-        parts = (PrefixBlock("head", 100), PrefixBlock("own", 10))
+        blocks = (PrefixBlock("head", 100), PrefixBlock("own", 10))
         for name in ("a", "b", "a"):
-            table.record_use(name, parts, 1_000, 0.0)
+            table.record_use(name, blocks, 1_000, 0.0)
         self.assertEqual(["a", "b"], table.users("head", 8))
         self.assertEqual(["a"], table.users("head", 1))
 
-    def test_what_gave_way_has_no_user(self):
+    def test_an_evicted_block_has_no_user(self):
         table = PrefixCacheTable()
         table.record_use("a", (PrefixBlock("first", 700),), 1_000, 0.0)
         table.record_use("a", (PrefixBlock("second", 700),), 1_000, 0.0)
         self.assertEqual([], table.users("first", 8))
         self.assertEqual(["a"], table.users("second", 8))
 
-    def test_replicas_that_are_gone_are_forgotten(self):
+    def test_removed_replicas_are_forgotten(self):
         table = PrefixCacheTable()
         table.record_use("a", (PrefixBlock("first", 700),), 1_000, 0.0)
         table.record_use("b", (PrefixBlock("first", 700),), 1_000, 0.0)
@@ -105,10 +105,10 @@
 
 class Cost(unittest.TestCase):
     def test_a_decision_costs_about_the_same_at_any_size(self):
-        """By processor time; a look at all replicas would take ten times as long."""
-        some = measure_decision(65, requests=400).seconds
-        many = measure_decision(830, requests=400).seconds
-        self.assertLess(many, 3 * some)
+        """Compares processor time; comparing all replicas would take ten times as long."""
+        small = measure_decision(65, requests=400).seconds
+        large = measure_decision(830, requests=400).seconds
+        self.assertLess(large, 3 * small)
 
 
 if __name__ == "__main__":
--- a/tests/test_gateway_shape.py
+++ b/tests/test_gateway_shape.py
@@ -1,3 +1,5 @@
+"""Randomly drawn deployments and fault sequences for the gateway's simulated scenarios."""
+
 import unittest
 from random import Random
 
@@ -9,16 +11,16 @@
 
 
 class Drawn(unittest.TestCase):
-    def test_every_kind_of_deployment_comes(self):
+    def test_every_kind_of_deployment_is_drawn(self):
         self.assertEqual({len(shape.regions) for shape in SHAPES}, {1, 2, 3})
         self.assertEqual({len(shape.core_zones) for shape in SHAPES}, {3, 5, 6, 7})
         self.assertEqual({shape.tolerance for shape in SHAPES}, {1, 2})
 
-    def test_the_loss_that_is_borne_leaves_a_majority(self):
+    def test_the_tolerated_loss_leaves_a_majority(self):
         for shape in SHAPES:
             self.assertGreater(len(shape.core_zones) - shape.tolerance, len(shape.core_zones) / 2)
 
-    def test_seeds_stand_in_several_zones(self):
+    def test_seed_nodes_are_in_several_zones(self):
         for shape in SHAPES:
             self.assertGreater(len(set(shape.core_zones[:SEEDS])), 1)
             self.assertLessEqual(set(shape.core_zones), set(shape.zones))
@@ -28,7 +30,7 @@
 
 
 class Days(unittest.TestCase):
-    def test_no_more_disks_are_lost_than_the_deployment_bears(self):
+    def test_no_more_disks_are_lost_than_the_deployment_tolerates(self):
         site = GatewaySite(1, FIXED_SHAPE)
         site.start()
         wiped = []
@@ -52,7 +54,7 @@
         site.world.run_for(16.0)
         self.assertEqual(used, ["/drawn1/1"])
 
-    def test_a_refused_change_is_built_upon_no_more(self):
+    def test_later_changes_are_not_based_on_a_rejected_one(self):
         site = GatewaySite(1, FIXED_SHAPE)
         site.start()
         site.world.run_for(3.0)
--- a/tests/test_gateway_site.py
+++ b/tests/test_gateway_site.py
@@ -1,4 +1,7 @@
-"""The whole gateway deployment in virtual time: the brief's five kinds of bad days."""
+"""The whole gateway deployment in virtual time, under the required five kinds of faults.
+
+The tests of ``Guards`` disable one safeguard each and check that an oracle reports it.
+"""
 
 import contextlib
 import io
@@ -30,7 +33,7 @@
 LEAST_SERVED = 0.85
 SOON_S = 1.5
 LEAST_SERVED_WITHOUT_A_REGION = 0.75
-"""A third of the clients have no front for a fifth of the run."""
+"""Lower, because a third of the clients have no front for a fifth of the run."""
 
 
 class BadDays(unittest.TestCase):
@@ -81,22 +84,22 @@
     def test_random_day(self) -> None:
         self.check("random_day")
 
-    def test_a_replica_that_turns_cold_unseen_gets_a_trickle_too(self) -> None:
+    def test_a_replica_that_restarts_unnoticed_is_within_the_slow_start_bound(self) -> None:
         self.assertEqual(run_gateway_scenario("traffic_moves", 20).broken, {})
 
     def test_every_scenario_has_a_test(self) -> None:
         tests = {name.removeprefix("test_") for name in dir(self) if name.startswith("test_")}
         self.assertLessEqual(set(SCENARIOS) - LARGE, tests)  # these: tests/test_gateway_large.py
 
-    def test_a_seed_repeats_to_the_byte(self) -> None:
+    def test_a_seed_reproduces_a_run_exactly(self) -> None:
         first, second = (run_gateway_scenario("replicas_fail", 3).journal for _ in range(2))
         self.assertEqual(repr(first), repr(second))
 
 
 class KnowingTheMembers(unittest.TestCase):
-    """Fronts that start know their peers before the first lease could have ended."""
+    """Starting fronts know their peers before the first lease could have expired."""
 
-    def test_fronts_know_each_other_soon_after_everything_was_killed(self) -> None:
+    def test_fronts_know_each_other_soon_after_a_restart_of_everything(self) -> None:
         site = GatewaySite(4)
         site.start()
         site.world.run_for(6.0)
@@ -105,7 +108,7 @@
         known = [len(_decision_of(site, name).view.ready_fronts) for name in site.fronts]
         self.assertEqual(known, [len(site.fronts)] * len(site.fronts))
 
-    def test_fronts_that_live_on_never_lose_sight_of_the_others_in_a_failover(self) -> None:
+    def test_surviving_fronts_keep_their_list_of_fronts_during_a_failover(self) -> None:
         site = GatewaySite(5)
         site.start()
         site.world.run_for(6.0)
@@ -126,83 +129,83 @@
     return [fx.HttpStreamEnd(proxied.request.http_id)]
 
 
-def _first_only(keeper: GatewayViewBuilder, body: Any, now: float) -> list[fx.Effect]:
-    if keeper.view.configuration is not None:
+def _first_only(builder: GatewayViewBuilder, body: Any, now: float) -> list[fx.Effect]:
+    if builder.view.configuration is not None:
         return []
-    return TAKE_CONFIGURATION(keeper, body, now)
+    return APPLY_CONFIGURATION(builder, body, now)
 
 
-def _always_fresh(*_: Any) -> Classification:
+def _classified_as_fresh(*_: Any) -> Classification:
     return Classification(Verdict.FRESH)
 
 
-def _always_room(*_: Any) -> Allowance:
+def _always_free(*_: Any) -> Allowance:
     return Allowance.FREE
 
 
-TAKE_CONFIGURATION = GatewayViewBuilder._take_configuration
+APPLY_CONFIGURATION = GatewayViewBuilder._apply_configuration
 
 
 class Guards(unittest.TestCase):
-    """A guard that is switched off is noticed by its oracle."""
+    """An oracle detects each disabled safeguard."""
 
     def caught(self, oracle: str, scenario: str, owner: Any, name: str, replacement: Any) -> None:
         for seed in range(1, 7):
             with mock.patch.object(owner, name, replacement):
                 if oracle in run_gateway_scenario(scenario, seed).broken:
                     return
-        self.fail(f"{oracle} noticed nothing")
+        self.fail(f"{oracle} detected nothing")
 
-    def caught_unpaced(self, oracle: str, scenario: str, *replaced: Any) -> None:
-        """Switch the pace at warm replicas off as well: it also spares those that are cold."""
-        with mock.patch.object(ReplicaRateLimiter, "allowance", _always_room):
+    def caught_without_rate_limit(self, oracle: str, scenario: str, *replaced: Any) -> None:
+        """Disable the rate limit on warm replicas as well: it also protects those in slow start."""
+        with mock.patch.object(ReplicaRateLimiter, "allowance", _always_free):
             self.caught(oracle, scenario, *replaced)
 
-    def test_a_request_that_may_have_run_is_not_sent_again(self) -> None:
-        always = lambda passage: True  # noqa: E731
+    def test_a_request_that_may_have_run_is_not_retried(self) -> None:
+        always = lambda proxied: True  # noqa: E731
         self.caught("runs_once", "replicas_fail", ProxiedRequest, "may_send_again", always)
 
-    def test_a_promise_is_given_only_without_a_run(self) -> None:
-        never_ran = property(lambda passage: False, lambda passage, value: None)
+    def test_not_run_is_answered_only_if_the_request_has_not_run(self) -> None:
+        never_ran = property(lambda proxied: False, lambda proxied, value: None)
         self.caught("promises_hold", "replicas_fail", ProxiedRequest, "may_have_run", never_ran)
 
-    def test_a_broken_stream_is_cut_visibly(self) -> None:
+    def test_a_broken_stream_is_visibly_incomplete(self) -> None:
         replaced = (RequestForwarder, "abort_stream", _end_as_if_complete)
         self.caught("answers_are_whole", "replicas_fail", *replaced)
 
-    def test_leaving_replicas_are_left_out(self) -> None:
+    def test_draining_replicas_get_nothing(self) -> None:
         self.caught("leaving_get_nothing", "replicas_fail", GatewayView, "usable", every_replica)
 
-    def test_emptied_zones_are_left_out(self) -> None:
+    def test_drained_zones_get_nothing(self) -> None:
         self.caught("emptied_get_nothing", "replicas_fail", GatewayView, "usable", every_replica)
 
-    def test_home_regions_are_kept(self) -> None:
+    def test_bound_requests_stay_in_their_home_regions(self) -> None:
         self.caught("stays_home", "replicas_lie", GatewayView, "usable", every_replica)
 
-    def test_cold_replicas_are_spared(self) -> None:
+    def test_replicas_in_slow_start_are_rate_limited(self) -> None:
         always = lambda *_: True  # noqa: E731
         replaced = (SlowStartLimiter, "may_send", always)
-        self.caught_unpaced("cold_get_a_trickle", "traffic_moves", *replaced)
+        self.caught_without_rate_limit("cold_get_a_trickle", "traffic_moves", *replaced)
 
-    def test_replicas_that_may_turn_cold_are_paced(self) -> None:
-        with mock.patch.object(ReplicaRateLimiter, "allowance", _always_room):
+    def test_warm_replicas_are_rate_limited_since_they_may_restart(self) -> None:
+        with mock.patch.object(ReplicaRateLimiter, "allowance", _always_free):
             self.assertIn("cold_get_a_trickle", run_gateway_scenario("traffic_moves", 20).broken)
 
-    def test_a_zone_that_is_taken_back_counts_as_cold(self) -> None:
+    def test_a_zone_that_returns_to_service_counts_as_in_slow_start(self) -> None:
         replaced = (view_builder, "RESTORED_SLOW_START_S", 0.0)
-        self.caught_unpaced("cold_get_a_trickle", "zone_returns_cold", *replaced)
+        self.caught_without_rate_limit("cold_get_a_trickle", "zone_returns_cold", *replaced)
 
-    def test_changes_are_followed(self) -> None:
-        replaced = (GatewayViewBuilder, "_take_configuration", _first_only)
+    def test_configuration_changes_take_effect(self) -> None:
+        replaced = (GatewayViewBuilder, "_apply_configuration", _first_only)
         self.caught("changes_are_in_force", "calm", *replaced)
 
-    def test_a_number_is_taken_once(self) -> None:
-        replaced = (ChangeHistory, "classify_change", _always_fresh)
+    def test_a_version_is_committed_once(self) -> None:
+        replaced = (ChangeHistory, "classify_change", _classified_as_fresh)
         self.caught("one_change_a_version", "configurations_storm", *replaced)
 
 
-class Doctored(unittest.TestCase):
-    """Oracles without a guard of their own here, on journals that were written for them."""
+class Oracles(unittest.TestCase):
+    """Oracles that no test of ``Guards`` covers, checked on hand-written journals."""
 
     def broken(self, **fields: Any) -> set[str]:
         return set(judge(Journal(**fields), 6.0))
@@ -210,11 +213,11 @@
     def attempt(self, sent_at: float, status: int = 200) -> Attempt:
         return Attempt("a", "north", "/once/1", False, sent_at, status, complete=True, ended_at=1.0)
 
-    def test_nobody_asked(self) -> None:
+    def test_a_run_without_a_client_request(self) -> None:
         run = Run("a", "r-1", "north-a", 1.0, False)
         self.assertIn("asked_by_a_client", self.broken(runs=[run]))
 
-    def test_too_many_repeats_in_a_window(self) -> None:
+    def test_too_many_retries_in_a_window(self) -> None:
         def arrivals(repeats: int) -> list[Arrival]:
             first = [Arrival(f"a{n}", "ledger", 1.0) for n in range(20)]
             return first + [Arrival(f"a{n}", "ledger", 2.0) for n in range(repeats)]
@@ -222,7 +225,7 @@
         self.assertNotIn("repeats_within_budget", self.broken(arrivals=arrivals(12)))
         self.assertIn("repeats_within_budget", self.broken(arrivals=arrivals(13)))
 
-    def test_a_repeat_too_many(self) -> None:
+    def test_more_runs_than_the_route_allows(self) -> None:
         attempt = Attempt("a", "north", "/again/1", False, 1.0)
         runs = [Run("a", f"r-{n}", "north-a", 1.0, False) for n in range(3)]
         found = self.broken(attempts=[attempt], runs=runs[:2])
@@ -240,7 +243,7 @@
         self.assertIn("newest_is_read_back", found)
         self.assertIn("newest_is_read_back", self.broken(orders=[old, new]))
 
-    def test_an_order_without_an_answer(self) -> None:
+    def test_an_operators_call_without_an_answer(self) -> None:
         order = Order("empty", zone="north-a", sent_at=1.0)
         self.assertIn("orders_are_acknowledged", self.broken(orders=[order]))
 
@@ -257,7 +260,7 @@
 
 
 class CommandLine(unittest.TestCase):
-    def test_a_run_is_made_and_an_unknown_one_refused(self) -> None:
+    def test_a_known_scenario_runs_and_an_unknown_one_is_rejected(self) -> None:
         parser = build_parser()
         with contextlib.redirect_stdout(io.StringIO()) as out:
             options = parser.parse_args(["gateway", "calm", "--seeds", "5", "--workers", "1"])
--- a/tests/test_gateway_stale_endpoints.py
+++ b/tests/test_gateway_stale_endpoints.py
@@ -1,4 +1,4 @@
-"""A list that is older than the replicas: requests don't wander from one to the next."""
+"""With a stale list of replicas, a request is not retried from one address to the next."""
 
 import unittest
 
@@ -8,84 +8,90 @@
 from rooklug.gateway.stale_endpoint_detector import StaleEndpointDetector
 from tests.gateway_support import GatewayFront, replica, route_item
 
-ONCE = route_item("once", "/pay/")
-NO_REPEATS = RetryBudgetSettings(ratio=0.0, window_s=10.0, slack=0.0)
-ONE_REPEAT = RetryBudgetSettings(ratio=0.0, window_s=10.0, slack=6.0)
-MANY_REPEATS = RetryBudgetSettings(ratio=0.0, window_s=10.0, slack=1000.0)
+AT_MOST_ONCE = route_item("once", "/pay/")
+NO_RETRIES = RetryBudgetSettings(ratio=0.0, window_s=10.0, slack=0.0)
+ONE_RETRY = RetryBudgetSettings(ratio=0.0, window_s=10.0, slack=6.0)
+MANY_RETRIES = RetryBudgetSettings(ratio=0.0, window_s=10.0, slack=1000.0)
 
 
-def zone_of(number: int, letter: str = "a"):
+def replica_in_zone(number: int, letter: str = "a"):
     return replica(number, zone=f"north-{letter}")
 
 
-class DeniedReplicas(unittest.TestCase):
-    def denied(self, front: GatewayFront, call: fx.HttpCall) -> fx.Effect:
+class RejectedRequests(unittest.TestCase):
+    def reject(self, front: GatewayFront, call: fx.HttpCall) -> fx.Effect:
         (effect,) = front.handle(ev.HttpAnswered(call.call_id, 421, {}, b""))
         return effect
 
-    def arrivals(self, front: GatewayFront) -> int:
-        """Send one request; every replica denies it. Return how many it reached."""
+    def reached_replicas(self, front: GatewayFront) -> int:
+        """Send one request that every replica rejects as replaced; return how many it reached."""
         (effect,) = front.request("/pay/1")
         count = 0
         while isinstance(effect, fx.HttpCall):
             count += 1
-            effect = self.denied(front, effect)
+            effect = self.reject(front, effect)
         self.assertEqual(effect.status, 503)
         return count
 
-    def test_a_denied_request_that_is_sent_again_spends_the_budget(self):
-        replicas = [zone_of(n, letter) for n, letter in enumerate("abcdefgh", 1)]
-        front = GatewayFront([ONCE], replicas, budget=ONE_REPEAT)
-        self.assertEqual([self.arrivals(front) for _ in range(3)], [2, 1, 1])
-
-    def test_an_old_list_costs_one_request_few_arrivals(self):
-        front = GatewayFront([ONCE], [zone_of(n) for n in range(1, 9)], budget=MANY_REPEATS)
-        self.assertEqual(self.arrivals(front), 2)
-
-    def test_later_requests_reach_one_doubtful_replica_at_most(self):
-        front = GatewayFront([ONCE], [zone_of(n) for n in range(1, 9)], budget=MANY_REPEATS)
-        self.arrivals(front)
-        self.assertEqual(self.arrivals(front), 1)
-
-    def test_other_zones_are_asked_first(self):
-        old = [zone_of(n) for n in range(1, 6)]
-        sure = zone_of(6, "b")
-        front = GatewayFront([ONCE], [*old, sure], budget=MANY_REPEATS)
-        front.decision.traffic.record_address_mismatch(old[0])
-        front.decision.traffic.record_address_mismatch(old[1])
+    def test_retrying_a_rejected_request_spends_the_budget(self):
+        replicas = [replica_in_zone(n, letter) for n, letter in enumerate("abcdefgh", 1)]
+        front = GatewayFront([AT_MOST_ONCE], replicas, budget=ONE_RETRY)
+        self.assertEqual([self.reached_replicas(front) for _ in range(3)], [2, 1, 1])
+
+    def test_a_request_reaches_few_replicas_of_a_stale_list(self):
+        front = GatewayFront(
+            [AT_MOST_ONCE], [replica_in_zone(n) for n in range(1, 9)], budget=MANY_RETRIES
+        )
+        self.assertEqual(self.reached_replicas(front), 2)
+
+    def test_later_requests_reach_at_most_one_suspect_replica(self):
+        front = GatewayFront(
+            [AT_MOST_ONCE], [replica_in_zone(n) for n in range(1, 9)], budget=MANY_RETRIES
+        )
+        self.reached_replicas(front)
+        self.assertEqual(self.reached_replicas(front), 1)
+
+    def test_other_zones_are_preferred(self):
+        stale = [replica_in_zone(n) for n in range(1, 6)]
+        valid = replica_in_zone(6, "b")
+        front = GatewayFront([AT_MOST_ONCE], [*stale, valid], budget=MANY_RETRIES)
+        front.decision.traffic.record_address_mismatch(stale[0])
+        front.decision.traffic.record_address_mismatch(stale[1])
         for _ in range(20):
             (call,) = front.request("/pay/1")
-            self.assertEqual(call.address, sure.address)
+            self.assertEqual(call.address, valid.address)
 
-    def test_a_send_that_never_left_after_a_denial_needs_the_budget_too(self):
-        front = GatewayFront([ONCE], [zone_of(n, letter) for n, letter in enumerate("abcd", 1)])
+    def test_retrying_an_unsent_request_after_a_rejection_needs_the_budget(self):
+        front = GatewayFront(
+            [AT_MOST_ONCE], [replica_in_zone(n, letter) for n, letter in enumerate("abcd", 1)]
+        )
         (call,) = front.request("/pay/1")
-        second = self.denied(front, call)
-        front.executor.forwarder.budgets = RetryBudgets(NO_REPEATS)
+        second = self.reject(front, call)
+        front.executor.forwarder.budgets = RetryBudgets(NO_RETRIES)
         (effect,) = front.handle(ev.HttpFailed(second.call_id, "refused", ev.SendState.NOT_SENT))
         self.assertEqual(effect.status, 503)
 
 
-class Doubt(unittest.TestCase):
-    def test_one_replaced_replica_casts_no_doubt_on_its_zone(self):
-        doubt = StaleEndpointDetector()
-        doubt.record_mismatch("r-1", "a")
-        self.assertTrue(doubt.is_replaced("r-1"))
-        self.assertFalse(doubt.is_suspect("r-2", "a"))
-
-    def test_a_second_one_does_and_an_answer_lifts_it_for_one_replica(self):
-        doubt = StaleEndpointDetector()
-        doubt.record_mismatch("r-1", "a")
-        doubt.record_mismatch("r-2", "a")
-        self.assertTrue(doubt.is_suspect("r-3", "a"))
-        self.assertFalse(doubt.is_suspect("r-4", "b"))
-        doubt.record_match("r-3")
-        self.assertFalse(doubt.is_suspect("r-3", "a"))
-
-    def test_a_list_that_no_longer_names_them_ends_the_doubt(self):
-        doubt = StaleEndpointDetector()
-        doubt.record_mismatch("r-1", "a")
-        doubt.record_mismatch("r-2", "a")
-        doubt.take_list({"r-2", "r-3"})
-        self.assertTrue(doubt.is_replaced("r-2"))
-        self.assertFalse(doubt.is_suspect("r-3", "a"))
+class Detector(unittest.TestCase):
+    def test_one_replaced_replica_does_not_make_its_zone_suspect(self):
+        detector = StaleEndpointDetector()
+        detector.record_mismatch("r-1", "a")
+        self.assertTrue(detector.is_replaced("r-1"))
+        self.assertFalse(detector.is_suspect("r-2", "a"))
+
+    def test_two_make_the_zone_suspect_and_an_answer_confirms_a_replica(self):
+        detector = StaleEndpointDetector()
+        detector.record_mismatch("r-1", "a")
+        detector.record_mismatch("r-2", "a")
+        self.assertTrue(detector.is_suspect("r-3", "a"))
+        self.assertFalse(detector.is_suspect("r-4", "b"))
+        detector.record_match("r-3")
+        self.assertFalse(detector.is_suspect("r-3", "a"))
+
+    def test_a_newer_list_without_them_ends_the_suspicion(self):
+        detector = StaleEndpointDetector()
+        detector.record_mismatch("r-1", "a")
+        detector.record_mismatch("r-2", "a")
+        detector.apply_list({"r-2", "r-3"})
+        self.assertTrue(detector.is_replaced("r-2"))
+        self.assertFalse(detector.is_suspect("r-3", "a"))
