--- a/tests/test_gateway_load_collector.py
+++ b/tests/test_gateway_load_collector.py
@@ -151,10 +151,10 @@
 
     def test_a_failing_peer_does_not_count_as_a_failed_collector(self):
         self.gateway.request("/s/1", headers=LONG)
-        self.exchange._lost_until = dict.fromkeys(self.collectors, self.gateway.now + 1)
+        self.exchange._retry_at = dict.fromkeys(self.collectors, self.gateway.now + 1)
         for call in self.send_report():
             self.exchange.handle(ev.CallFailed(call.call_id, "deadline", True), self.gateway.now)
-        self.assertEqual(set(self.collectors), set(self.exchange._lost_until))
+        self.assertEqual(set(self.collectors), set(self.exchange._retry_at))
 
     def test_the_collector_returns_the_reports_of_others(self):
         collector = self.exchange_named(self.collectors[0])
