--- a/rooklug/gateway/decision.py
+++ b/rooklug/gateway/decision.py
@@ -73,11 +73,11 @@
     def service_for(self, request: InboundRequest, route: Route) -> Service:
         """Return the service that serves a request: a weighted choice, stable per request id."""
         total = sum(share.weight for share in route.shares)
-        left = request.draw * total
+        remaining = request.draw * total
         chosen = route.shares[-1]
         for share in route.shares:
-            left -= share.weight
-            if left < 0 < share.weight:
+            remaining -= share.weight
+            if remaining < 0 < share.weight:
                 chosen = share
                 break
         assert self.view.configuration is not None
@@ -230,9 +230,9 @@
         shares = self.view.send_shares
         front_id = self.traffic.slow_start_limiter.front_id
         by_region = {r.region: shares.share_at(r.region, front_id) for r in replicas}
-        return [(r, self._allowance(r, service, by_region[r.region], now)) for r in replicas]
+        return [(r, self._allowance_of(r, service, by_region[r.region], now)) for r in replicas]
 
-    def _allowance(
+    def _allowance_of(
         self, replica: GatewayReplica, service: Service, share: SendShare, now: float
     ) -> Allowance:
         rate_per_s = service.slow_start_rate_per_s
--- a/rooklug/gateway/demand.py
+++ b/rooklug/gateway/demand.py
@@ -67,13 +67,13 @@
         address = self._core_link.primary_address
         if not address or not self._counts:
             return []
-        taken, self._counts = self._counts, defaultdict(_Count)
+        counts, self._counts = self._counts, defaultdict(_Count)
         self._sequence += 1
         report = DemandReport(
             node_id=self._settings.node_id,
             node_incarnation=self._context.incarnation,
             sequence=self._sequence,
-            entries=[self._entry(key, count) for key, count in sorted(taken.items())],
+            entries=[self._entry(key, count) for key, count in sorted(counts.items())],
             observations=[],
             read_tokens_per_s=self._decision.traffic.prefill_rate.tokens_per_s,
         )
--- a/rooklug/gateway/directory.py
+++ b/rooklug/gateway/directory.py
@@ -112,16 +112,16 @@
     allowed = [node for node in view.ready_fronts if not homes or node.region in homes]
     allowed = allowed or list(view.ready_fronts)
     near = [node for node in allowed if node.region == region]
-    nearest = serving_fronts(near or allowed, view.core_machines)
+    serving = serving_fronts(near or allowed, view.core_machines)
     others = [
         node
         for node in allowed
         if node.region != region and (backups is None or node.region in backups)
     ]
-    far = _backup_addresses(region, others if near else [], view)
-    weight = max(1, (MAX_ADDRESSES - len(far)) // max(len(nearest), 1))
-    times = min(NEAR_FRONT_REPEATS, weight) if far else 1
-    return sorted(node.http_address for node in nearest) * times + far
+    backup_addresses = _backup_addresses(region, others if near else [], view)
+    max_repeats = max(1, (MAX_ADDRESSES - len(backup_addresses)) // max(len(serving), 1))
+    repeats = min(NEAR_FRONT_REPEATS, max_repeats) if backup_addresses else 1
+    return sorted(node.http_address for node in serving) * repeats + backup_addresses
 
 
 def _backup_addresses(region: str, others: list[NodeRecord], view: GatewayView) -> list[str]:
@@ -130,6 +130,6 @@
     if not regions:
         return []
     following = [name for name in regions if name > region] or regions
-    there = [node for node in others if node.region == following[0]]
-    chosen = serving_fronts(there, view.core_machines)[:MAX_BACKUP_FRONTS]
+    in_region = [node for node in others if node.region == following[0]]
+    chosen = serving_fronts(in_region, view.core_machines)[:MAX_BACKUP_FRONTS]
     return [node.http_address for node in chosen]
--- a/rooklug/gateway/executor.py
+++ b/rooklug/gateway/executor.py
@@ -1,6 +1,6 @@
 """The front's gateway component: serves the clients' listener.
 
-``RequestForwarder`` sends requests and gives clients their final answers; ``ResponseHandler``
+``RequestForwarder`` sends requests and gives clients their final responses; ``ResponseHandler``
 processes what replicas return. This module accepts requests, cancels those whose client has
 disconnected, and moves idempotent requests away from replicas that have stopped responding.
 """
@@ -134,7 +134,7 @@
         self.counters.arrived += 1
         request = read_request(event, self._forwarder.names)
         configuration = self.decision.view.configuration
-        if configuration is None or not self.decision.view.is_listed:
+        if configuration is None or not self.decision.view.has_replica_list:
             ready_at = self._started_at + TYPICAL_START_S + START_SPREAD_S * request.draw
             return self._forwarder.refuse(request, GatewayError.NOT_READY, ready_at - now)
         route = configuration.find(request.host, request.path)
--- a/rooklug/gateway/lifecycle.py
+++ b/rooklug/gateway/lifecycle.py
@@ -42,7 +42,7 @@
             return "draining"
         if self._view.configuration is None:
             return "no configuration yet"
-        if not self._view.is_listed:
+        if not self._view.has_replica_list:
             return "no list of replicas yet"
         return ""
 
--- a/rooklug/gateway/operator_api.py
+++ b/rooklug/gateway/operator_api.py
@@ -84,12 +84,12 @@
             case ev.CallFailed():
                 return self._schedule_retry(self._by_call.pop(event.call_id, None), now)
             case ev.TimerFired():
-                forward = self._by_http.get(int(event.name.removeprefix(_TIMER_PREFIX)))
-                return self._attempt(forward, now) if forward else []
+                forwarded = self._by_http.get(int(event.name.removeprefix(_TIMER_PREFIX)))
+                return self._send_to_primary(forwarded, now) if forwarded else []
             case ev.HttpRequestClosed():
-                forward = self._by_http.pop(event.request_id, None)
-                if forward is not None:
-                    self._by_call.pop(forward.call_id, None)
+                forwarded = self._by_http.pop(event.request_id, None)
+                if forwarded is not None:
+                    self._by_call.pop(forwarded.call_id, None)
         return []
 
     def _on_request_arrived(self, event: ev.HttpRequestArrived, now: float) -> list[fx.Effect]:
@@ -97,9 +97,9 @@
         if isinstance(call, BadCall):
             return [_respond(event.request_id, call.status, {"error": call.message})]
         timeout_s = ANSWER_TIMEOUT_S + len(event.body) / BYTES_PER_S
-        forward = _ForwardedCall(event.request_id, self._message(call), now + timeout_s)
-        self._by_http[event.request_id] = forward
-        return self._attempt(forward, now)
+        forwarded = _ForwardedCall(event.request_id, self._message(call), now + timeout_s)
+        self._by_http[event.request_id] = forwarded
+        return self._send_to_primary(forwarded, now)
 
     def _message(self, call: OperatorCall) -> object:
         match call:
@@ -121,53 +121,53 @@
                 return ReadConfigurationRequest(linearizable=True)
         raise AssertionError(f"unknown call {call!r}")
 
-    def _attempt(self, forward: _ForwardedCall, now: float) -> list[fx.Effect]:
-        if now >= forward.deadline:
+    def _send_to_primary(self, forwarded: _ForwardedCall, now: float) -> list[fx.Effect]:
+        if now >= forwarded.deadline:
             return self._finish(
-                forward, _UNKNOWN_OUTCOME_STATUS, {"error": "no primary has answered"}
+                forwarded, _UNKNOWN_OUTCOME_STATUS, {"error": "no primary has answered"}
             )
         if not self._primary:
-            return self._schedule_retry(forward, now)
-        forward.call_id = self._context.identifiers.next()
-        self._by_call[forward.call_id] = forward
-        remaining_s = forward.deadline - now
-        if isinstance(forward.message, SetZoneRequest):
-            forward.message = _with_known_zones(forward.message, self._known_zones)
-        return [fx.Call(forward.call_id, self._primary, forward.message, remaining_s)]
-
-    def _schedule_retry(self, forward: _ForwardedCall | None, now: float) -> list[fx.Effect]:
-        if forward is None:
+            return self._schedule_retry(forwarded, now)
+        forwarded.call_id = self._context.identifiers.next()
+        self._by_call[forwarded.call_id] = forwarded
+        remaining_s = forwarded.deadline - now
+        if isinstance(forwarded.message, SetZoneRequest):
+            forwarded.message = _with_known_zones(forwarded.message, self._known_zones)
+        return [fx.Call(forwarded.call_id, self._primary, forwarded.message, remaining_s)]
+
+    def _schedule_retry(self, forwarded: _ForwardedCall | None, now: float) -> list[fx.Effect]:
+        if forwarded is None:
             return []
-        delay_s = max(min(RETRY_INTERVAL_S, forward.deadline - now), 0.0)
-        return [fx.StartTimer(f"{_TIMER_PREFIX}{forward.http_id}", delay_s)]
+        delay_s = max(min(RETRY_INTERVAL_S, forwarded.deadline - now), 0.0)
+        return [fx.StartTimer(f"{_TIMER_PREFIX}{forwarded.http_id}", delay_s)]
 
     def _on_answered(self, event: ev.CallAnswered, now: float) -> list[fx.Effect]:
-        forward = self._by_call.pop(event.call_id, None)
-        if forward is None:
+        forwarded = self._by_call.pop(event.call_id, None)
+        if forwarded is None:
             return []
         answer = event.answer
         if isinstance(answer, ReadConfigurationAnswer):
-            return self._respond_with_configuration(forward, answer, now)
+            return self._respond_with_configuration(forwarded, answer, now)
         status = _STATUS_OF_OUTCOME.get(answer.outcome)
         if status is None:  # not the primary any more, or the outcome is unknown
-            return self._schedule_retry(forward, now)
+            return self._schedule_retry(forwarded, now)
         body = {"outcome": answer.outcome, "problems": answer.problems}
-        return self._finish(forward, status, body)
+        return self._finish(forwarded, status, body)
 
     def _respond_with_configuration(
-        self, forward: _ForwardedCall, answer: ReadConfigurationAnswer, now: float
+        self, forwarded: _ForwardedCall, answer: ReadConfigurationAnswer, now: float
     ) -> list[fx.Effect]:
         if not answer.ok:
-            return self._schedule_retry(forward, now)
-        self._by_http.pop(forward.http_id, None)
+            return self._schedule_retry(forwarded, now)
+        self._by_http.pop(forwarded.http_id, None)
         if not answer.configuration.version:
-            return [_respond(forward.http_id, 503, {"error": "no configuration yet"})]
+            return [_respond(forwarded.http_id, 503, {"error": "no configuration yet"})]
         body = self._protocol.write_configuration(answer.configuration.document)
-        return [fx.HttpRespond(forward.http_id, 200, body, _JSON)]
+        return [fx.HttpRespond(forwarded.http_id, 200, body, _JSON)]
 
-    def _finish(self, forward: _ForwardedCall, status: int, body: dict) -> list[fx.Effect]:
-        self._by_http.pop(forward.http_id, None)
-        return [_respond(forward.http_id, status, body)]
+    def _finish(self, forwarded: _ForwardedCall, status: int, body: dict) -> list[fx.Effect]:
+        self._by_http.pop(forwarded.http_id, None)
+        return [_respond(forwarded.http_id, status, body)]
 
 
 def _with_known_zones(request: SetZoneRequest, known_zones: VersionMark) -> SetZoneRequest:
--- a/rooklug/gateway/peer_exchange.py
+++ b/rooklug/gateway/peer_exchange.py
@@ -84,7 +84,7 @@
             case ev.Started():
                 return [fx.StartTimer(_TIMER, PEER_REPORT_INTERVAL_S)]
             case ev.TimerFired():
-                effects = self._report(now)
+                effects = self._send_report(now)
                 return [fx.StartTimer(_TIMER, self._interval_s(now)), *effects]
             case ev.CallArrived():
                 return self._on_report_received(event, now)
@@ -132,7 +132,7 @@
         serving = self._decision.view.send_shares.serving
         return self._settings.node_id in serving.get(self._settings.region, ())
 
-    def _report(self, now: float) -> list[fx.Effect]:
+    def _send_report(self, now: float) -> list[fx.Effect]:
         prompts = self._decision.traffic.take_unreported_prompts()
         rate = self._decision.traffic.prefill_rate.tokens_per_s
         uses = [
--- a/rooklug/gateway/prefix_cache_table.py
+++ b/rooklug/gateway/prefix_cache_table.py
@@ -61,14 +61,14 @@
         A block counts as cached only if all blocks before it are.
         """
         known = self._replicas.get(replica_id)
-        left = sum(block.tokens for block in blocks)
+        missing = sum(block.tokens for block in blocks)
         if known is None:
-            return left
+            return missing
         for block in blocks:
             if not known.is_cached(block, now):
                 break
-            left -= block.tokens
-        return left
+            missing -= block.tokens
+        return missing
 
     def record_use(
         self, replica_id: str, blocks: tuple[PrefixBlock, ...], memory_tokens: int, now: float
--- a/rooklug/gateway/region_choice.py
+++ b/rooklug/gateway/region_choice.py
@@ -15,9 +15,9 @@
     """
     shares = view.region_shares(service.name, region, route.home_regions)
     first = [share for share in shares if share.preference == 0 and share.weight > 0]
-    left = request.draw * sum(share.weight for share in first)
+    remaining = request.draw * sum(share.weight for share in first)
     for share in first:
-        left -= share.weight
-        if left < 0:
+        remaining -= share.weight
+        if remaining < 0:
             return (share.region, region)
     return (region,)
--- a/rooklug/gateway/region_planner.py
+++ b/rooklug/gateway/region_planner.py
@@ -57,7 +57,7 @@
 
     received_at: float
     loads: dict[MatrixKey, float]
-    read_tokens_per_s: float | None
+    prefill_tokens_per_s: float | None
 
 
 class RegionPlanner(BaseComponent):
@@ -152,9 +152,9 @@
     def _prefill_rate(self, now: float) -> float | None:
         """Return the mean of the fronts' reported prefill rates; None if there are none."""
         rates = [
-            front.read_tokens_per_s
+            front.prefill_tokens_per_s
             for front in self._fronts.values()
-            if front.read_tokens_per_s and now - front.received_at <= REPORT_VALID_S
+            if front.prefill_tokens_per_s and now - front.received_at <= REPORT_VALID_S
         ]
         return sum(rates) / len(rates) if rates else None
 
--- a/rooklug/gateway/region_problem.py
+++ b/rooklug/gateway/region_problem.py
@@ -42,13 +42,13 @@
 class RegionPlanInputs:
     """Inputs of a region plan.
 
-    ``read_tokens_per_s`` is the prefill rate that fronts have observed, None before any report.
+    ``prefill_tokens_per_s`` is the prefill rate that fronts have observed, None before any report.
     """
 
     configuration: GatewayConfiguration
     replicas: tuple[ListedReplica, ...]
     drained_zones: frozenset[str]
-    read_tokens_per_s: float | None = None
+    prefill_tokens_per_s: float | None = None
 
     def problem(self, measured: MeasuredLoads) -> PlacementProblem:
         """Return the placement problem for the measured demand."""
@@ -79,7 +79,9 @@
         if self.configuration.services[service].engine is None:
             capacity = REQUESTS_PER_SLOT_S * slots
         else:
-            capacity = TARGET_UTILIZATION * (self.read_tokens_per_s or DEFAULT_PREFILL_TOKENS_PER_S)
+            capacity = TARGET_UTILIZATION * (
+                self.prefill_tokens_per_s or DEFAULT_PREFILL_TOKENS_PER_S
+            )
         need = ResourceNeed(units=1.0, tokens_per_s=capacity, concurrency=slots)
         return Model(latency_classes={_LATENCY_CLASS: RoundTrip.ZONAL}, resources={service: need})
 
--- a/rooklug/gateway/replica_rate_limiter.py
+++ b/rooklug/gateway/replica_rate_limiter.py
@@ -86,7 +86,7 @@
 
 def allowed_counts(bound: float, share: SendShare) -> AllowedCounts:
     """Return a front's share and limit at a replica, in requests per second."""
-    return SHARES[share.role].counts(bound, share.sharers)
+    return SHARES[share.role].counts(bound, share.front_count)
 
 
 @attrs.define
--- a/rooklug/gateway/response_handler.py
+++ b/rooklug/gateway/response_handler.py
@@ -34,7 +34,7 @@
         proxied = self._forwarder.by_call.pop(event.call_id, None)
         if proxied is None:
             return []
-        return self._complete_answer(proxied, event.status, event.headers, event.body, now)
+        return self._handle_complete_response(proxied, event.status, event.headers, event.body, now)
 
     def on_response_started(self, event: ev.HttpResponseStarted, now: float) -> list[fx.Effect]:
         """Handle the status and headers of a streamed response."""
@@ -62,7 +62,7 @@
         if proxied is None:
             return []
         if not proxied.is_success:
-            return self._error_chunk(proxied, event, now)
+            return self._buffer_error_chunk(proxied, event, now)
         self._record_response(proxied, event.call_id, now)
         data = proxied.incomplete_event + event.data
         length = complete_length(data)
@@ -80,7 +80,9 @@
             return []
         if not proxied.is_success:
             body = b"".join(proxied.error_body)
-            return self._complete_answer(proxied, proxied.status, proxied.headers, body, now)
+            return self._handle_complete_response(
+                proxied, proxied.status, proxied.headers, body, now
+            )
         if proxied.incomplete_event:
             self._forwarder.record_end(proxied, AttemptOutcome.BROKEN, now)
             return self._forwarder.resume_stream(proxied, now)
@@ -93,7 +95,7 @@
         if proxied is None:
             return []
         if event.send_state is ev.SendState.NOT_SENT:
-            return self._not_sent(proxied, now)
+            return self._retry_unsent(proxied, now)
         outcome = AttemptOutcome.BROKEN
         if proxied.remaining_s(now) <= MIN_TIME_TO_SEND_S:
             outcome = AttemptOutcome.TIMED_OUT
@@ -105,7 +107,7 @@
             return self._forwarder.resume_stream(proxied, now)
         return self._forwarder.retry(proxied, now)
 
-    def _not_sent(self, proxied: ProxiedRequest, now: float) -> list[fx.Effect]:
+    def _retry_unsent(self, proxied: ProxiedRequest, now: float) -> list[fx.Effect]:
         """Try another replica after a failure to connect, which uses up no attempt."""
         self._forwarder.record_end(proxied, AttemptOutcome.CONNECT_FAILED, now)
         proxied.executions -= 1
@@ -116,7 +118,7 @@
             return self._forwarder.retry(proxied, now)
         return self._forwarder.send(proxied, now)
 
-    def _complete_answer(
+    def _handle_complete_response(
         self,
         proxied: ProxiedRequest,
         status: int,
@@ -126,7 +128,7 @@
     ) -> list[fx.Effect]:
         if is_not_executed(status, headers, self._forwarder.names):
             self._forwarder.record_end(proxied, None, now)
-            return self._not_executed(proxied, status, headers, body, now)
+            return self._retry_not_executed(proxied, status, headers, body, now)
         if not is_answer_to(proxied, headers, self._forwarder.names):
             return self._retry_after_broken_answer(proxied, now)
         is_server_error = status >= FIRST_SERVER_ERROR_STATUS
@@ -134,7 +136,7 @@
         self._forwarder.record_end(proxied, outcome, now)
         return self._forwarder.respond(proxied, status, headers, body)
 
-    def _not_executed(
+    def _retry_not_executed(
         self,
         proxied: ProxiedRequest,
         status: int,
@@ -157,7 +159,7 @@
         proxied.may_have_run = True
         return self._forwarder.retry(proxied, now)
 
-    def _error_chunk(
+    def _buffer_error_chunk(
         self, proxied: ProxiedRequest, event: ev.HttpBodyChunk, now: float
     ) -> list[fx.Effect]:
         proxied.error_body.append(event.data)
--- a/rooklug/gateway/traffic_record.py
+++ b/rooklug/gateway/traffic_record.py
@@ -133,8 +133,8 @@
 
     def take_unreported_prompts(self) -> list[SentPrompt]:
         """Return and clear the prompts sent since the last report to peers."""
-        taken, self._unreported_prompts = self._unreported_prompts, []
-        return taken
+        prompts, self._unreported_prompts = self._unreported_prompts, []
+        return prompts
 
     def forget_unlisted(self, listed: set[str]) -> None:
         """Drop the records of replicas that are not listed; loads with running calls are kept."""
--- a/rooklug/gateway/view.py
+++ b/rooklug/gateway/view.py
@@ -31,14 +31,14 @@
 class GatewayView:
     """The state that routing decisions are based on, replaced as a whole at each change.
 
-    ``configuration`` is None until the first one has been received. ``is_listed`` is True once a
-    list of replicas has been received, even an empty one. ``core_machines`` are the IP addresses
-    of the machines that run a core.
+    ``configuration`` is None until the first one has been received. ``has_replica_list`` is True
+    once a list of replicas has been received, even an empty one. ``core_machines`` are the IP
+    addresses of the machines that run a core.
     """
 
     configuration: GatewayConfiguration | None = None
     replicas: dict[str, tuple[GatewayReplica, ...]] = attrs.field(factory=dict)
-    is_listed: bool = False
+    has_replica_list: bool = False
     drained_zones: frozenset[str] = frozenset()
     fronts: tuple[NodeRecord, ...] = ()
     core_machines: frozenset[str] = frozenset()
--- a/rooklug/gateway/view_builder.py
+++ b/rooklug/gateway/view_builder.py
@@ -86,7 +86,7 @@
             replica = self._with_slow_start(_replica(listed), now)
             by_service.setdefault(listed.backend, []).append(replica)
         replicas = {service: tuple(found) for service, found in by_service.items()}
-        self.view = attrs.evolve(self.view, replicas=replicas, is_listed=True)
+        self.view = attrs.evolve(self.view, replicas=replicas, has_replica_list=True)
         return [fx.Log("debug", "list of replicas updated", {"replicas": len(body.replicas)})]
 
     def _record_slow_starts(self, listed: list[ListedReplica], now: float) -> None:
--- a/rooklug/routing/send_shares.py
+++ b/rooklug/routing/send_shares.py
@@ -25,7 +25,7 @@
     """One front's share: its role, and the number of fronts with that role for the replica."""
 
     role: SenderRole
-    sharers: int = 1
+    front_count: int = 1
 
 
 NO_SHARE = SendShare(SenderRole.NONE)
--- a/tests/gateway_support.py
+++ b/tests/gateway_support.py
@@ -108,7 +108,7 @@
         self.view = GatewayView(
             configuration=configuration(routes),
             replicas=by_service,
-            is_listed=True,
+            has_replica_list=True,
             fronts=tuple(front(number) for number in range(1, fronts + 1)),
         )
         random = Random(1)
--- a/tests/test_gateway_directory.py
+++ b/tests/test_gateway_directory.py
@@ -52,7 +52,7 @@
         read = json.dumps(document(routes)).encode()
         self.view_builder._apply_configuration(ConfigurationBody(1, "", read), 0.0)
         known = GatewayView(
-            configuration=self.view_builder.view.configuration, is_listed=True, **view
+            configuration=self.view_builder.view.configuration, has_replica_list=True, **view
         )
         self.view_builder.view = known
         self.lifecycle.handle(ViewChanged(known), 0.0)
