--- a/rooklug/gateway/view_builder.py
+++ b/rooklug/gateway/view_builder.py
@@ -60,7 +60,7 @@
             fields = {"version": body.version, "problems": [p.message for p in read.error[:5]]}
             return [fx.Log("error", "configuration rejected; keeping the previous one", fields)]
         self.view = attrs.evolve(self.view, configuration=read.ok)
-        return [fx.Log("debug", "serves under a configuration", {"version": body.version})]
+        return [fx.Log("debug", "configuration applied", {"version": body.version})]
 
     def _apply_zones(self, body: ZonesBody, now: float) -> list[fx.Effect]:
         drained = frozenset(body.emptied_zones)
--- a/scripts/trace_behaviour.py
+++ b/scripts/trace_behaviour.py
@@ -45,6 +45,7 @@
     "leads no more": "lost leadership",
     "leases have ended without a renewal": "leases expired without renewal",
     "nothing published: no grant": "publication dropped: no valid grant",
+    "serves under a configuration": "configuration applied",
     "the configuration can't be read": "configuration rejected; keeping the previous one",
     "the list of replicas can't be read": "list of replicas unreadable; keeping the previous list",
     "the witness votes again": "witness may vote again",
