--- a/rooklug/gateway/decision.py
+++ b/rooklug/gateway/decision.py
@@ -64,7 +64,7 @@
     traffic: TrafficRecord
     view: GatewayView = attrs.field(factory=GatewayView)
 
-    def take_view(self, view: GatewayView) -> None:
+    def apply_view(self, view: GatewayView) -> None:
         """Replace the snapshot and drop the traffic records of replicas that it doesn't list."""
         self.view = view
         listed = {r.replica_id for replicas in view.replicas.values() for r in replicas}
--- a/rooklug/gateway/executor.py
+++ b/rooklug/gateway/executor.py
@@ -125,7 +125,7 @@
         return []
 
     def _on_view_changed(self, event: ViewChanged, now: float) -> list[fx.Effect]:
-        self.decision.take_view(event.view)
+        self.decision.apply_view(event.view)
         return []
 
     # Requests -------------------------------------------------------------
--- a/rooklug_lab/policy/decision_cost.py
+++ b/rooklug_lab/policy/decision_cost.py
@@ -89,7 +89,7 @@
     configuration = GatewayConfiguration(1, {"host": {"/review/": _ROUTE}}, {"model": _SERVICE})
     listed = tuple(_replica(number) for number in range(replicas))
     fronts = tuple(_front(number) for number in range(FRONTS))
-    decision.take_view(GatewayView(configuration, {"model": listed}, True, fronts=fronts))
+    decision.apply_view(GatewayView(configuration, {"model": listed}, True, fronts=fronts))
     return decision
 
 
--- a/tests/test_gateway_balancing.py
+++ b/tests/test_gateway_balancing.py
@@ -89,7 +89,7 @@
         far = replica(9, "model", region="south", zone="south-a")
         front = GatewayFront([ROUTE], [replica(1, "model"), far])
         matrix = {("model", "north", ()): (RegionShare("south", 0, 1.0),)}
-        front.decision.take_view(_with(front.view, matrix=matrix))
+        front.decision.apply_view(_with(front.view, matrix=matrix))
         (call,) = front.request("/s/1")
         self.assertEqual(call.address, far.address)
 
@@ -101,7 +101,7 @@
             replica(3, "model", region="south", zone="south-a"),
         ]
         front = GatewayFront([home], replicas)
-        front.decision.take_view(_with(front.view, drained_zones=frozenset({"emptied"})))
+        front.decision.apply_view(_with(front.view, drained_zones=frozenset({"emptied"})))
         (answer,) = front.request("/s/1")
         self.assertEqual(answer.status, 503)
         self.assertGreater(float(answer.headers["retry-after"]), 0.0)
