--- a/rooklug/gateway/decision.py
+++ b/rooklug/gateway/decision.py
@@ -64,7 +64,7 @@
     traffic: TrafficRecord
     view: GatewayView = attrs.field(factory=GatewayView)
 
-    def take_view(self, view: GatewayView) -> None:
+    def apply_view(self, view: GatewayView) -> None:
         """Replace the snapshot and drop the traffic records of replicas that it doesn't list."""
         self.view = view
         listed = {r.replica_id for replicas in view.replicas.values() for r in replicas}
@@ -73,11 +73,11 @@
     def service_for(self, request: InboundRequest, route: Route) -> Service:
         """Return the service that serves a request: a weighted choice, stable per request id."""
         total = sum(share.weight for share in route.shares)
-        left = request.draw * total
+        remaining = request.draw * total
         chosen = route.shares[-1]
         for share in route.shares:
-            left -= share.weight
-            if left < 0 < share.weight:
+            remaining -= share.weight
+            if remaining < 0 < share.weight:
                 chosen = share
                 break
         assert self.view.configuration is not None
@@ -191,7 +191,7 @@
         if not (route.affinity and request.prefix_blocks):
             return self._least_running(candidates, now)
         model = self._cost_model(request, route, candidates, owner)
-        costs = [model.of(r, self.traffic.usage_of(r, now), now) for r in candidates]
+        costs = [model.cost_of(r, self.traffic.usage_of(r, now), now) for r in candidates]
         return min(costs, key=lambda cost: cost.order).replica
 
     def _least_running(self, candidates: list[GatewayReplica], now: float) -> GatewayReplica:
@@ -229,10 +229,10 @@
         """Return each replica with whether its rate limits allow one more request."""
         shares = self.view.send_shares
         front_id = self.traffic.slow_start_limiter.front_id
-        by_region = {r.region: shares.towards(r.region, front_id) for r in replicas}
-        return [(r, self._allowance(r, service, by_region[r.region], now)) for r in replicas]
+        by_region = {r.region: shares.share_at(r.region, front_id) for r in replicas}
+        return [(r, self._allowance_of(r, service, by_region[r.region], now)) for r in replicas]
 
-    def _allowance(
+    def _allowance_of(
         self, replica: GatewayReplica, service: Service, share: SendShare, now: float
     ) -> Allowance:
         rate_per_s = service.slow_start_rate_per_s
--- a/rooklug/gateway/response_handler.py
+++ b/rooklug/gateway/response_handler.py
@@ -29,14 +29,14 @@
     def __init__(self, forwarder: RequestForwarder) -> None:
         self._forwarder = forwarder
 
-    def answered(self, event: ev.HttpAnswered, now: float) -> list[fx.Effect]:
+    def on_answered(self, event: ev.HttpAnswered, now: float) -> list[fx.Effect]:
         """Handle a complete response of a call that is not streamed."""
         proxied = self._forwarder.by_call.pop(event.call_id, None)
         if proxied is None:
             return []
-        return self._complete_answer(proxied, event.status, event.headers, event.body, now)
+        return self._handle_complete_response(proxied, event.status, event.headers, event.body, now)
 
-    def started(self, event: ev.HttpResponseStarted, now: float) -> list[fx.Effect]:
+    def on_response_started(self, event: ev.HttpResponseStarted, now: float) -> list[fx.Effect]:
         """Handle the status and headers of a streamed response."""
         proxied = self._forwarder.by_call.get(event.call_id)
         if proxied is None:
@@ -56,13 +56,13 @@
         headers = self._forwarder.answers.headers(event.headers)
         return [fx.HttpStreamStart(proxied.request.http_id, event.status, headers)]
 
-    def chunk(self, event: ev.HttpBodyChunk, now: float) -> list[fx.Effect]:
+    def on_body_chunk(self, event: ev.HttpBodyChunk, now: float) -> list[fx.Effect]:
         """Handle bytes of a streamed response; only complete events are forwarded."""
         proxied = self._forwarder.by_call.get(event.call_id)
         if proxied is None:
             return []
         if not proxied.is_success:
-            return self._error_chunk(proxied, event, now)
+            return self._buffer_error_chunk(proxied, event, now)
         self._record_response(proxied, event.call_id, now)
         data = proxied.incomplete_event + event.data
         length = complete_length(data)
@@ -73,27 +73,29 @@
         proxied.last_event_id = last_event_id(events) or proxied.last_event_id
         return [fx.HttpStreamChunk(proxied.request.http_id, events)]
 
-    def completed(self, event: ev.HttpResponseCompleted, now: float) -> list[fx.Effect]:
+    def on_response_completed(self, event: ev.HttpResponseCompleted, now: float) -> list[fx.Effect]:
         """Handle the end of a streamed response; one that ends within an event is broken."""
         proxied = self._forwarder.by_call.pop(event.call_id, None)
         if proxied is None:
             return []
         if not proxied.is_success:
             body = b"".join(proxied.error_body)
-            return self._complete_answer(proxied, proxied.status, proxied.headers, body, now)
+            return self._handle_complete_response(
+                proxied, proxied.status, proxied.headers, body, now
+            )
         if proxied.incomplete_event:
             self._forwarder.record_end(proxied, AttemptOutcome.BROKEN, now)
             return self._forwarder.resume_stream(proxied, now)
         self._forwarder.record_end(proxied, AttemptOutcome.SUCCESS, now)
         return self._forwarder.end_stream(proxied)
 
-    def failed(self, event: ev.HttpFailed, now: float) -> list[fx.Effect]:
+    def on_failed(self, event: ev.HttpFailed, now: float) -> list[fx.Effect]:
         """Handle a failed call: retry or resume if the route allows it."""
         proxied = self._forwarder.by_call.pop(event.call_id, None)
         if proxied is None:
             return []
         if event.send_state is ev.SendState.NOT_SENT:
-            return self._not_sent(proxied, now)
+            return self._retry_unsent(proxied, now)
         outcome = AttemptOutcome.BROKEN
         if proxied.remaining_s(now) <= MIN_TIME_TO_SEND_S:
             outcome = AttemptOutcome.TIMED_OUT
@@ -105,7 +107,7 @@
             return self._forwarder.resume_stream(proxied, now)
         return self._forwarder.retry(proxied, now)
 
-    def _not_sent(self, proxied: ProxiedRequest, now: float) -> list[fx.Effect]:
+    def _retry_unsent(self, proxied: ProxiedRequest, now: float) -> list[fx.Effect]:
         """Try another replica after a failure to connect, which uses up no attempt."""
         self._forwarder.record_end(proxied, AttemptOutcome.CONNECT_FAILED, now)
         proxied.executions -= 1
@@ -116,7 +118,7 @@
             return self._forwarder.retry(proxied, now)
         return self._forwarder.send(proxied, now)
 
-    def _complete_answer(
+    def _handle_complete_response(
         self,
         proxied: ProxiedRequest,
         status: int,
@@ -126,7 +128,7 @@
     ) -> list[fx.Effect]:
         if is_not_executed(status, headers, self._forwarder.names):
             self._forwarder.record_end(proxied, None, now)
-            return self._not_executed(proxied, status, headers, body, now)
+            return self._retry_not_executed(proxied, status, headers, body, now)
         if not is_answer_to(proxied, headers, self._forwarder.names):
             return self._retry_after_broken_answer(proxied, now)
         is_server_error = status >= FIRST_SERVER_ERROR_STATUS
@@ -134,7 +136,7 @@
         self._forwarder.record_end(proxied, outcome, now)
         return self._forwarder.respond(proxied, status, headers, body)
 
-    def _not_executed(
+    def _retry_not_executed(
         self,
         proxied: ProxiedRequest,
         status: int,
@@ -157,7 +159,7 @@
         proxied.may_have_run = True
         return self._forwarder.retry(proxied, now)
 
-    def _error_chunk(
+    def _buffer_error_chunk(
         self, proxied: ProxiedRequest, event: ev.HttpBodyChunk, now: float
     ) -> list[fx.Effect]:
         proxied.error_body.append(event.data)
--- a/rooklug/gateway/traffic_record.py
+++ b/rooklug/gateway/traffic_record.py
@@ -133,8 +133,8 @@
 
     def take_unreported_prompts(self) -> list[SentPrompt]:
         """Return and clear the prompts sent since the last report to peers."""
-        taken, self._unreported_prompts = self._unreported_prompts, []
-        return taken
+        prompts, self._unreported_prompts = self._unreported_prompts, []
+        return prompts
 
     def forget_unlisted(self, listed: set[str]) -> None:
         """Drop the records of replicas that are not listed; loads with running calls are kept."""
@@ -146,7 +146,7 @@
         self.slow_start_limiter.forget_except(listed)
         self.rate_limiter.forget_except(listed)
         self.prefixes.forget_except(listed)
-        self.stale_endpoints.take_list(listed)
+        self.stale_endpoints.apply_list(listed)
 
     def _update_prefill_share(self, request: InboundRequest, missing: int) -> None:
         total = sum(block.tokens for block in request.prefix_blocks)
--- a/scripts/trace_behaviour.py
+++ b/scripts/trace_behaviour.py
@@ -55,6 +55,7 @@
     "leases have ended without a renewal": "leases expired without renewal",
     "nothing published: no grant": "publication dropped: no valid grant",
     "publication rejected": "publication rejected by the primary; retrying",
+    "serves under a configuration": "configuration applied",
     "the configuration can't be read": "configuration rejected; keeping the previous one",
     "the list of replicas can't be read": "list of replicas unreadable; keeping the previous list",
     "platform list lost most replicas at once": "platform list lost most replicas; retaining them",
