--- a/rooklug/controller/build.py
+++ b/rooklug/controller/build.py
@@ -7,7 +7,7 @@
 from rooklug.config.document import Configuration
 from rooklug.controller.link import Link
 from rooklug.controller.placer import PlacerHost
-from rooklug.controller.placer_term import PlacerTools
+from rooklug.controller.placer_term import PlacerDependencies
 from rooklug.controller.platform_watcher import PlatformWatcher
 from rooklug.controller.prober import Prober
 from rooklug.controller.self_check import SelfCheck
@@ -47,7 +47,7 @@
     Tests replace ``solve``, which runs as a ``Compute`` effect outside the event loop.
     """
     self_check = SelfCheck()
-    tools = PlacerTools(context, core_link, solve, read_document)
+    tools = PlacerDependencies(context, core_link, solve, read_document)
     probers = [
         Prober(shard, settings, context, core_link, self_check) for shard in range(PROBER_SHARDS)
     ]
--- a/rooklug/controller/configuration_reader.py
+++ b/rooklug/controller/configuration_reader.py
@@ -28,12 +28,12 @@
     version: int = 0
     _ticket: int | None = None
     _version_in_progress: int = 0
-    _next: ConfigurationBody | None = None
+    _queued: ConfigurationBody | None = None
 
-    def take(self, body: ConfigurationBody) -> list[fx.Effect]:
+    def submit(self, body: ConfigurationBody) -> list[fx.Effect]:
         """Start parsing ``body``, or queue it behind the document that is being parsed."""
         if self._ticket is not None:
-            self._next = body
+            self._queued = body
             return []
         self._version_in_progress = body.version
         self._ticket = self.identifiers.next()
@@ -43,7 +43,7 @@
         """Return whether ``event`` is the result of the parse in progress."""
         return self._ticket is not None and event.ticket == self._ticket
 
-    def computed(self, event: ev.Computed) -> tuple[bool, list[fx.Effect]]:
+    def handle_computed(self, event: ev.Computed) -> tuple[bool, list[fx.Effect]]:
         """Handle the end of a parse; return whether its configuration is now in force."""
         version, self._ticket = self._version_in_progress, None
         effects: list[fx.Effect] = []
@@ -55,7 +55,7 @@
             problem = event.error or str(event.result.error)
             fields = {"version": version, "problem": problem}
             effects.append(fx.Log("error", "configuration rejected; keeping the last one", fields))
-        if self._next is not None:
-            following, self._next = self._next, None
-            effects += self.take(following)
+        if self._queued is not None:
+            queued, self._queued = self._queued, None
+            effects += self.submit(queued)
         return readable, effects
--- a/rooklug/controller/decision_log.py
+++ b/rooklug/controller/decision_log.py
@@ -62,7 +62,7 @@
         return pending
 
 
-def record_plan(
+def record_plan_changes(
     log: DecisionLog, before: PlacementPlan | None, plan: PlacementPlan, cause: str
 ) -> None:
     """Record how ``plan`` differs from ``before``: assignments, else weights; and new evictions."""
--- a/rooklug/controller/demand_forecast.py
+++ b/rooklug/controller/demand_forecast.py
@@ -12,15 +12,15 @@
 from rooklug.placement.problem import DemandKey
 
 HORIZON_S = 10.0
-LEVEL_TIME_S = 4.0
-TREND_TIME_S = 12.0
+LEVEL_TIME_CONSTANT_S = 4.0
+TREND_TIME_CONSTANT_S = 12.0
 DECAY_HALF_LIFE_S = 60.0
 MAX_GROWTH = 2.0
-STEP_SHARE = 1.3
+STEP_RATIO = 1.3
 STEP_TOKENS_PER_S = 50.0
-STEP_TOTAL_SHARE = 0.002
-GRID = 1.15
-NEGLIGIBLE = 0.5
+STEP_SHARE_OF_TOTAL = 0.002
+GRID_RATIO = 1.15
+NEGLIGIBLE_TOKENS_PER_S = 0.5
 
 
 @attrs.define
@@ -38,14 +38,14 @@
     def sample(self, value: float, elapsed_s: float) -> None:
         """Add a sample of ``value`` tokens/s, measured ``elapsed_s`` after the previous one."""
         before = self.level
-        weight = 1.0 - math.exp(-elapsed_s / LEVEL_TIME_S)
+        weight = 1.0 - math.exp(-elapsed_s / LEVEL_TIME_CONSTANT_S)
         self.level += weight * (value - self.level)
         slope = (self.level - before) / elapsed_s
-        self.trend += (1.0 - math.exp(-elapsed_s / TREND_TIME_S)) * (slope - self.trend)
+        self.trend += (1.0 - math.exp(-elapsed_s / TREND_TIME_CONSTANT_S)) * (slope - self.trend)
         decayed = self.peak * 0.5 ** (elapsed_s / DECAY_HALF_LIFE_S)
-        self.peak = max(decayed, self._expected())
+        self.peak = max(decayed, self._expected_level())
 
-    def _expected(self) -> float:
+    def _expected_level(self) -> float:
         ahead = self.level + max(0.0, self.trend) * HORIZON_S
         return min(self.level * MAX_GROWTH, ahead)
 
@@ -63,14 +63,14 @@
         if self._sampled_at is not None and elapsed <= 0.0:
             return
         self._sampled_at = now
-        for key in sorted(totals.keys() | self._by_key.keys(), key=_order):
+        for key in sorted(totals.keys() | self._by_key.keys(), key=_sort_key):
             value = totals.get(key, 0.0)
             forecast = self._by_key.get(key)
             if forecast is None:
                 self._by_key[key] = Forecast(level=value, peak=value)
             else:
                 forecast.sample(value, elapsed)
-        self._by_key = {k: f for k, f in self._by_key.items() if f.peak > NEGLIGIBLE}
+        self._by_key = {k: f for k, f in self._by_key.items() if f.peak > NEGLIGIBLE_TOKENS_PER_S}
 
     def planned(self) -> dict[DemandKey, float]:
         """Return the tokens/s to plan for by key.
@@ -87,16 +87,16 @@
     key jumps by chance every second; so a rise that is small relative to the total waits for the
     periodic solve.
     """
-    least = max(STEP_TOKENS_PER_S, total * STEP_TOTAL_SHARE)
-    return planned > solved_for * STEP_SHARE and planned > solved_for + least
+    least = max(STEP_TOKENS_PER_S, total * STEP_SHARE_OF_TOTAL)
+    return planned > solved_for * STEP_RATIO and planned > solved_for + least
 
 
 def on_grid(value: float) -> float:
-    """Round ``value`` up to the next power of ``GRID``; negligible values become 0."""
-    if value <= NEGLIGIBLE:
+    """Round ``value`` up to the next power of ``GRID_RATIO``; negligible values become 0."""
+    if value <= NEGLIGIBLE_TOKENS_PER_S:
         return 0.0
-    return GRID ** math.ceil(math.log(value, GRID))
+    return GRID_RATIO ** math.ceil(math.log(value, GRID_RATIO))
 
 
-def _order(key: DemandKey) -> tuple[str, str, str, tuple[str, ...]]:
+def _sort_key(key: DemandKey) -> tuple[str, str, str, tuple[str, ...]]:
     return (key.model, key.latency_class, key.source_region, key.home_regions)
--- a/rooklug/controller/demand_table.py
+++ b/rooklug/controller/demand_table.py
@@ -8,7 +8,7 @@
 from rooklug.placement.problem import DemandKey
 from rooklug.wire.generated.control.ttypes import DemandEntry, DemandReport
 
-REPORT_LIFETIME_S = 5.0
+REPORT_TTL_S = 5.0
 PROMPT_TOKEN_COST = 1.0 / 8.0
 MAX_RATE = 1e9
 
@@ -20,7 +20,7 @@
     incarnation: str
     sequence: int
     entries: tuple[DemandEntry, ...]
-    at: float
+    received_at: float
 
 
 @attrs.define
@@ -39,7 +39,7 @@
         previous = self._fronts.get(report.node_id)
         if previous is not None and not _is_newer(report, previous):
             return False
-        usable = tuple(entry for entry in report.entries if _usable(entry))
+        usable = tuple(entry for entry in report.entries if _is_valid(entry))
         self.bad_entries += len(report.entries) - len(usable)
         self._fronts[report.node_id] = FrontReport(
             report.node_incarnation, report.sequence, usable, now
@@ -51,7 +51,7 @@
         self._fronts = {
             node_id: report
             for node_id, report in self._fronts.items()
-            if now - report.at < REPORT_LIFETIME_S
+            if now - report.received_at < REPORT_TTL_S
         }
 
     @property
@@ -68,9 +68,9 @@
         totals: dict[DemandKey, float] = {}
         for node_id in sorted(self._fronts):
             for entry in self._fronts[node_id].entries:
-                key = _key(entry, configuration)
+                key = _demand_key(entry, configuration)
                 if key is not None:
-                    totals[key] = totals.get(key, 0.0) + _load(entry)
+                    totals[key] = totals.get(key, 0.0) + _offered_load(entry)
         return totals
 
 
@@ -79,7 +79,7 @@
     return not same_process or report.sequence > previous.sequence
 
 
-def _usable(entry: DemandEntry) -> bool:
+def _is_valid(entry: DemandEntry) -> bool:
     rates = (
         entry.requests_per_s,
         entry.prompt_tokens_per_s,
@@ -89,7 +89,7 @@
     return all(math.isfinite(rate) and 0.0 <= rate <= MAX_RATE for rate in rates)
 
 
-def _key(entry: DemandEntry, configuration: Configuration) -> DemandKey | None:
+def _demand_key(entry: DemandEntry, configuration: Configuration) -> DemandKey | None:
     route = configuration.routes.get(entry.route)
     model = configuration.models.get(entry.model)
     if route is None or model is None or entry.latency_class not in model.latency_classes:
@@ -100,7 +100,7 @@
     return DemandKey(entry.model, entry.latency_class, entry.source_region, homes)
 
 
-def _load(entry: DemandEntry) -> float:
+def _offered_load(entry: DemandEntry) -> float:
     """Return the offered load in load tokens/s.
 
     The token rates of a front already include refused requests, at their average size.
--- a/rooklug/controller/demand_watch.py
+++ b/rooklug/controller/demand_watch.py
@@ -38,13 +38,13 @@
         planned = self.planned()
         total = sum(planned.values())
         return [
-            _step_in_words(key, load, solved_for.get(key, 0.0))
+            _describe_step(key, load, solved_for.get(key, 0.0))
             for key, load in planned.items()
             if rose(load, solved_for.get(key, 0.0), total)
         ]
 
 
-def _step_in_words(key: DemandKey, load: float, before: float) -> str:
+def _describe_step(key: DemandKey, load: float, before: float) -> str:
     where = f"{key.model}/{key.latency_class} in {key.source_region}"
     if before <= 0.0:
         return f"demand of {load:.0f} tokens/s for {where}"
--- a/rooklug/controller/fleet_state.py
+++ b/rooklug/controller/fleet_state.py
@@ -15,7 +15,7 @@
 )
 
 DEFAULT_SLOW_START_S = 10.0
-LONG_AGO = float("-inf")
+NEVER = float("-inf")
 
 
 class FleetChange(Enum):
@@ -40,8 +40,8 @@
     listed: ListedReplica
     health: ReplicaHealth = attrs.field(factory=ReplicaHealth)
     report: ReplicaReport | None = None
-    report_at: float = LONG_AGO
-    warming_since: float = LONG_AGO
+    report_at: float = NEVER
+    warming_since: float = NEVER
     verdict: Verdict = Verdict.UNKNOWN
     remembered: LoadedReplica | None = None
 
@@ -83,7 +83,7 @@
             return self.remembered is not None and self.remembered.healthy
         return self.verdict in (Verdict.HEALTHY, Verdict.SUSPECT)
 
-    def judge(self, now: float) -> Verdict:
+    def evaluate(self, now: float) -> Verdict:
         """Return the verdict at ``now``, without storing it.
 
         A dead replica stays dead until a prober or a front has had an answer from it.
@@ -93,10 +93,10 @@
             return Verdict.UNKNOWN
         doubtful = verdict in (Verdict.SUSPECT, Verdict.UNKNOWN)
         if doubtful and self.verdict is Verdict.DEAD:
-            return verdict if self.health.somebody_sees_it_well(now) else Verdict.DEAD
+            return verdict if self.health.has_recent_success(now) else Verdict.DEAD
         return verdict
 
-    def take_report(self, report: ReplicaReport, at: float) -> FleetChange:
+    def apply_report(self, report: ReplicaReport, at: float) -> FleetChange:
         """Store a newer report and return what it changes; may begin a slow start."""
         previous, self.report, self.report_at = self.report, report, at
         if previous is None:
@@ -126,7 +126,7 @@
     bad_reports: int = 0
     _remembered: dict[str, LoadedReplica] = attrs.field(factory=dict)
 
-    def remember(self, last_plan: Iterable[LoadedReplica]) -> None:
+    def remember_plan(self, last_plan: Iterable[LoadedReplica]) -> None:
         """Remember the entries of the previous term's plan.
 
         They stand in for replicas without a report. If the first report differs from them, the
@@ -134,7 +134,7 @@
         """
         self._remembered = {replica.replica_id: replica for replica in last_plan}
 
-    def take_listing(self, listed: Iterable[ListedReplica]) -> tuple[list[str], list[str]]:
+    def apply_listing(self, listed: Iterable[ListedReplica]) -> tuple[list[str], list[str]]:
         """Apply the platform's list.
 
         Returns the ids of replicas that became available, and of those that were removed or
@@ -155,29 +155,29 @@
         after = {key for key, replica in current.items() if not replica.listed.leaving}
         return sorted(after - before), sorted(before - after)
 
-    def take_probe(self, observer: str, result: ProbeResult, now: float) -> FleetChange:
+    def apply_probe(self, observer: str, result: ProbeResult, now: float) -> FleetChange:
         """Apply one probe result; unlisted replicas and invalid reports change nothing."""
         replica = self.replicas.get(result.replica_id)
         if replica is None:
             return FleetChange.NOTHING
         at = now - max(0, result.age_ms) / 1000.0
         if not result.answered:
-            replica.health.probe_failed(observer, result.consecutive_failures, at)
+            replica.health.record_probe_failure(observer, result.consecutive_failures, at)
             return FleetChange.NOTHING
         outcome = read_report(result.report_json, result.replica_id)
         if outcome.is_error():
             self.bad_reports += 1
             return FleetChange.NOTHING
-        replica.health.probe_answered(observer, at)
+        replica.health.record_probe_success(observer, at)
         if at < replica.report_at:
             return FleetChange.NOTHING
         first = replica.report is None
-        change = replica.take_report(outcome.ok, at)
+        change = replica.apply_report(outcome.ok, at)
         if first and _changed_since_last_plan(replica):
             replica.warming_since = at
         return change
 
-    def take_observations(
+    def apply_observations(
         self, observer: str, observations: Iterable[ReplicaObservation], now: float
     ) -> None:
         """Apply the outcomes of the requests that a front sent to replicas.
@@ -189,13 +189,13 @@
             if replica is None or seen.incarnation not in ("", replica.incarnation):
                 continue
             failures = seen.failures + seen.connect_failures
-            replica.health.traffic_seen(observer, seen.successes, failures, now)
+            replica.health.record_traffic(observer, seen.successes, failures, now)
 
-    def judge(self, now: float) -> list[tuple[str, Verdict, Verdict]]:
+    def update_verdicts(self, now: float) -> list[tuple[str, Verdict, Verdict]]:
         """Update all verdicts; return (replica id, before, after) for each one that changed."""
         changed = []
         for replica_id, replica in self.replicas.items():
-            verdict = replica.judge(now)
+            verdict = replica.evaluate(now)
             if verdict is not replica.verdict:
                 changed.append((replica_id, replica.verdict, verdict))
                 replica.verdict = verdict
@@ -223,7 +223,7 @@
             if replica.listed.zone in self.drained_zones
         ]
 
-    def unresolved(self) -> list[str]:
+    def unprobed(self) -> list[str]:
         """Return the ids of the replicas that have no report and no recorded probe failure yet."""
         return [
             replica_id
--- a/rooklug/controller/health.py
+++ b/rooklug/controller/health.py
@@ -11,14 +11,14 @@
 
 import attrs
 
-BAD_PROBES = 2
-BAD_ANSWERS = 2
+MIN_PROBE_FAILURES = 2
+MIN_TRAFFIC_FAILURES = 2
 OBSERVERS_FOR_DEAD = 2
 SOLE_OBSERVER_TIMEOUT_S = 10.0
-GOOD_VETO_S = 3.0
+HEALTHY_VETO_S = 3.0
 PROBE_CONTRADICTION_S = 3.0
-FRONT_OPINION_LIFETIME_S = 6.0
-PROBER_OPINION_LIFETIME_S = 15.0
+FRONT_OBSERVATION_TTL_S = 6.0
+PROBER_OBSERVATION_TTL_S = 15.0
 MAX_SERVING_FRONTS = 8
 
 
@@ -36,16 +36,16 @@
 
 
 @attrs.frozen
-class Opinion:
+class Observation:
     """The newest observation of one observer. Times are monotonic seconds.
 
-    ``bad_since`` is when its run of unhealthy observations began.
+    ``unhealthy_since`` is when its run of unhealthy observations began.
     """
 
-    good: bool
-    at: float
-    bad_since: float
-    lifetime_s: float
+    healthy: bool
+    observed_at: float
+    unhealthy_since: float
+    ttl_s: float
 
 
 @attrs.define
@@ -56,8 +56,8 @@
     fronts may use hundreds of replicas, and a few of them are enough for the verdict.
     """
 
-    _probers: dict[str, Opinion] = attrs.field(factory=dict)
-    _failing_fronts: dict[str, Opinion] = attrs.field(factory=dict)
+    _probers: dict[str, Observation] = attrs.field(factory=dict)
+    _failing_fronts: dict[str, Observation] = attrs.field(factory=dict)
     _serving_fronts: dict[str, float] = attrs.field(factory=dict)
 
     @property
@@ -65,24 +65,30 @@
         """Whether any prober has recorded an observation yet."""
         return bool(self._probers)
 
-    def probe_answered(self, observer: str, at: float) -> None:
+    def record_probe_success(self, observer: str, at: float) -> None:
         """Record a probe with a valid report; it discards the fronts' earlier failures."""
-        opinion = Opinion(good=True, at=at, bad_since=at, lifetime_s=PROBER_OPINION_LIFETIME_S)
-        _record_opinion(self._probers, observer, opinion)
+        observation = Observation(
+            healthy=True, observed_at=at, unhealthy_since=at, ttl_s=PROBER_OBSERVATION_TTL_S
+        )
+        _record_observation(self._probers, observer, observation)
         self._failing_fronts = {
-            node: opinion for node, opinion in self._failing_fronts.items() if opinion.at > at
+            node: observation
+            for node, observation in self._failing_fronts.items()
+            if observation.observed_at > at
         }
 
-    def probe_failed(self, observer: str, consecutive_failures: int, at: float) -> None:
-        """Record a failed probe; ignored below ``BAD_PROBES`` consecutive failures."""
-        if consecutive_failures >= BAD_PROBES:
-            opinion = Opinion(good=False, at=at, bad_since=at, lifetime_s=PROBER_OPINION_LIFETIME_S)
-            _record_opinion(self._probers, observer, opinion)
+    def record_probe_failure(self, observer: str, consecutive_failures: int, at: float) -> None:
+        """Record a failed probe; ignored below ``MIN_PROBE_FAILURES`` consecutive failures."""
+        if consecutive_failures >= MIN_PROBE_FAILURES:
+            observation = Observation(
+                healthy=False, observed_at=at, unhealthy_since=at, ttl_s=PROBER_OBSERVATION_TTL_S
+            )
+            _record_observation(self._probers, observer, observation)
 
-    def traffic_seen(self, observer: str, successes: int, failures: int, at: float) -> None:
+    def record_traffic(self, observer: str, successes: int, failures: int, at: float) -> None:
         """Record a front's request counts of one reporting interval.
 
-        Any success counts as healthy; ``BAD_ANSWERS`` failures without a success as unhealthy.
+        Any success counts as healthy; without one, ``MIN_TRAFFIC_FAILURES`` count as unhealthy.
         """
         if successes > 0:
             self._failing_fronts.pop(observer, None)
@@ -90,71 +96,86 @@
             self._serving_fronts[observer] = at
             if len(self._serving_fronts) > MAX_SERVING_FRONTS:
                 del self._serving_fronts[next(iter(self._serving_fronts))]
-        elif failures >= BAD_ANSWERS:
+        elif failures >= MIN_TRAFFIC_FAILURES:
             self._serving_fronts.pop(observer, None)
-            opinion = Opinion(good=False, at=at, bad_since=at, lifetime_s=FRONT_OPINION_LIFETIME_S)
-            _record_opinion(self._failing_fronts, observer, opinion)
+            observation = Observation(
+                healthy=False, observed_at=at, unhealthy_since=at, ttl_s=FRONT_OBSERVATION_TTL_S
+            )
+            _record_observation(self._failing_fronts, observer, observation)
 
     def verdict(self, now: float) -> Verdict:
         """Return the verdict at ``now``.
 
-        A node id that appears as a prober and as a front counts as two observers.
+        A node that both probes and serves counts as two observers: these are two processes.
         """
-        opinions = [*self._probers.values(), *self._failing_fronts.values()]
-        bad = [opinion for opinion in opinions if not opinion.good and _alive(opinion, now)]
-        good_at = [opinion.at for opinion in opinions if opinion.good and _alive(opinion, now)]
-        good_at += self._serving_times(now)
-        if not bad and not good_at:
+        observations = [*self._probers.values(), *self._failing_fronts.values()]
+        unhealthy = [
+            observation
+            for observation in observations
+            if not observation.healthy and _is_current(observation, now)
+        ]
+        healthy_at = [
+            observation.observed_at
+            for observation in observations
+            if observation.healthy and _is_current(observation, now)
+        ]
+        healthy_at += self._front_success_times(now)
+        if not unhealthy and not healthy_at:
             return Verdict.SUSPECT if self._probers else Verdict.UNKNOWN
-        if not bad:
+        if not unhealthy:
             return Verdict.HEALTHY
-        if any(now - at < GOOD_VETO_S for at in good_at):
+        if any(now - at < HEALTHY_VETO_S for at in healthy_at):
             return Verdict.SUSPECT
-        return Verdict.DEAD if self._is_dead(bad, now) else Verdict.SUSPECT
+        return Verdict.DEAD if self._is_dead(unhealthy, now) else Verdict.SUSPECT
 
-    def _is_dead(self, bad: list[Opinion], now: float) -> bool:
-        elapsed = now - min(opinion.bad_since for opinion in bad)
+    def _is_dead(self, unhealthy: list[Observation], now: float) -> bool:
+        elapsed = now - min(observation.unhealthy_since for observation in unhealthy)
         if elapsed >= SOLE_OBSERVER_TIMEOUT_S:
             return True
-        if len(bad) < OBSERVERS_FOR_DEAD:
+        if len(unhealthy) < OBSERVERS_FOR_DEAD:
             return False
-        prober_agrees = any(not opinion.good for opinion in self._probers.values())
+        prober_agrees = any(not observation.healthy for observation in self._probers.values())
         return prober_agrees or elapsed >= PROBE_CONTRADICTION_S
 
-    def somebody_sees_it_well(self, now: float) -> bool:
+    def has_recent_success(self, now: float) -> bool:
         """Return whether a prober or a front has a current successful observation."""
-        probed = any(opinion.good and _alive(opinion, now) for opinion in self._probers.values())
-        return probed or self.front_sees_it_serving(now)
+        probed = any(
+            observation.healthy and _is_current(observation, now)
+            for observation in self._probers.values()
+        )
+        return probed or self.has_recent_front_success(now)
 
-    def front_sees_it_serving(self, now: float) -> bool:
+    def has_recent_front_success(self, now: float) -> bool:
         """Return whether a front has a current observation with successful requests."""
-        return bool(self._serving_times(now))
+        return bool(self._front_success_times(now))
 
-    def front_sees_it_failing(self, now: float) -> bool:
+    def has_recent_front_failure(self, now: float) -> bool:
         """Return whether a front has a current observation with failures only."""
-        return any(_alive(opinion, now) for opinion in self._failing_fronts.values())
+        return any(_is_current(observation, now) for observation in self._failing_fronts.values())
 
-    def _serving_times(self, now: float) -> list[float]:
+    def _front_success_times(self, now: float) -> list[float]:
         times = self._serving_fronts.values()
-        return [at for at in times if now - at < FRONT_OPINION_LIFETIME_S]
+        return [at for at in times if now - at < FRONT_OBSERVATION_TTL_S]
 
 
-def _alive(opinion: Opinion, now: float) -> bool:
-    return now - opinion.at < opinion.lifetime_s
+def _is_current(observation: Observation, now: float) -> bool:
+    return now - observation.observed_at < observation.ttl_s
 
 
-def _record_opinion(opinions: dict[str, Opinion], observer: str, newest: Opinion) -> None:
+def _record_observation(
+    observations: dict[str, Observation], observer: str, newest: Observation
+) -> None:
     """Store an observer's newest observation; older ones are ignored.
 
-    An unhealthy one keeps the ``bad_since`` of an unhealthy predecessor that is still current.
+    An unhealthy one inherits ``unhealthy_since`` from an unhealthy one that is still current.
     """
-    previous = opinions.get(observer)
-    if previous is not None and previous.at > newest.at:
+    previous = observations.get(observer)
+    if previous is not None and previous.observed_at > newest.observed_at:
         return
-    if previous is not None and _continues(previous, newest):
-        newest = attrs.evolve(newest, bad_since=previous.bad_since)
-    opinions[observer] = newest
+    if previous is not None and _continues_unhealthy(previous, newest):
+        newest = attrs.evolve(newest, unhealthy_since=previous.unhealthy_since)
+    observations[observer] = newest
 
 
-def _continues(previous: Opinion, newest: Opinion) -> bool:
-    return not previous.good and not newest.good and _alive(previous, newest.at)
+def _continues_unhealthy(previous: Observation, newest: Observation) -> bool:
+    return not previous.healthy and not newest.healthy and _is_current(previous, newest.observed_at)
--- a/rooklug/controller/listing_guard.py
+++ b/rooklug/controller/listing_guard.py
@@ -16,7 +16,7 @@
 
 
 @attrs.frozen
-class WeighedListing:
+class GuardedListing:
     """The list to publish.
 
     ``retained`` are the ids of replicas that are kept although the platform no longer lists them.
@@ -32,28 +32,28 @@
 
     _missing_since: float | None = None
 
-    def weigh(
+    def apply(
         self,
         published: tuple[ListedReplica, ...],
         listed: tuple[ListedReplica, ...],
         now: float,
-    ) -> WeighedListing:
+    ) -> GuardedListing:
         """Return what to publish, given the published replicas and those ``listed`` at ``now``."""
         listed_ids = {replica.replica_id for replica in listed}
-        staying = [replica for replica in published if not replica.leaving]
-        missing = [replica for replica in staying if replica.replica_id not in listed_ids]
-        if not self._suspicious(len(missing), len(staying), any_listed=bool(listed)):
+        remaining = [replica for replica in published if not replica.leaving]
+        missing = [replica for replica in remaining if replica.replica_id not in listed_ids]
+        if not self._is_suspicious(len(missing), len(remaining), any_listed=bool(listed)):
             self._missing_since = None
-            return WeighedListing(listed, ())
+            return GuardedListing(listed, ())
         if self._missing_since is None:
             self._missing_since = now
         if now - self._missing_since >= RETAIN_S:
             self._missing_since = None
-            return WeighedListing(listed, ())
+            return GuardedListing(listed, ())
         merged = sorted((*listed, *missing), key=lambda replica: replica.replica_id)
-        return WeighedListing(tuple(merged), tuple(replica.replica_id for replica in missing))
+        return GuardedListing(tuple(merged), tuple(replica.replica_id for replica in missing))
 
     @staticmethod
-    def _suspicious(missing: int, staying: int, *, any_listed: bool) -> bool:
+    def _is_suspicious(missing: int, remaining: int, *, any_listed: bool) -> bool:
         enough = missing >= SUSPICIOUS_MINIMUM or not any_listed
-        return enough and missing > staying * SUSPICIOUS_SHARE
+        return enough and missing > remaining * SUSPICIOUS_SHARE
--- a/rooklug/controller/moves.py
+++ b/rooklug/controller/moves.py
@@ -6,7 +6,7 @@
 from rooklug.controller.fleet_state import FleetState, Replica
 from rooklug.controller.health import Verdict
 from rooklug.controller.order_dispatcher import ModelOrder, OrderKind
-from rooklug.controller.plan_body import share_of
+from rooklug.controller.plan_body import route_share
 from rooklug.placement.moves import MoveExecutor
 from rooklug.placement.orders import (
     Load,
@@ -27,7 +27,7 @@
 
     ``orders`` are due now. ``intended`` maps each replica id to the models that fronts may use
     there, and ``matrix`` is the routing matrix to publish. ``weights_sequence`` identifies this
-    matrix for ``Moves.weights_published``.
+    matrix for ``PlanExecutor.weights_published``.
     """
 
     orders: tuple[ModelOrder, ...] = ()
@@ -36,7 +36,7 @@
     weights_sequence: int = 0
 
 
-class Moves:
+class PlanExecutor:
     """Carries out the plans of one placer term through a ``MoveExecutor``."""
 
     def __init__(self, configuration: Configuration) -> None:
@@ -64,7 +64,7 @@
                 self._published = order
             else:
                 orders.append(_model_order(order))
-        intended = {**_offered_though_dead(fleet), **self._published.intended}
+        intended = {**_models_of_dead_replicas(fleet), **self._published.intended}
         published = self._published
         return MoveStep(tuple(orders), intended, published.matrix, published.sequence)
 
@@ -80,13 +80,13 @@
         """Return the models that a solve should treat as loaded: loaded or being loaded."""
         return self._executor.committed_models(replica_id)
 
-    def avoided(self, now: float) -> frozenset[str]:
+    def avoided_replicas(self, now: float) -> frozenset[str]:
         """Return the ids of replicas that get no load for now, because one was given up there."""
         return self._executor.avoided_slots(now)
 
 
-def taking_nothing_away(
-    plan: PlacementPlan, moves: Moves, last_plan: PlanBody | None
+def without_withdrawals(
+    plan: PlacementPlan, moves: PlanExecutor, last_plan: PlanBody | None
 ) -> PlacementPlan:
     """Return ``plan`` changed so that it withdraws nothing, for use with partial knowledge.
 
@@ -96,7 +96,9 @@
         replica_id: tuple(sorted({*models, *moves.committed_models(replica_id)}))
         for replica_id, models in plan.assignments.items()
     }
-    cells = tuple(share_of(weight) for weight in last_plan.matrix) if last_plan is not None else ()
+    cells = (
+        tuple(route_share(weight) for weight in last_plan.matrix) if last_plan is not None else ()
+    )
     return attrs.evolve(plan, assignments=assignments, matrix=cells or plan.matrix)
 
 
@@ -121,7 +123,7 @@
     )
 
 
-def _offered_though_dead(fleet: FleetState) -> dict[str, tuple[str, ...]]:
+def _models_of_dead_replicas(fleet: FleetState) -> dict[str, tuple[str, ...]]:
     """Return the loaded models of dead replicas, which stay published but are marked unhealthy.
 
     A front uses them only when it has no healthy replica: in that case it may be the probers that
--- a/rooklug/controller/order_dispatcher.py
+++ b/rooklug/controller/order_dispatcher.py
@@ -16,11 +16,11 @@
 from rooklug.engine import events as ev
 from rooklug.engine.reducer import Identifiers
 
-ORDER_DEADLINE_S = 1.0
+ATTEMPT_DEADLINE_S = 1.0
 CONNECT_DEADLINE_S = 0.5
-RETRY_FIRST_S = 0.3
-RETRY_LIMIT_S = 2.0
-GIVE_UP_S = 10.0
+INITIAL_BACKOFF_S = 0.3
+MAX_BACKOFF_S = 2.0
+ORDER_TIMEOUT_S = 10.0
 MAX_IN_FLIGHT = 64
 HTTP_OK = 200
 HTTP_ACCEPTED = 202
@@ -45,7 +45,7 @@
     order_id: str
 
 
-class OrderEnd(Enum):
+class OrderOutcome(Enum):
     """How an order completed; the values are published in decision records."""
 
     ACCEPTED = "accepted"
@@ -59,7 +59,7 @@
     """An order that needs no further attempt, and its outcome."""
 
     order: ModelOrder
-    end: OrderEnd
+    outcome: OrderOutcome
 
 
 @attrs.frozen
@@ -71,17 +71,17 @@
 
 
 @attrs.define
-class _Pending:
+class _PendingOrder:
     """An order that has not completed.
 
-    ``begun_at`` is when it was issued and ``due`` when its next attempt may be sent (monotonic
+    ``issued_at`` is when it was issued and ``due_at`` when its next attempt may be sent (monotonic
     seconds). ``call_id`` is the attempt in flight, if any.
     """
 
     order: ModelOrder
     address: str
-    begun_at: float
-    due: float
+    issued_at: float
+    due_at: float
     attempts: int = 0
     call_id: int | None = None
 
@@ -98,7 +98,7 @@
     random: Random
     sent: int = 0
     retried: int = 0
-    _pending: dict[tuple[str, str], _Pending] = attrs.field(factory=dict)
+    _pending: dict[tuple[str, str], _PendingOrder] = attrs.field(factory=dict)
 
     def issue(self, order: ModelOrder, address: str, now: float) -> list[fx.Effect]:
         """Queue an order for ``send_due``.
@@ -110,21 +110,21 @@
         present = self._pending.get(target)
         if present is not None and present.order == order and present.address == address:
             return []
-        effects = self._withdraw(target)
-        self._pending[target] = _Pending(order, address, now, now)
+        effects = self._cancel(target)
+        self._pending[target] = _PendingOrder(order, address, now, now)
         return effects
 
-    def drop_replica(self, replica_id: str) -> list[fx.Effect]:
+    def cancel_replica(self, replica_id: str) -> list[fx.Effect]:
         """Cancel all orders to a replica that may not get any more."""
         targets = [target for target in self._pending if target[0] == replica_id]
-        return [effect for target in targets for effect in self._withdraw(target)]
+        return [effect for target in targets for effect in self._cancel(target)]
 
     def clear(self) -> list[fx.Effect]:
         """Cancel all orders. Called when the role is lost."""
-        return [effect for target in list(self._pending) for effect in self._withdraw(target)]
+        return [effect for target in list(self._pending) for effect in self._cancel(target)]
 
     def send_due(self, now: float) -> DueOrders:
-        """Return the attempts that are due; give up orders older than ``GIVE_UP_S``.
+        """Return the attempts that are due; give up orders older than ``ORDER_TIMEOUT_S``.
 
         At most ``MAX_IN_FLIGHT`` attempts are in flight; the rest stay due.
         """
@@ -132,17 +132,17 @@
         given_up: list[CompletedOrder] = []
         in_flight = sum(pending.call_id is not None for pending in self._pending.values())
         for target, pending in list(self._pending.items()):
-            if pending.call_id is not None or pending.due > now:
+            if pending.call_id is not None or pending.due_at > now:
                 continue
-            if now - pending.begun_at > GIVE_UP_S:
+            if now - pending.issued_at > ORDER_TIMEOUT_S:
                 del self._pending[target]
-                given_up.append(CompletedOrder(pending.order, OrderEnd.GAVE_UP))
+                given_up.append(CompletedOrder(pending.order, OrderOutcome.GAVE_UP))
             elif in_flight < MAX_IN_FLIGHT and self.role.is_owner:
                 in_flight += 1
                 effects.append(self._send(pending))
         return DueOrders(effects, given_up)
 
-    def end_attempt(
+    def handle_attempt_end(
         self, event: ev.HttpAnswered | ev.HttpFailed, now: float
     ) -> CompletedOrder | None:
         """Handle the end of an attempt; return the order if it is complete, or None.
@@ -153,24 +153,24 @@
         if pending is None:
             return None
         pending.call_id = None
-        end = _end_of(event)
-        if end is None:
-            self._retry_later(pending, now)
+        outcome = _outcome_of(event)
+        if outcome is None:
+            self._schedule_retry(pending, now)
             return None
         del self._pending[pending.order.replica_id, pending.order.model]
-        return CompletedOrder(pending.order, end)
+        return CompletedOrder(pending.order, outcome)
 
-    def _retry_later(self, pending: _Pending, now: float) -> None:
-        backoff_s = min(RETRY_LIMIT_S, RETRY_FIRST_S * 2 ** (pending.attempts - 1))
-        pending.due = now + backoff_s * (0.75 + 0.5 * self.random.random())
+    def _schedule_retry(self, pending: _PendingOrder, now: float) -> None:
+        backoff_s = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2 ** (pending.attempts - 1))
+        pending.due_at = now + backoff_s * (0.75 + 0.5 * self.random.random())
 
-    def _withdraw(self, target: tuple[str, str]) -> list[fx.Effect]:
+    def _cancel(self, target: tuple[str, str]) -> list[fx.Effect]:
         pending = self._pending.pop(target, None)
         if pending is None or pending.call_id is None:
             return []
         return [fx.CancelHttpCall(pending.call_id)]
 
-    def _send(self, pending: _Pending) -> fx.Effect:
+    def _send(self, pending: _PendingOrder) -> fx.Effect:
         self.sent += 1
         self.retried += pending.attempts > 0
         pending.attempts += 1
@@ -181,13 +181,13 @@
             method="POST",
             path=f"/api/{pending.order.kind.value}",
             body=self._body(pending),
-            deadline_s=ORDER_DEADLINE_S,
+            deadline_s=ATTEMPT_DEADLINE_S,
             headers={"content-type": "application/json"},
             connect_deadline_s=CONNECT_DEADLINE_S,
-            not_after=self.role.until,
+            not_after=self.role.valid_until,
         )
 
-    def _body(self, pending: _Pending) -> bytes:
+    def _body(self, pending: _PendingOrder) -> bytes:
         epoch, counter = self.role.token_key
         document = {
             "order_id": f"{epoch}.{counter}.{pending.order.order_id}",
@@ -197,14 +197,14 @@
         return json.dumps(document).encode()
 
 
-def _end_of(event: ev.HttpAnswered | ev.HttpFailed) -> OrderEnd | None:
+def _outcome_of(event: ev.HttpAnswered | ev.HttpFailed) -> OrderOutcome | None:
     """Return the outcome of the order, or None if it should be retried."""
     if isinstance(event, ev.HttpFailed):
         return None
     if event.status in (HTTP_OK, HTTP_ACCEPTED):
-        return OrderEnd.ACCEPTED
+        return OrderOutcome.ACCEPTED
     if event.status == HTTP_CONFLICT:
-        return OrderEnd.STALE_TOKEN
+        return OrderOutcome.STALE_TOKEN
     if event.status == HTTP_INSUFFICIENT_STORAGE:
-        return OrderEnd.NO_CAPACITY
+        return OrderOutcome.NO_CAPACITY
     return None
--- a/rooklug/controller/placer.py
+++ b/rooklug/controller/placer.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 
 from rooklug.controller.controller_events import ProbesReported, ProbeUrgencyReported
-from rooklug.controller.placer_term import PlacerTerm, PlacerTools
+from rooklug.controller.placer_term import PlacerDependencies, PlacerTerm
 from rooklug.controller.probe_urgency import UrgencyLists
 from rooklug.controller.role import RoleChange, RoleFollower
 from rooklug.controller.sharding import shard_of, shard_role
@@ -37,7 +37,7 @@
     call_types = (DemandReport, ProbeReport)
     subscribes_to = (GrantsChanged, TopicChanged, ProbesReported)
 
-    def __init__(self, tools: PlacerTools) -> None:
+    def __init__(self, tools: PlacerDependencies) -> None:
         self._tools = tools
         self._role = RoleFollower(tools.link, ROLE_PLACER)
         self._prober_tokens: dict[str, tuple[int, int]] = {}
@@ -53,13 +53,13 @@
             effects.append(fx.Answer(event.call_id, self._answer(event.request, now)))
         if self.term is None:
             return effects
-        effects += self._feed_term(self.term, event, now)
-        if self._role.is_owner and self._time_to_advance(event, now):
+        effects += self._forward_to_term(self.term, event, now)
+        if self._role.is_owner and self._should_advance(event, now):
             self._advanced_at = now
             effects += self.term.advance(now)
         return effects + self._drop_fenced_term()
 
-    def _time_to_advance(self, event: ev.Event, now: float) -> bool:
+    def _should_advance(self, event: ev.Event, now: float) -> bool:
         """Return whether the term should act on this event.
 
         Reports and answers are only recorded; the next tick acts on all of them at once.
@@ -97,15 +97,15 @@
             ),
         ]
 
-    def _feed_term(self, term: PlacerTerm, event: ev.Event, now: float) -> list[fx.Effect]:
+    def _forward_to_term(self, term: PlacerTerm, event: ev.Event, now: float) -> list[fx.Effect]:
         if isinstance(event, TopicChanged):
-            return term.topic_changed(event.topic, event.body, now)
+            return term.handle_topic_changed(event.topic, event.body, now)
         if isinstance(event, ev.Computed):
-            return term.computed(event, now)
+            return term.handle_computed(event, now)
         if isinstance(event, ev.HttpAnswered | ev.HttpFailed):
-            return term.on_attempt_end(event, now)
+            return term.handle_attempt_end(event, now)
         if isinstance(event, ProbesReported):
-            return self._take_local_probes(event.report, now)
+            return self._apply_local_probe_report(event.report, now)
         return []
 
     def _answer(
@@ -113,17 +113,17 @@
     ) -> DemandAnswer | ProbeReportAnswer:
         if isinstance(request, DemandReport):
             if self.term is not None:
-                self.term.demand_report(request, now)
+                self.term.handle_demand_report(request, now)
             return DemandAnswer(accepted=self.term is not None)
-        urgency = self._take_probes(request, now)
+        urgency = self._apply_probe_report(request, now)
         if urgency is None:
             return ProbeReportAnswer(accepted=False)
         return ProbeReportAnswer(
             accepted=True, probe_soon=list(urgency.probe_soon), steady=list(urgency.steady)
         )
 
-    def _take_local_probes(self, report: ProbeReport, now: float) -> list[fx.Effect]:
-        urgency = self._take_probes(report, now)
+    def _apply_local_probe_report(self, report: ProbeReport, now: float) -> list[fx.Effect]:
+        urgency = self._apply_probe_report(report, now)
         if urgency is None:
             return []
         return [
@@ -132,7 +132,7 @@
             )
         ]
 
-    def _take_probes(self, report: ProbeReport, now: float) -> UrgencyLists | None:
+    def _apply_probe_report(self, report: ProbeReport, now: float) -> UrgencyLists | None:
         """Apply a prober's results and return which replicas it should probe sooner or less often.
 
         Returns None if this node isn't the placer, or if the report carries an older token of its
@@ -144,7 +144,7 @@
         if token < self._prober_tokens.get(role_key, (0, 0)):
             return None
         self._prober_tokens[role_key] = token
-        self.term.probe_report(report, now)
+        self.term.handle_probe_report(report, now)
         shard = _SHARD_ROLES[role_key]
         fleet = self.term.fleet
         own = [replica_id for replica_id in fleet.replicas if shard_of(replica_id) == shard]
--- a/rooklug/controller/plan_body.py
+++ b/rooklug/controller/plan_body.py
@@ -34,7 +34,7 @@
     )
 
 
-def share_of(weight: RouteWeight) -> RouteShare:
+def route_share(weight: RouteWeight) -> RouteShare:
     """Convert a published cell of the routing matrix to the planner's type."""
     key = DemandKey(
         weight.model, weight.latency_class, weight.source_region, tuple(weight.home_regions)
--- a/rooklug/controller/plan_publisher.py
+++ b/rooklug/controller/plan_publisher.py
@@ -15,8 +15,8 @@
 from rooklug.model import topics
 from rooklug.wire.generated.control.ttypes import PlanBody
 
-SPACING_S = 0.1
-SPACING_A_REPLICA_S = 0.002
+MIN_SPACING_S = 0.1
+SPACING_PER_REPLICA_S = 0.002
 """The interval between publications grows with the fleet.
 
 Each publication sends the whole plan to every front; so a larger fleet batches more changes into
@@ -26,7 +26,7 @@
 
 
 @attrs.frozen
-class _Carried:
+class _PublishedWeights:
     """The sequence of some weights, and of the publication that first carries them."""
 
     weights_sequence: int
@@ -51,7 +51,7 @@
     _published: PlanBody | None = None
     _published_at: float = float("-inf")
     _built_at: float = float("-inf")
-    _carried: deque[_Carried] = attrs.field(factory=deque)
+    _published_weights: deque[_PublishedWeights] = attrs.field(factory=deque)
     _accepted_weights: int = 0
 
     def publish_if_changed(
@@ -66,31 +66,35 @@
         self.dirty, self._built_at = False, now
         body = self._build(step, cause, configuration, now)
         if same_content(self._published, body) and not self.decisions.has_pending:
-            self._record_carried(step)
+            self._record_published_weights(step)
             return []
         self._published, self._published_at = body, now
         self.publications += 1
         decisions = self.decisions.take()
         effects = self.link.publish(topics.PLAN, topics.ROLE_PLACER, body, decisions, now)
-        self._record_carried(step)
+        self._record_published_weights(step)
         return effects
 
     def accepted_weights(self) -> int:
         """Return the highest ``MoveStep.weights_sequence`` that a primary has accepted."""
         accepted = self.link.accepted_sequence(topics.PLAN)
-        while self._carried and self._carried[0].published_sequence <= accepted:
-            self._accepted_weights = self._carried.popleft().weights_sequence
+        while self._published_weights and self._published_weights[0].published_sequence <= accepted:
+            self._accepted_weights = self._published_weights.popleft().weights_sequence
         return self._accepted_weights
 
-    def _record_carried(self, step: MoveStep) -> None:
+    def _record_published_weights(self, step: MoveStep) -> None:
         """Record that the newest publication carries the weights of ``step``, or equal ones."""
-        newest = self._carried[-1].weights_sequence if self._carried else self._accepted_weights
+        newest = (
+            self._published_weights[-1].weights_sequence
+            if self._published_weights
+            else self._accepted_weights
+        )
         if step.weights_sequence > newest:
             sequence = self.link.published_sequence(topics.PLAN)
-            self._carried.append(_Carried(step.weights_sequence, sequence))
+            self._published_weights.append(_PublishedWeights(step.weights_sequence, sequence))
 
     def _spacing_s(self) -> float:
-        return max(SPACING_S, SPACING_A_REPLICA_S * len(self.fleet.replicas))
+        return max(MIN_SPACING_S, SPACING_PER_REPLICA_S * len(self.fleet.replicas))
 
     def _build(
         self, step: MoveStep, cause: str, configuration: Configuration, now: float
--- a/rooklug/controller/platform_listing.py
+++ b/rooklug/controller/platform_listing.py
@@ -17,7 +17,7 @@
 from rooklug.wire.generated.control.ttypes import ListedReplica
 
 MAX_LISTING_BYTES = 8 * 1024 * 1024
-KINDS = ("model", "once")
+REPLICA_KINDS = ("model", "once")
 MAX_PORT = 65535
 
 
@@ -63,7 +63,7 @@
     if not isinstance(entry, dict):
         raise MalformedError("each entry of replicas must be a JSON object")
     kind = entry.get("kind")
-    if kind not in KINDS:
+    if kind not in REPLICA_KINDS:
         raise MalformedError("kind must be 'model' or 'once'")
     return ListedReplica(
         replica_id=text_field(entry, "replica_id"),
--- a/rooklug/controller/platform_watcher.py
+++ b/rooklug/controller/platform_watcher.py
@@ -100,7 +100,7 @@
                 body=b"",
                 deadline_s=ANSWER_DEADLINE_S,
                 connect_deadline_s=CONNECT_DEADLINE_S,
-                not_after=self._role.until,
+                not_after=self._role.valid_until,
             )
         ]
 
@@ -114,7 +114,7 @@
         listing = outcome.ok
         newer = listing.version != self._version
         self._version = listing.version
-        effects = self._take(listing, now)
+        effects = self._publish_if_changed(listing, now)
         elapsed = now - self._sent_at
         delay_s = NEXT_POLL_DELAY_S if newer else max(NEXT_POLL_DELAY_S, PLATFORM_POLL_S - elapsed)
         return [*effects, fx.StartTimer(_POLL, delay_s)]
@@ -142,12 +142,12 @@
             fx.StartTimer(_POLL, delay_s),
         ]
 
-    def _take(self, listing: Listing, now: float) -> list[fx.Effect]:
-        weighed = self._guard.weigh(self._replicas, listing.replicas, now)
+    def _publish_if_changed(self, listing: Listing, now: float) -> list[fx.Effect]:
+        guarded = self._guard.apply(self._replicas, listing.replicas, now)
         effects: list[fx.Effect] = []
-        if weighed.retained:
+        if guarded.retained:
             self._suspicious_listings += 1
-            fields = {"version": listing.version, "held_back": len(weighed.retained)}
+            fields = {"version": listing.version, "held_back": len(guarded.retained)}
             effects.append(
                 fx.Log(
                     "warning",
@@ -155,9 +155,9 @@
                     fields,
                 )
             )
-        if self._published and weighed.replicas == self._replicas:
+        if self._published and guarded.replicas == self._replicas:
             return effects
-        self._replicas = weighed.replicas
+        self._replicas = guarded.replicas
         self._published = True
         self._publications += 1
         body = ReplicasBody(replicas=list(self._replicas))
--- a/rooklug/controller/probe_outbox.py
+++ b/rooklug/controller/probe_outbox.py
@@ -32,12 +32,12 @@
         self._latest[outcome.replica_id] = outcome
         self._unsent[outcome.replica_id] = None
 
-    def keep_only(self, replica_ids: set[str]) -> None:
+    def retain_only(self, replica_ids: set[str]) -> None:
         """Forget all replicas except ``replica_ids``."""
         self._latest = {key: value for key, value in self._latest.items() if key in replica_ids}
         self._unsent = {key: None for key in self._unsent if key in self._latest}
 
-    def send_everything_again(self) -> None:
+    def mark_all_unsent(self) -> None:
         """Mark all outcomes as unsent. Called for a new placer, which has none of them."""
         self._unsent = dict.fromkeys(self._latest)
 
--- a/rooklug/controller/probe_schedule.py
+++ b/rooklug/controller/probe_schedule.py
@@ -20,13 +20,13 @@
 JITTER_SHARE = 0.2
 EARLY_FAILURES = 4
 LONG_DEAD_FAILURES = 12
-SERVING_OBSERVED_S = 5.0
+SERVING_HINT_TTL_S = 5.0
 
 FLEET_PROBE_BUDGET_PER_S = 240.0
 SHARD_PROBE_BUDGET_PER_S = FLEET_PROBE_BUDGET_PER_S / PROBER_SHARDS
 
 
-class Need(IntEnum):
+class ProbePriority(IntEnum):
     """The priority of a probe; lower values go first when the budget is short."""
 
     URGENT = 0
@@ -38,57 +38,59 @@
 class ProbeTarget:
     """One replica of a shard, with its probe schedule and results. Times are monotonic seconds.
 
-    ``due`` is when to send the next probe and ``probed_at`` when the last one was sent.
+    ``due_at`` is when to send the next probe and ``probed_at`` when the last one was sent.
     ``failures`` counts consecutive probes without a usable answer. Until ``serving_until``, fronts
     are known to get answers from the replica.
     """
 
     replica: ListedReplica
-    due: float
-    need: Need = Need.URGENT
+    due_at: float
+    priority: ProbePriority = ProbePriority.URGENT
     in_flight: bool = False
     probed_at: float = -URGENT_SPACING_S
     failures: int = 0
     report: ReplicaReport | None = None
     serving_until: float = 0.0
 
-    def answered(self, report: ReplicaReport, now: float, random: Random) -> None:
+    def record_report(self, report: ReplicaReport, now: float, random: Random) -> None:
         """Record a valid report and schedule the next probe."""
         changed = self.report is None or self.failures > 0 or _differs(self.report, report)
         self.report = report
         self.failures = 0
         if report.loading_models:
-            self._next(Need.WATCHED, LOADING_INTERVAL_S, now, random)
+            self._schedule(ProbePriority.WATCHED, LOADING_INTERVAL_S, now, random)
         elif changed:
-            self._next(Need.WATCHED, CHANGED_INTERVAL_S, now, random)
+            self._schedule(ProbePriority.WATCHED, CHANGED_INTERVAL_S, now, random)
         elif now < self.serving_until:
-            self._next(Need.STEADY, SERVING_INTERVAL_S, now, random)
+            self._schedule(ProbePriority.STEADY, SERVING_INTERVAL_S, now, random)
         else:
-            self._next(Need.STEADY, STEADY_INTERVAL_S, now, random)
+            self._schedule(ProbePriority.STEADY, STEADY_INTERVAL_S, now, random)
 
-    def failed(self, now: float, random: Random) -> None:
+    def record_failure(self, now: float, random: Random) -> None:
         """Record a probe without a usable answer and schedule the next one."""
         self.failures += 1
         if self.failures < EARLY_FAILURES:
-            self._next(Need.URGENT, FAILING_INTERVAL_S, now, random)
+            self._schedule(ProbePriority.URGENT, FAILING_INTERVAL_S, now, random)
         elif self.failures < LONG_DEAD_FAILURES:
-            self._next(Need.WATCHED, DEAD_INTERVAL_S, now, random)
+            self._schedule(ProbePriority.WATCHED, DEAD_INTERVAL_S, now, random)
         else:
-            self._next(Need.STEADY, LONG_DEAD_INTERVAL_S, now, random)
+            self._schedule(ProbePriority.STEADY, LONG_DEAD_INTERVAL_S, now, random)
 
-    def hurry(self, now: float) -> None:
+    def expedite(self, now: float) -> None:
         """Schedule the next probe as early as ``URGENT_SPACING_S`` allows."""
-        self.need = Need.URGENT
-        self.due = min(self.due, max(now, self.probed_at + URGENT_SPACING_S))
+        self.priority = ProbePriority.URGENT
+        self.due_at = min(self.due_at, max(now, self.probed_at + URGENT_SPACING_S))
 
-    def seen_serving(self, now: float) -> None:
+    def mark_serving(self, now: float) -> None:
         """Note that fronts get answers from the replica, so that it needs fewer probes."""
-        self.serving_until = now + SERVING_OBSERVED_S
+        self.serving_until = now + SERVING_HINT_TTL_S
 
-    def _next(self, need: Need, interval_s: float, now: float, random: Random) -> None:
-        self.need = need
+    def _schedule(
+        self, priority: ProbePriority, interval_s: float, now: float, random: Random
+    ) -> None:
+        self.priority = priority
         spread = JITTER_SHARE * (2.0 * random.random() - 1.0)
-        self.due = now + interval_s * (1.0 + spread)
+        self.due_at = now + interval_s * (1.0 + spread)
 
 
 def _differs(old: ReplicaReport, new: ReplicaReport) -> bool:
@@ -109,9 +111,9 @@
     _available: float = SHARD_PROBE_BUDGET_PER_S / 2
     _filled_at: float = 0.0
 
-    def take(self, now: float) -> bool:
+    def try_consume(self, now: float) -> bool:
         """Consume one probe of the budget; return False if none is available."""
-        self._fill(now)
+        self._refill(now)
         if self._available < 1.0:
             return False
         self._available -= 1.0
@@ -119,10 +121,10 @@
 
     def wait_s(self, now: float) -> float:
         """Return the seconds until a probe is available; 0 if one is."""
-        self._fill(now)
+        self._refill(now)
         return max(0.0, (1.0 - self._available) / self.rate_per_s)
 
-    def _fill(self, now: float) -> None:
+    def _refill(self, now: float) -> None:
         gained = max(0.0, now - self._filled_at) * self.rate_per_s
         self._available = min(self.burst, self._available + gained)
         self._filled_at = now
--- a/rooklug/controller/probe_urgency.py
+++ b/rooklug/controller/probe_urgency.py
@@ -7,7 +7,7 @@
 from rooklug.controller.fleet_state import FleetState
 from rooklug.controller.health import Verdict
 
-URGENT_FOR_S = 3.0
+URGENT_TTL_S = 3.0
 REQUEST_SPACING_S = 0.5
 
 
@@ -24,18 +24,18 @@
 
 @attrs.define
 class ProbeUrgency:
-    """Remembers urgent replicas for ``URGENT_FOR_S``, or until a report shows a change."""
+    """Remembers urgent replicas for ``URGENT_TTL_S``, or until a report shows a change."""
 
-    _until: dict[str, float] = attrs.field(factory=dict)
+    _urgent_until: dict[str, float] = attrs.field(factory=dict)
     _requested_at: dict[tuple[str, str], float] = attrs.field(factory=dict)
 
-    def want_probe(self, replica_id: str, now: float) -> None:
+    def request_probe(self, replica_id: str, now: float) -> None:
         """Mark a replica as urgent: an order to it has completed, or it has become suspect."""
-        self._until[replica_id] = now + URGENT_FOR_S
+        self._urgent_until[replica_id] = now + URGENT_TTL_S
 
-    def change_seen(self, replica_id: str) -> None:
+    def clear_request(self, replica_id: str) -> None:
         """Clear the mark: a report has shown a change of the replica's models or incarnation."""
-        self._until.pop(replica_id, None)
+        self._urgent_until.pop(replica_id, None)
 
     def lists_for(
         self, prober: str, shard: Iterable[str], fleet: FleetState, now: float
@@ -47,7 +47,9 @@
         ``REQUEST_SPACING_S``.
         """
         own_ids = set(shard)
-        self._until = {key: until for key, until in self._until.items() if until > now}
+        self._urgent_until = {
+            key: until for key, until in self._urgent_until.items() if until > now
+        }
         soon = []
         steady = []
         for replica_id, replica in fleet.replicas.items():
@@ -55,10 +57,12 @@
                 continue
             suspect = replica.verdict is Verdict.SUSPECT
             own = replica_id in own_ids
-            wanted = replica_id in self._until or replica.health.front_sees_it_failing(now)
+            wanted = replica_id in self._urgent_until or replica.health.has_recent_front_failure(
+                now
+            )
             if (suspect or (own and wanted)) and self._may_request(prober, replica_id, now):
                 soon.append(replica_id)
-            elif own and not suspect and replica.health.front_sees_it_serving(now):
+            elif own and not suspect and replica.health.has_recent_front_success(now):
                 steady.append(replica_id)
         return UrgencyLists(tuple(soon), tuple(steady))
 
--- a/rooklug/controller/prober.py
+++ b/rooklug/controller/prober.py
@@ -34,7 +34,7 @@
 REPORT_INTERVAL_S = 0.5
 BATCH_DELAY_S = 0.05
 REFERENCE_PROBES = 2
-MINIMUM_WAKE_S = 0.005
+MIN_TIMER_DELAY_S = 0.005
 REFERENCE_SPACING_S = 1.0
 HTTP_OK = 200
 _REPORT = "report"
@@ -93,10 +93,10 @@
         if isinstance(event, ev.Started):
             effects.append(fx.StartTimer(_REPORT, REPORT_INTERVAL_S))
         elif isinstance(event, TopicChanged) and event.topic == REPLICAS:
-            self._take_listing(event.body.replicas, now)
+            self._apply_listing(event.body.replicas, now)
         elif isinstance(event, ProbeUrgencyReported) and event.shard_role == self._role.role_key:
             self._outbox.complete(accepted=True)
-            effects += self._take_urgency(event.probe_soon, event.steady, now)
+            effects += self._apply_urgency(event.probe_soon, event.steady, now)
         elif isinstance(event, ev.TimerFired) and event.name == _REPORT:
             effects.append(fx.StartTimer(_REPORT, REPORT_INTERVAL_S))
             effects += self._send_report(now)
@@ -104,7 +104,7 @@
             effects += self._on_probe_end(event, now)
         elif isinstance(event, ev.CallAnswered | ev.CallFailed):
             effects += self._on_report_end(event, now)
-        return effects + self._launch(now)
+        return effects + self._send_due_probes(now)
 
     def _follow_role(self, now: float) -> list[fx.Effect]:
         change = self._role.refresh(now)
@@ -118,10 +118,10 @@
         self._report_call = None
         if change is RoleChange.TAKEN:
             body = self._link.body(REPLICAS)
-            self._take_listing(body.replicas if body is not None else [], now)
+            self._apply_listing(body.replicas if body is not None else [], now)
         return [*effects, fx.CancelTimer(_PROBE)]
 
-    def _take_listing(self, replicas: list[ListedReplica], now: float) -> None:
+    def _apply_listing(self, replicas: list[ListedReplica], now: float) -> None:
         self._listed = {
             replica.replica_id: replica
             for replica in replicas
@@ -132,30 +132,30 @@
         previous, self._targets = self._targets, {}
         for replica_id, replica in self._listed.items():
             if shard_of(replica_id) == self._shard:
-                self._targets[replica_id] = _renewed(previous.get(replica_id), replica, now)
-        self._outbox.keep_only(set(self._listed))
+                self._targets[replica_id] = _updated_target(previous.get(replica_id), replica, now)
+        self._outbox.retain_only(set(self._listed))
 
-    def _launch(self, now: float) -> list[fx.Effect]:
+    def _send_due_probes(self, now: float) -> list[fx.Effect]:
         """Send the probes that are due, within the budget, and set the timer for the next one."""
         if not self._role.is_owner:
             return []
         waiting = [target for target in self._targets.values() if not target.in_flight]
-        due = [target for target in waiting if target.due <= now]
-        due.sort(key=lambda target: (target.need, target.due, target.replica.replica_id))
+        due = [target for target in waiting if target.due_at <= now]
+        due.sort(key=lambda target: (target.priority, target.due_at, target.replica.replica_id))
         effects: list[fx.Effect] = []
         for position, target in enumerate(due):
-            if not self._budget.take(now):
+            if not self._budget.try_consume(now):
                 self._budget_waits += len(due) - position
                 return [
                     *effects,
-                    fx.StartTimer(_PROBE, max(MINIMUM_WAKE_S, self._budget.wait_s(now))),
+                    fx.StartTimer(_PROBE, max(MIN_TIMER_DELAY_S, self._budget.wait_s(now))),
                 ]
             target.in_flight = True
             target.probed_at = now
             effects.append(self._probe(target.replica, own=True))
-        later = [target.due for target in waiting if target.due > now]
+        later = [target.due_at for target in waiting if target.due_at > now]
         if later:
-            effects.append(fx.StartTimer(_PROBE, max(MINIMUM_WAKE_S, min(later) - now)))
+            effects.append(fx.StartTimer(_PROBE, max(MIN_TIMER_DELAY_S, min(later) - now)))
         return effects
 
     def _probe(self, replica: ListedReplica, *, own: bool) -> fx.Effect:
@@ -170,7 +170,7 @@
             body=b"",
             deadline_s=PROBE_DEADLINE_S,
             connect_deadline_s=CONNECT_DEADLINE_S,
-            not_after=self._role.until,
+            not_after=self._role.valid_until,
         )
 
     def _on_probe_end(self, event: ev.HttpAnswered | ev.HttpFailed, now: float) -> list[fx.Effect]:
@@ -201,17 +201,19 @@
         self._failed_probes += report is None
         target = self._targets.get(probe.replica_id) if probe.own else None
         if target is None:
-            failures = 0 if report is not None else 1 + self._foreign(probe.replica_id)
+            failures = (
+                0 if report is not None else 1 + self._foreign_failure_count(probe.replica_id)
+            )
             self._foreign_failures[probe.replica_id] = failures
             return failures
         target.in_flight = False
         if report is not None:
-            target.answered(report, now, self._context.random)
+            target.record_report(report, now, self._context.random)
         else:
-            target.failed(now, self._context.random)
+            target.record_failure(now, self._context.random)
         return target.failures
 
-    def _foreign(self, replica_id: str) -> int:
+    def _foreign_failure_count(self, replica_id: str) -> int:
         return self._foreign_failures.get(replica_id, 0)
 
     def _probe_references(self, now: float) -> list[fx.Effect]:
@@ -227,7 +229,7 @@
         return [
             self._probe(self._listed[replica_id], own=False)
             for replica_id in replica_ids
-            if self._budget.take(now)
+            if self._budget.try_consume(now)
         ]
 
     def _send_report(self, now: float) -> list[fx.Effect]:
@@ -237,7 +239,7 @@
         self._outbox.complete(accepted=False)
         if version_key(owner.token) != self._placer_token:
             self._placer_token = version_key(owner.token)
-            self._outbox.send_everything_again()
+            self._outbox.mark_all_unsent()
         report = self._report(
             self._outbox.take_batch(now, withhold_failures=self._self_check.is_suspect)
         )
@@ -250,7 +252,7 @@
                 address=owner.internal_address,
                 request=report,
                 deadline_s=CALL_DEADLINE_S,
-                not_after=self._role.until,
+                not_after=self._role.valid_until,
             )
         ]
 
@@ -266,18 +268,18 @@
             self._outbox.complete(accepted=False)
             return []
         self._outbox.complete(accepted=True)
-        return self._take_urgency(answer.probe_soon or (), answer.steady or (), now)
+        return self._apply_urgency(answer.probe_soon or (), answer.steady or (), now)
 
-    def _take_urgency(
+    def _apply_urgency(
         self, probe_soon: Iterable[str], steady: Iterable[str], now: float
     ) -> list[fx.Effect]:
         for replica_id in steady:
             if replica_id in self._targets:
-                self._targets[replica_id].seen_serving(now)
+                self._targets[replica_id].mark_serving(now)
         foreign = []
         for replica_id in probe_soon:
             if replica_id in self._targets:
-                self._targets[replica_id].hurry(now)
+                self._targets[replica_id].expedite(now)
             elif replica_id in self._listed and self._role.is_owner:
                 foreign.append(replica_id)
         return self._probe_each(foreign, now)
@@ -299,9 +301,9 @@
         ]
 
 
-def _renewed(target: ProbeTarget | None, replica: ListedReplica, now: float) -> ProbeTarget:
+def _updated_target(target: ProbeTarget | None, replica: ListedReplica, now: float) -> ProbeTarget:
     """Return the target of a listed replica; its history is kept unless the address changed."""
     if target is None or target.replica.address != replica.address:
-        return ProbeTarget(replica, due=now)
+        return ProbeTarget(replica, due_at=now)
     target.replica = replica
     return target
--- a/rooklug/controller/role.py
+++ b/rooklug/controller/role.py
@@ -9,7 +9,7 @@
 from rooklug.model.versions import version_key
 from rooklug.wire.generated.control.ttypes import RoleGrant, VersionMark
 
-FENCE_REVIEW_S = 2 * ROLE_LEASE_S
+FENCE_TIMEOUT_S = 2 * ROLE_LEASE_S
 
 
 class NotOwnerError(Exception):
@@ -30,14 +30,14 @@
 
     A grant with another token begins a new term. So does an unchanged grant after a gap of more
     than a lease between two calls of ``refresh``: the process was frozen, and its state is out of
-    date. ``until`` is the monotonic time at which the current grant expires.
+    date. ``valid_until`` is the monotonic time at which the current grant expires.
     """
 
     link: Link
     role_key: str
     grant: RoleGrant | None = None
-    until: float = 0.0
-    _seen_at: float = 0.0
+    valid_until: float = 0.0
+    _refreshed_at: float = 0.0
     _fenced: VersionMark | None = None
     _fenced_at: float = 0.0
 
@@ -67,12 +67,12 @@
     def refresh(self, now: float) -> RoleChange:
         """Update the grant and return what has changed; call it first in every ``handle``."""
         previous = self.grant
-        frozen = previous is not None and now - self._seen_at > ROLE_LEASE_S
-        self._seen_at = now
+        frozen = previous is not None and now - self._refreshed_at > ROLE_LEASE_S
+        self._refreshed_at = now
         self.grant = self._usable_grant(now)
         if self.grant is None:
             return RoleChange.LOST if previous is not None else RoleChange.NONE
-        self.until = self.link.grant_until(self.role_key, now)
+        self.valid_until = self.link.grant_until(self.role_key, now)
         same = previous is not None and version_key(previous.token) == version_key(self.grant.token)
         return RoleChange.NONE if same and not frozen else RoleChange.TAKEN
 
@@ -80,13 +80,13 @@
         """Stop acting under the current token. Called when a replica has seen a higher one."""
         if self.grant is not None:
             self._fenced = self.grant.token
-            self._fenced_at = self._seen_at
+            self._fenced_at = self._refreshed_at
         self.grant = None
 
     def _usable_grant(self, now: float) -> RoleGrant | None:
         """Return the grant unless its token is fenced.
 
-        A higher token ends the fence. It also ends after ``FENCE_REVIEW_S`` in which the core has
+        A higher token ends the fence. It also ends after ``FENCE_TIMEOUT_S`` in which the core has
         kept renewing the same grant, longer than any other owner's lease could last: then nobody
         else owns the role, and standing by for ever would leave the fleet without an owner.
         """
@@ -96,7 +96,7 @@
             return None
         if self._fenced is None or version_key(grant.token) > version_key(self._fenced):
             return grant
-        if now - self._fenced_at < FENCE_REVIEW_S:
+        if now - self._fenced_at < FENCE_TIMEOUT_S:
             return None
         self._fenced = None
         return grant
--- a/rooklug/controller/solve_trigger.py
+++ b/rooklug/controller/solve_trigger.py
@@ -15,7 +15,7 @@
     """
 
     _causes: list[str] = attrs.field(factory=list)
-    _first_at: float | None = None
+    _first_cause_at: float | None = None
     _solved_at: float = float("-inf")
     _solving: bool = False
 
@@ -23,25 +23,25 @@
         """Request a solve soon; ``cause`` goes into the decision records."""
         if cause not in self._causes:
             self._causes.append(cause)
-        if self._first_at is None:
-            self._first_at = now
+        if self._first_cause_at is None:
+            self._first_cause_at = now
 
-    def due(self, now: float, interval_s: float) -> bool:
+    def is_due(self, now: float, interval_s: float) -> bool:
         """Return whether to solve now: after a cause, or ``interval_s`` after the last solve.
 
         Never while a solve is running.
         """
         if self._solving:
             return False
-        if self._first_at is not None:
-            return now >= max(self._first_at + DEBOUNCE_S, self._solved_at + SPACING_S)
+        if self._first_cause_at is not None:
+            return now >= max(self._first_cause_at + DEBOUNCE_S, self._solved_at + SPACING_S)
         return now >= self._solved_at + interval_s
 
     def begin(self, now: float) -> str:
         """Start a solve; return the text of its collected causes, which are then cleared."""
-        cause = _in_words(self._causes) or "periodic review"
+        cause = _join_causes(self._causes) or "periodic review"
         self._causes = []
-        self._first_at = None
+        self._first_cause_at = None
         self._solved_at = now
         self._solving = True
         return cause
@@ -51,7 +51,7 @@
         self._solving = False
 
 
-def _in_words(causes: list[str]) -> str:
+def _join_causes(causes: list[str]) -> str:
     if len(causes) <= MAX_CAUSES:
         return "; ".join(causes)
     return "; ".join(causes[-MAX_CAUSES:]) + f"; and {len(causes) - MAX_CAUSES} earlier"
--- a/rooklug/controller/solving.py
+++ b/rooklug/controller/solving.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from rooklug.controller.decision_log import DecisionLog, record_plan
+from rooklug.controller.decision_log import DecisionLog, record_plan_changes
 from rooklug.controller.solve_trigger import SolveTrigger
 from rooklug.controller.spread_plan import spread
 from rooklug.engine import effects as fx
@@ -27,7 +27,7 @@
     effects: list[fx.Effect]
 
 
-class Solving:
+class SolveRunner:
     """Runs one solve at a time as a ``Compute`` effect.
 
     ``plan`` is the newest plan and ``cause`` the reason for its solve; both are empty before the
@@ -62,7 +62,7 @@
 
     def is_due(self, interval_s: float, now: float) -> bool:
         """Return whether to solve now: after a cause, or ``interval_s`` after the last solve."""
-        return self._trigger.due(now, interval_s)
+        return self._trigger.is_due(now, interval_s)
 
     def begin(
         self, problem: PlacementProblem, now: float, *, even_if_equal: bool
@@ -112,7 +112,7 @@
                 )
             )
             plan = spread(self._problem)
-        record_plan(self._decisions, self.plan, plan, self._cause_in_progress)
+        record_plan_changes(self._decisions, self.plan, plan, self._cause_in_progress)
         self.plan = plan
         self.cause = self._cause_in_progress
         return SolveResult(plan, effects)
--- a/rooklug/controller/spread_plan.py
+++ b/rooklug/controller/spread_plan.py
@@ -38,17 +38,17 @@
 
 
 def _fill(problem: PlacementProblem, slot: ReplicaSlot, wanted: list[str]) -> tuple[str, ...]:
-    chosen: list[str] = []
+    selected: list[str] = []
     free = slot.resource_units
     new_allowed = slot.replica_id not in problem.avoid_slots
     for model in [*slot.loaded_models, *wanted]:
         need = problem.models[model].resources.get(slot.resource)
         may_load = model in slot.loaded_models or new_allowed
-        if model in chosen or need is None or need.units > free or not may_load:
+        if model in selected or need is None or need.units > free or not may_load:
             continue
-        chosen.append(model)
+        selected.append(model)
         free -= need.units
-    return tuple(sorted(chosen))
+    return tuple(sorted(selected))
 
 
 def _row(problem: PlacementProblem, key: DemandKey) -> list[RouteShare]:
--- a/rooklug/controller/takeover.py
+++ b/rooklug/controller/takeover.py
@@ -34,7 +34,7 @@
         if not fleet.has_listing:
             return False
         elapsed = now - self.started_at
-        replicas_known = self._complete or not fleet.unresolved()
+        replicas_known = self._complete or not fleet.unprobed()
         fronts_known = fronts_seen >= fronts_expected * FRONTS_SHARE
         self._complete = self._complete or (replicas_known and fronts_known)
         fronts_ready = fronts_known or elapsed >= FRONTS_LIMIT_S
--- a/tests/controller_measure.py
+++ b/tests/controller_measure.py
@@ -164,7 +164,7 @@
     configuration = term._reader.configuration
     demand = term.demand.planned()
     times = {}
-    times["judge"], _ = timed_ms(lambda: term.fleet.judge(now))
+    times["judge"], _ = timed_ms(lambda: term.fleet.update_verdicts(now))
     held = term._moves.committed_models
     times["problem"], _ = timed_ms(
         lambda: build_problem(configuration, term.fleet, demand, held, frozenset())
--- a/tests/test_controller_health.py
+++ b/tests/test_controller_health.py
@@ -25,51 +25,51 @@
         self.assertIs(self.health.verdict(0.0), Verdict.UNKNOWN)
 
     def test_one_failed_probe_is_no_opinion(self):
-        self.health.probe_answered("p", 0.0)
-        self.health.probe_failed("p", 1, 1.0)
+        self.health.record_probe_success("p", 0.0)
+        self.health.record_probe_failure("p", 1, 1.0)
         self.assertIs(self.health.verdict(1.0), Verdict.HEALTHY)
 
     def test_one_observer_makes_a_suspect_not_a_dead_one(self):
-        self.health.probe_failed("p", 3, 5.0)
+        self.health.record_probe_failure("p", 3, 5.0)
         self.assertIs(self.health.verdict(5.0), Verdict.SUSPECT)
         self.assertIs(self.health.verdict(14.0), Verdict.SUSPECT)
 
     def test_several_front_processes_of_one_word_are_enough(self):
-        self.health.traffic_seen("f1", 0, 5, 5.0)
-        self.health.traffic_seen("f2", 0, 5, 5.2)
+        self.health.record_traffic("f1", 0, 5, 5.0)
+        self.health.record_traffic("f2", 0, 5, 5.2)
         self.assertIs(self.health.verdict(5.3), Verdict.SUSPECT)
         self.assertIs(self.health.verdict(8.1), Verdict.DEAD)
 
     def test_a_prober_and_a_front_are_enough(self):
-        self.health.probe_failed("p", 2, 5.0)
-        self.health.traffic_seen("f1", 0, 5, 5.2)
+        self.health.record_probe_failure("p", 2, 5.0)
+        self.health.record_traffic("f1", 0, 5, 5.2)
         self.assertIs(self.health.verdict(5.3), Verdict.DEAD)
 
     def test_a_front_that_gets_answers_contradicts(self):
-        self.health.probe_failed("p", 9, 5.0)
-        self.health.traffic_seen("f1", 0, 5, 5.0)
-        self.health.traffic_seen("f2", 3, 2, 5.0)
+        self.health.record_probe_failure("p", 9, 5.0)
+        self.health.record_traffic("f1", 0, 5, 5.0)
+        self.health.record_traffic("f2", 3, 2, 5.0)
         self.assertIs(self.health.verdict(5.5), Verdict.SUSPECT)
 
     def test_a_sole_observer_is_believed_after_a_while(self):
         for second in range(12):
-            self.health.probe_failed("p", 2 + second, float(second))
+            self.health.record_probe_failure("p", 2 + second, float(second))
         self.assertIs(self.health.verdict(9.0), Verdict.SUSPECT)
         self.assertIs(self.health.verdict(11.0), Verdict.DEAD)
 
     def test_an_answered_probe_overrules_older_failures(self):
-        self.health.traffic_seen("f1", 0, 5, 5.0)
-        self.health.traffic_seen("f2", 0, 5, 5.0)
-        self.health.probe_answered("p", 5.5)
+        self.health.record_traffic("f1", 0, 5, 5.0)
+        self.health.record_traffic("f2", 0, 5, 5.0)
+        self.health.record_probe_success("p", 5.5)
         self.assertIs(self.health.verdict(5.6), Verdict.HEALTHY)
 
     def test_opinions_grow_old(self):
-        self.health.probe_answered("p", 0.0)
+        self.health.record_probe_success("p", 0.0)
         self.assertIs(self.health.verdict(20.0), Verdict.SUSPECT)
 
     def test_late_words_do_not_replace_newer_ones(self):
-        self.health.probe_answered("p", 5.0)
-        self.health.probe_failed("p", 3, 4.0)
+        self.health.record_probe_success("p", 5.0)
+        self.health.record_probe_failure("p", 3, 4.0)
         self.assertIs(self.health.verdict(5.0), Verdict.HEALTHY)
 
 
@@ -184,7 +184,7 @@
         for step in range(1000):
             now = step * 0.01
             trigger.add_cause(f"configuration {step}", now)
-            if trigger.due(now, 5.0):
+            if trigger.is_due(now, 5.0):
                 cause = trigger.begin(now)
                 trigger.end()
                 solves += 1
@@ -195,9 +195,9 @@
     def test_one_solve_at_a_time(self):
         trigger = SolveTrigger()
         trigger.add_cause("a", 0.0)
-        self.assertTrue(trigger.due(0.3, 5.0))
+        self.assertTrue(trigger.is_due(0.3, 5.0))
         trigger.begin(0.3)
         trigger.add_cause("b", 0.4)
-        self.assertFalse(trigger.due(100.0, 5.0))
+        self.assertFalse(trigger.is_due(100.0, 5.0))
         trigger.end()
-        self.assertTrue(trigger.due(100.0, 5.0))
+        self.assertTrue(trigger.is_due(100.0, 5.0))
--- a/tests/test_controller_mutations.py
+++ b/tests/test_controller_mutations.py
@@ -243,7 +243,7 @@
     (cut_off_prober_blames_nobody, "rooklug.controller.self_check.SUSPECT_AFTER_FAILURES", 10**9),
     (one_front_kills_nobody, "rooklug.controller.health.OBSERVERS_FOR_DEAD", 1),
     (busy_replica_kills_nobody, "rooklug.controller.health.PROBE_CONTRADICTION_S", 0.0),
-    (prober_cut_off_from_a_region_kills_nobody, "rooklug.controller.health.GOOD_VETO_S", 0.0),
+    (prober_cut_off_from_a_region_kills_nobody, "rooklug.controller.health.HEALTHY_VETO_S", 0.0),
     (
         new_placer_keeps_what_serves,
         "rooklug.controller.placer_term.Takeover",
@@ -251,23 +251,23 @@
     ),
     (
         partial_knowledge_takes_nothing_away,
-        "rooklug.controller.placer_term.taking_nothing_away",
+        "rooklug.controller.placer_term.without_withdrawals",
         lambda plan, moves, last_plan: plan,
     ),
     (
         unprobed_replicas_stay_in_the_plan,
-        "rooklug.controller.fleet_state.FleetState.remember",
+        "rooklug.controller.fleet_state.FleetState.remember_plan",
         lambda self, last_plan: None,
     ),
     (
         dead_replica_is_lost_once,
-        "rooklug.controller.fleet_state.Replica.judge",
+        "rooklug.controller.fleet_state.Replica.evaluate",
         lambda self, now: self.health.verdict(now),
     ),
     (configuration_storm_is_few_solves, "rooklug.controller.solve_trigger.SPACING_S", 0.0),
     (
         probes_keep_the_budget,
-        "rooklug.controller.probe_schedule.ProbeBudget.take",
+        "rooklug.controller.probe_schedule.ProbeBudget.try_consume",
         lambda self, now: True,
     ),
     (late_prober_is_not_believed, "rooklug.controller.placer.version_key", lambda mark: (0, 0)),
