--- a/rooklug/placement/assembly.py
+++ b/rooklug/placement/assembly.py
@@ -4,7 +4,7 @@
 
 from rooklug.placement.capacity_tracker import Flow
 from rooklug.placement.facts import LOAD_EPSILON, destinations, need_on
-from rooklug.placement.guardrail import keep_surplus
+from rooklug.placement.guardrail import postpone_unloads
 from rooklug.placement.matrix import build_matrix
 from rooklug.placement.objective import coverage_groups, evaluate, hosting_regions
 from rooklug.placement.problem import DemandKey, PlacementPlan, PlacementProblem, Violation
@@ -23,7 +23,7 @@
     Loaded models that ``assignments`` lack stay if the guardrail on moves postpones their unload.
     """
     terms = evaluate(problem, assignments, flows)
-    assignments, postponed = keep_surplus(problem, assignments)
+    assignments, postponed = postpone_unloads(problem, assignments)
     if postponed:
         notes = (*notes, f"guardrail: {postponed} unloads left for later solves")
     unplaced = unplaced_demand(problem, flows)
--- a/rooklug/placement/capacity_tracker.py
+++ b/rooklug/placement/capacity_tracker.py
@@ -123,7 +123,7 @@
         cost = need.units / need.tokens_per_s
         return (not loaded, round(cost, 9), in_zone, displaced, slot.replica_id)
 
-    def pour(self, key: DemandKey, region: str, load: float) -> float:
+    def assign_load(self, key: DemandKey, region: str, load: float) -> float:
         """Assign up to ``load`` tokens/s of ``key`` to replicas in ``region``; return the rest."""
         own = region == key.source_region
         budget = self._own_budget if own else self._foreign_budget
--- a/rooklug/placement/diving.py
+++ b/rooklug/placement/diving.py
@@ -30,7 +30,7 @@
 
 
 FIRST_STYLES = (DiveStyle(0.2, 1.0), DiveStyle(0.3, 0.0))
-AGAIN_STYLES = (DiveStyle(0.3, 0.5),)
+LATER_STYLES = (DiveStyle(0.3, 0.5),)
 LAST_DIVE_SHARE = 0.45
 """No further dive starts after this share of the time limit."""
 
--- a/rooklug/placement/explain.py
+++ b/rooklug/placement/explain.py
@@ -39,7 +39,7 @@
 
 
 @attrs.frozen
-class RowOfMatrix:
+class MatrixRow:
     """One row of the routing matrix: a demand key (tokens/s) and its destinations.
 
     Each destination is a text "region preference/weight".
@@ -62,7 +62,7 @@
     gap: float
     regions: tuple[RegionUse, ...]
     models: tuple[ModelInRegion, ...]
-    matrix: tuple[RowOfMatrix, ...]
+    matrix: tuple[MatrixRow, ...]
     violations: tuple[Violation, ...]
     evicted_models: tuple[str, ...]
     notes: tuple[str, ...]
@@ -109,7 +109,7 @@
         )
         lines += [f"violated {entry.intent}: {entry.message}" for entry in self.violations]
         lines += [f"evicted: {model}" for model in self.evicted_models]
-        lines += [f"note: {remark}" for remark in self.notes]
+        lines += [f"note: {note}" for note in self.notes]
         return "\n".join(lines)
 
 
@@ -164,14 +164,14 @@
     return rows
 
 
-def _matrix_rows(problem: PlacementProblem, plan: PlacementPlan) -> list[RowOfMatrix]:
+def _matrix_rows(problem: PlacementProblem, plan: PlacementPlan) -> list[MatrixRow]:
     cells: dict = {key: [] for key in sorted(problem.demand, key=attrs.astuple)}
     for cell in plan.matrix:
         if cell.demand_key in cells:
             text = f"{cell.destination_region} {cell.preference}/{cell.weight:.2f}"
             cells[cell.demand_key].append(text)
     return [
-        RowOfMatrix(
+        MatrixRow(
             key.model,
             key.latency_class,
             key.source_region,
@@ -183,9 +183,9 @@
     ]
 
 
-def _table(heads: tuple[str, ...], rows: list[tuple]) -> list[str]:
-    printed = [heads, *[tuple(_shown(value) for value in row) for row in rows]]
-    widths = [max(len(row[index]) for row in printed) for index in range(len(heads))]
+def _table(headers: tuple[str, ...], rows: list[tuple]) -> list[str]:
+    printed = [headers, *[tuple(_shown(value) for value in row) for row in rows]]
+    widths = [max(len(row[index]) for row in printed) for index in range(len(headers))]
     lines = [
         "  ".join(value.ljust(width) for value, width in zip(row, widths, strict=True)).rstrip()
         for row in printed
--- a/rooklug/placement/forecast.py
+++ b/rooklug/placement/forecast.py
@@ -54,8 +54,8 @@
         elapsed = max(0.0, now - series.at_s)
         settings = self._settings
         series.level += (load - series.level) * _share(elapsed, settings.smoothing_s)
-        faded = series.level + (series.peak - series.level) * exp(-elapsed / settings.decay_s)
-        series.peak = max(series.level, faded)
+        decayed = series.level + (series.peak - series.level) * exp(-elapsed / settings.decay_s)
+        series.peak = max(series.level, decayed)
         series.at_s = now
         if max(series.level, series.peak) < settings.floor and load == 0:
             del self._series[key]
--- a/rooklug/placement/greedy.py
+++ b/rooklug/placement/greedy.py
@@ -16,24 +16,24 @@
 
 def plan_greedily(problem: PlacementProblem) -> PlacementPlan:
     """Return a valid plan, which may not be optimal; never raises for a valid problem."""
-    capacity = fill(problem, allowed_loads(problem))
+    capacity = place_greedily(problem, allowed_loads(problem))
     return assemble(problem, capacity.assignments, capacity.flow_list(), SOLVER_NAME)
 
 
-def fill(problem: PlacementProblem, moves: int) -> CapacityTracker:
+def place_greedily(problem: PlacementProblem, moves: int) -> CapacityTracker:
     """Return the tracker of a greedy placement with at most ``moves`` loads."""
     capacity = CapacityTracker(problem, moves)
     keys = [key for key in problem.demand if key.model in problem.models]
-    keys.sort(key=lambda key: _urgency(problem, key))
+    keys.sort(key=lambda key: _priority_order(problem, key))
     for key in keys:
-        _restrict_to_eligible(capacity, key)
+        _ensure_coverage(capacity, key)
     for key in keys:
         _assign_demand(capacity, key, problem.demand[key])
-    _keep_configured(capacity)
+    _cover_configured_models(capacity)
     return capacity
 
 
-def _urgency(problem: PlacementProblem, key: DemandKey) -> tuple:
+def _priority_order(problem: PlacementProblem, key: DemandKey) -> tuple:
     return (-problem.models[key.model].priority, -problem.demand[key], key_order(key))
 
 
@@ -41,19 +41,19 @@
     eligible = destinations(capacity.problem, key)
     for group in (_in_time(eligible), _late(eligible)):
         for destination in group:
-            load = capacity.pour(key, destination.region, load)
+            load = capacity.assign_load(key, destination.region, load)
         for destination in group:
-            while load > LOAD_EPSILON and _grow(capacity, key, destination.region):
-                load = capacity.pour(key, destination.region, load)
+            while load > LOAD_EPSILON and _add_replica(capacity, key, destination.region):
+                load = capacity.assign_load(key, destination.region, load)
 
 
-def _grow(capacity: CapacityTracker, key: DemandKey, region: str) -> bool:
+def _add_replica(capacity: CapacityTracker, key: DemandKey, region: str) -> bool:
     if capacity.budget_left(key, region) <= LOAD_EPSILON:
         return False
     return capacity.open_replica(key.model, region)
 
 
-def _restrict_to_eligible(capacity: CapacityTracker, key: DemandKey) -> None:
+def _ensure_coverage(capacity: CapacityTracker, key: DemandKey) -> None:
     eligible = destinations(capacity.problem, key)
     if any(capacity.replicas(key.model, destination.region) for destination in _in_time(eligible)):
         return
@@ -62,12 +62,12 @@
             return
 
 
-def _keep_configured(capacity: CapacityTracker) -> None:
+def _cover_configured_models(capacity: CapacityTracker) -> None:
     problem = capacity.problem
     placed = {model for models in capacity.assignments.values() for model in models}
     for key in all_keys(problem):
         if key.model not in placed and key not in problem.demand:
-            _restrict_to_eligible(capacity, key)
+            _ensure_coverage(capacity, key)
             placed.add(key.model)
 
 
--- a/rooklug/placement/groups.py
+++ b/rooklug/placement/groups.py
@@ -24,7 +24,7 @@
     avoided: bool
     slots: tuple[ReplicaSlot, ...]
 
-    def holding(self, model: str) -> int:
+    def loaded_count(self, model: str) -> int:
         """Return how many of the slots have ``model`` loaded now."""
         return sum(model in slot.loaded_models for slot in self.slots)
 
@@ -80,11 +80,11 @@
             tuple(keys),
             sum(problem.demand[key] for key in sorted_keys(keys)),
         )
-        for (model, source, eligible), keys in sorted(merged.items(), key=_merge_order)
+        for (model, source, eligible), keys in sorted(merged.items(), key=_commodity_order)
     ]
 
 
-def _merge_order(entry: tuple) -> tuple:
+def _commodity_order(entry: tuple) -> tuple:
     (model, source, eligible), _ = entry
     return (
         model,
@@ -121,21 +121,22 @@
     def extend(chosen: list[int], free_units: float) -> bool:
         index = len(chosen)
         if index == len(sizes):
-            if not _could_grow(chosen, sizes, models_per_size, free_units):
+            if not _fits_another(chosen, sizes, models_per_size, free_units):
                 patterns.append(tuple(chosen))
             return len(patterns) <= MAX_PATTERNS
         size = sizes[index]
-        most = models_per_size[size]
+        max_count = models_per_size[size]
         if size > 0:
-            most = min(most, int((free_units + LOAD_EPSILON) // size))
+            max_count = min(max_count, int((free_units + LOAD_EPSILON) // size))
         return all(
-            extend([*chosen, count], free_units - count * size) for count in range(most, -1, -1)
+            extend([*chosen, count], free_units - count * size)
+            for count in range(max_count, -1, -1)
         )
 
     return PackingPatterns(sizes, patterns) if extend([], group.units) else None
 
 
-def _could_grow(
+def _fits_another(
     chosen: list[int], sizes: list[float], models_per_size: dict[float, int], free_units: float
 ) -> bool:
     return any(
--- a/rooklug/placement/guardrail.py
+++ b/rooklug/placement/guardrail.py
@@ -37,7 +37,7 @@
     return loads
 
 
-def keep_surplus(
+def postpone_unloads(
     problem: PlacementProblem, assignments: dict[str, list[str]]
 ) -> tuple[dict[str, list[str]], int]:
     """Return ``assignments`` with at most ``max_moves`` unloads, and how many are postponed.
--- a/rooklug/placement/linear.py
+++ b/rooklug/placement/linear.py
@@ -92,7 +92,7 @@
     solver = _new_solver(highspy)
     solver.setOptionValue("time_limit", max(0.01, limit_s))
     solver.setOptionValue("mip_rel_gap", RELATIVE_GAP)
-    if solver.passModel(_as_highs(model, highspy, numpy)) == highspy.HighsStatus.kError:
+    if solver.passModel(_to_highs(model, highspy, numpy)) == highspy.HighsStatus.kError:
         return None
     solver.run()
     info = solver.getInfo()
@@ -117,7 +117,7 @@
         self._highspy = highspy
         self._numpy = numpy
         self._solver = _new_solver(highspy)
-        self._solver.passModel(_as_highs(model.relaxed(), highspy, numpy))
+        self._solver.passModel(_to_highs(model.relaxed(), highspy, numpy))
         self._solver.setOptionValue("solver", "ipm")
         self.lowers = list(model.lowers)
         self.uppers = list(model.uppers)
@@ -164,7 +164,7 @@
     return solver
 
 
-def _as_highs(model: LinearModel, highspy: Any, numpy: Any) -> Any:
+def _to_highs(model: LinearModel, highspy: Any, numpy: Any) -> Any:
     program = highspy.HighsLp()
     program.num_col_ = len(model.costs)
     program.num_row_ = len(model.row_lowers)
--- a/rooklug/placement/live_weights.py
+++ b/rooklug/placement/live_weights.py
@@ -9,7 +9,7 @@
 
 
 @attrs.frozen
-class _Cells:
+class _CachedCells:
     """The cached servable cells of one model, with the inputs they were computed from."""
 
     live: tuple[RouteShare, ...]
@@ -17,7 +17,7 @@
     hosts: set[str]
     cells: list[RouteShare]
 
-    def rests_on(
+    def is_computed_from(
         self,
         live: tuple[RouteShare, ...],
         planned: tuple[RouteShare, ...],
@@ -43,7 +43,7 @@
         self._live: dict[str, tuple[RouteShare, ...]] = {}
         self._required: dict[str, dict[str, int]] = {}
         self._switched: set[str] = set()
-        self._cells: dict[str, _Cells] = {}
+        self._cells: dict[str, _CachedCells] = {}
         self._last: PublishWeights | None = None
         self.sequence = 0
 
@@ -56,7 +56,7 @@
         self._planned = {model: tuple(found) for model, found in cells.items()}
         self._switched = set()
 
-    def require_what_serves(self) -> None:
+    def require_serving_replicas(self) -> None:
         """Mark every serving replica as required. Called before the first plan is adopted."""
         for model in self._fleet.known_models():
             needed: dict[str, int] = {}
@@ -69,7 +69,7 @@
         """Return how many replicas of ``model`` the live weights need in ``region``."""
         return self._required.get(model, {}).get(region, 0)
 
-    def needed_in_all(self, model: str) -> int:
+    def needed_in_total(self, model: str) -> int:
         """Return how many replicas of ``model`` the live weights need in all regions."""
         return sum(self._required.get(model, {}).values())
 
@@ -114,11 +114,11 @@
     def _servable(self, model: str, hosts: set[str]) -> list[RouteShare]:
         """Return a model's servable cells; recomputed only if their inputs have changed."""
         live, planned = self._live.get(model, ()), self._planned.get(model, ())
-        known = self._cells.get(model)
-        if known is not None and known.rests_on(live, planned, hosts):
-            return known.cells
+        cached = self._cells.get(model)
+        if cached is not None and cached.is_computed_from(live, planned, hosts):
+            return cached.cells
         cells = servable_cells(live, planned, hosts)
-        self._cells[model] = _Cells(live, planned, hosts, cells)
+        self._cells[model] = _CachedCells(live, planned, hosts, cells)
         return cells
 
     def _is_loaded(self, plan: PlacementPlan, model: str) -> bool:
--- a/rooklug/placement/load_tracking.py
+++ b/rooklug/placement/load_tracking.py
@@ -23,7 +23,7 @@
 @attrs.define
 class _Avoidance:
     until: float
-    strikes: int
+    timeouts: int
 
 
 class LoadTracker:
@@ -57,7 +57,7 @@
                 load.seen = True
         return lost
 
-    def overdue(self, now: float) -> list[PendingLoad]:
+    def expire_overdue(self, now: float) -> list[PendingLoad]:
         """Remove and return the loads past their deadline.
 
         Their slots are avoided, for a time that doubles with each further timeout.
@@ -67,10 +67,10 @@
             if now >= load.deadline:
                 given_up.append(load)
                 del self.pending[slot_model]
-                self._strike(load.order.slot, now)
+                self._avoid_slot(load.order.slot, now)
         return given_up
 
-    def unseen(self, now: float) -> list[Load]:
+    def unseen_orders(self, now: float) -> list[Load]:
         """Return the orders sent at least ``resend_s`` ago whose load no report has shown."""
         return [
             load.order
@@ -78,7 +78,7 @@
             if not load.seen and now - load.sent_at >= self.settings.resend_s
         ]
 
-    def sent_again(self, order: Load, now: float) -> None:
+    def record_resend(self, order: Load, now: float) -> None:
         """Record that an order was sent again at ``now``."""
         self.pending[order.slot, order.model].sent_at = now
 
@@ -94,7 +94,7 @@
         """Return the models with a load in flight on ``slot``."""
         return {model for name, model in self.pending if name == slot}
 
-    def _strike(self, slot: str, now: float) -> None:
-        strikes = self._avoided[slot].strikes + 1 if slot in self._avoided else 1
-        avoid_s = min(self.settings.avoid_limit_s, self.settings.avoid_s * 2.0 ** (strikes - 1))
-        self._avoided[slot] = _Avoidance(now + avoid_s, strikes)
+    def _avoid_slot(self, slot: str, now: float) -> None:
+        timeouts = self._avoided[slot].timeouts + 1 if slot in self._avoided else 1
+        avoid_s = min(self.settings.avoid_limit_s, self.settings.avoid_s * 2.0 ** (timeouts - 1))
+        self._avoided[slot] = _Avoidance(now + avoid_s, timeouts)
--- a/rooklug/placement/measure.py
+++ b/rooklug/placement/measure.py
@@ -105,7 +105,7 @@
         times, processor, gaps = [], [], []
         solvers: dict[str, int] = {}
         for seed in seeds:
-            problem = _started(start, seed)
+            problem = _starting_problem(start, seed)
             started = time.perf_counter()
             started_cpu = time.process_time()
             plan = solve(problem)
@@ -125,7 +125,7 @@
     return figures
 
 
-def _started(start: str, seed: int) -> PlacementProblem:
+def _starting_problem(start: str, seed: int) -> PlacementProblem:
     problem = large_case(seed, SCALE_LOADS[seed % len(SCALE_LOADS)])
     if start == "mismatched":
         return problem
--- a/rooklug/placement/moves.py
+++ b/rooklug/placement/moves.py
@@ -60,7 +60,7 @@
         the decisions.
         """
         if self._plan is EMPTY_PLAN:
-            self._weights.require_what_serves()
+            self._weights.require_serving_replicas()
         self._plan = plan
         self._cause = cause
         self._weights.adopt(plan)
@@ -70,19 +70,21 @@
         """Replace all reports by the newest one of each existing replica."""
         for load in self._loads.observe(reports):
             cause = f"{load.order.slot} restarted or vanished"
-            self._decide("load_lost", cause, load.order.model, load.order.slot)
+            self._record_decision("load_lost", cause, load.order.model, load.order.slot)
         self._fleet.observe(reports)
-        self._time_foreign_loads(now)
+        self._track_foreign_loads(now)
 
     def step(self, now: float) -> list[Order]:
         """Return the orders to execute now, in sequence; none before the first plan."""
         if self._plan is EMPTY_PLAN:
             return []
         orders: list[Order] = []
-        orders += self._give_up(now)
-        orders += self._send_again(now)
+        orders += self._give_up_overdue_loads(now)
+        orders += self._resend_unseen_loads(now)
         for model in self._weights.switch(self._plan):
-            self._decide("weights", self._cause, model, ", ".join(self._fleet.serving(model)))
+            self._record_decision(
+                "weights", self._cause, model, ", ".join(self._fleet.serving(model))
+            )
         orders += self._new_loads(now)
         self._withdraw(now)
         published = self._weights.publish(self._plan)
@@ -123,30 +125,30 @@
 
     # Loads -----------------------------------------------------------------------------
 
-    def _give_up(self, now: float) -> list[Order]:
+    def _give_up_overdue_loads(self, now: float) -> list[Order]:
         orders: list[Order] = []
-        for load in self._loads.overdue(now):
+        for load in self._loads.expire_overdue(now):
             cause = f"not loaded by its deadline, {now - load.started_at:.0f} s after the order"
-            self._decide("give_up", cause, load.order.model, load.order.slot)
+            self._record_decision("give_up", cause, load.order.model, load.order.slot)
             orders.append(self._unload_order(load.order.slot, load.order.model))
         return orders
 
-    def _send_again(self, now: float) -> list[Order]:
+    def _resend_unseen_loads(self, now: float) -> list[Order]:
         """Send loads again that no report shows; forget those no longer wanted or without room."""
         orders: list[Order] = []
-        for order in self._loads.unseen(now):
+        for order in self._loads.unseen_orders(now):
             wanted = order.model in self._plan.assignments.get(order.slot, ())
             fits = (
                 self._fleet.has_capacity(order.slot, order.model) or not self._guards.check_capacity
             )
             if wanted and fits:
-                self._loads.sent_again(order, now)
+                self._loads.record_resend(order, now)
                 orders.append(order)
             else:
                 self._loads.forget(order)
         return orders
 
-    def _time_foreign_loads(self, now: float) -> None:
+    def _track_foreign_loads(self, now: float) -> None:
         """Track planned loads that reports show but that this executor didn't order.
 
         So they time out like its own. Slots to avoid are left out.
@@ -174,7 +176,7 @@
             if self._fleet.has_capacity(slot, model) or not self._guards.check_capacity:
                 spare_loads += spare
                 orders.append(self._start_load(self._fleet.reports[slot], model, now))
-                self._decide("load", self._cause, model, slot)
+                self._record_decision("load", self._cause, model, slot)
         return orders
 
     def _is_short(self, model: str) -> bool:
@@ -183,7 +185,7 @@
         Its loads then repair a shortage and aren't bounded by ``max_loading``.
         """
         planned = sum(self._plan.required.get(model, {}).values())
-        live = self._weights.needed_in_all(model)
+        live = self._weights.needed_in_total(model)
         needed = min(planned, live) if live else planned
         return len(self._fleet.serving(model)) < max(1, needed)
 
@@ -202,12 +204,12 @@
             wanted = self._plan.assignments.get(slot, ())
             for model in (*report.loaded, *report.loading):
                 withdrawal = self._fleet.withdrawn.get((slot, model))
-                if withdrawal is None and model not in wanted and self._may_go(slot, model):
+                if withdrawal is None and model not in wanted and self._may_withdraw(slot, model):
                     self._start_withdrawal(slot, model, now)
                 elif withdrawal is not None and model in wanted and withdrawal.order is None:
                     del self._fleet.withdrawn[slot, model]
 
-    def _may_go(self, slot: str, model: str) -> bool:
+    def _may_withdraw(self, slot: str, model: str) -> bool:
         report = self._fleet.reports[slot]
         if model in report.loading or not report.serving:
             return True
@@ -240,18 +242,18 @@
             if withdrawal.drained_at is None or now < withdrawal.drained_at:
                 continue
             if withdrawal.order is None:
-                if not self._still_spare(slot, model):
+                if not self._is_still_spare(slot, model):
                     del self._fleet.withdrawn[slot, model]
                     continue
                 withdrawal.order = self._unload_order(slot, model)
-                self._decide("unload", self._cause, model, slot)
+                self._record_decision("unload", self._cause, model, slot)
             elif now - withdrawal.sent_at < self._settings.resend_s:
                 continue
             withdrawal.sent_at = now
             orders.append(withdrawal.order)
         return orders
 
-    def _still_spare(self, slot: str, model: str) -> bool:
+    def _is_still_spare(self, slot: str, model: str) -> bool:
         """Return whether the replica is still not needed, right before its unload.
 
         Other replicas may have been lost since its withdrawal.
@@ -271,7 +273,7 @@
         self._order_count += 1
         return f"order-{self._order_count}"
 
-    def _decide(self, kind: str, cause: str, model: str, where: str) -> None:
+    def _record_decision(self, kind: str, cause: str, model: str, where: str) -> None:
         self._decisions.append(MoveDecision(kind, cause, f"{kind}: {model} on {where}"))
 
     def _record_blocked(self) -> None:
@@ -285,5 +287,7 @@
         ]
         if stuck != self._blocked:
             for slot, model in stuck:
-                self._decide("blocked", "no room without dropping needed replicas", model, slot)
+                self._record_decision(
+                    "blocked", "no room without dropping needed replicas", model, slot
+                )
         self._blocked = stuck
--- a/rooklug/placement/planner.py
+++ b/rooklug/placement/planner.py
@@ -4,7 +4,7 @@
 
 from rooklug.placement.assembly import assemble
 from rooklug.placement.capacity_tracker import CapacityTracker
-from rooklug.placement.greedy import fill, plan_greedily
+from rooklug.placement.greedy import place_greedily, plan_greedily
 from rooklug.placement.guardrail import allowed_loads
 from rooklug.placement.linear import highs_available
 from rooklug.placement.problem import PlacementPlan, PlacementProblem
@@ -17,7 +17,7 @@
 
 Each further solve limits the replica counts that didn't fit the slots in the previous one.
 """
-AGAIN_SHARE = 0.4
+LAST_SOLVE_SHARE = 0.4
 """No further solve starts after this share of the time limit."""
 ROUTE_SHARE = 0.15
 """Share of the time limit that is reserved for routing after the slots are assigned."""
@@ -33,7 +33,7 @@
     Falls back to the greedy plan if the integer program has no better answer in time. It is a
     module-level function, so that it can run as a ``Compute`` effect in a thread.
     """
-    capacity = fill(problem, allowed_loads(problem))
+    capacity = place_greedily(problem, allowed_loads(problem))
     if not highs_available():
         return _greedy(problem, capacity, NO_SOLVER)
     plan = plan_by_program(problem)
@@ -56,17 +56,17 @@
         answer = program.solve(problem.solve_limit_s * (1.0 - ROUTE_SHARE))
         if answer is None:
             break
-        plan, left_out = _finish(problem, program, answer)
+        plan, left_out = _plan_of_answer(problem, program, answer)
         if plan is not None and (best is None or plan.objective < best.objective):
             best = plan
-        if not left_out or program.spent_s > problem.solve_limit_s * AGAIN_SHARE:
+        if not left_out or program.spent_s > problem.solve_limit_s * LAST_SOLVE_SHARE:
             break
         for candidate, count in left_out.items():
             program.limit(candidate, count)
     return best
 
 
-def _finish(
+def _plan_of_answer(
     problem: PlacementProblem, program: PlacementProgram, answer: ProgramAnswer
 ) -> tuple[PlacementPlan | None, dict[Candidate, int]]:
     """Return the plan of an answer, and the counts that fitted where not all replicas did."""
@@ -99,7 +99,7 @@
     return counts
 
 
-def _greedy(problem: PlacementProblem, capacity: CapacityTracker, remark: str) -> PlacementPlan:
+def _greedy(problem: PlacementProblem, capacity: CapacityTracker, note: str) -> PlacementPlan:
     if not problem.slots:
         return plan_greedily(problem)
-    return assemble(problem, capacity.assignments, capacity.flow_list(), "greedy", notes=(remark,))
+    return assemble(problem, capacity.assignments, capacity.flow_list(), "greedy", notes=(note,))
--- a/rooklug/placement/program.py
+++ b/rooklug/placement/program.py
@@ -12,7 +12,7 @@
 from rooklug.config.document import Readiness
 from rooklug.placement import objective as cost
 from rooklug.placement.capacity_tracker import Flow
-from rooklug.placement.diving import AGAIN_STYLES, FIRST_STYLES, Diver, DiveStyle
+from rooklug.placement.diving import FIRST_STYLES, LATER_STYLES, Diver, DiveStyle
 from rooklug.placement.evenness import Arrival, Station, add_evenness
 from rooklug.placement.facts import LOAD_EPSILON, unit_cost, usable_share
 from rooklug.placement.groups import (
@@ -90,9 +90,9 @@
         return self._diver.spent_s if self._diver is not None else 0.0
 
     def _dive(self, limit_s: float) -> ProgramAnswer | None:
-        styles: tuple[DiveStyle, ...] = AGAIN_STYLES
+        styles: tuple[DiveStyle, ...] = LATER_STYLES
         if self._diver is None:
-            self._diver = Diver(self.model, self._weights())
+            self._diver = Diver(self.model, self._rank_of_columns())
             styles = FIRST_STYLES
         return self._read(self._diver.search(limit_s, styles))
 
@@ -105,7 +105,7 @@
         flows = self._read_flows(solution.values)
         return ProgramAnswer(counts, flows, solution.gap, solution.objective)
 
-    def _weights(self) -> dict[int, float]:
+    def _rank_of_columns(self) -> dict[int, float]:
         return {column: self._ranks[candidate.model] for candidate, column in self.replicas.items()}
 
     def route(self, counts: dict[Candidate, int], limit_s: float) -> list[Flow] | None:
@@ -119,11 +119,11 @@
         fixed = self.model.relaxed()
         for candidate, column in self.replicas.items():
             fixed.fix(column, float(counts.get(candidate, 0)))
-        self._even_out(fixed, counts)
+        self._balance(fixed, counts)
         solution = minimise(fixed, limit_s)
         return self._read_flows(solution.values) if solution is not None else None
 
-    def _even_out(self, model: LinearModel, counts: dict[Candidate, int]) -> None:
+    def _balance(self, model: LinearModel, counts: dict[Candidate, int]) -> None:
         stations: dict[tuple[str, str], Station] = {}
         for (index, region), column in self._traffic.items():
             commodity = self.commodities[index]
@@ -148,7 +148,7 @@
         for index, commodity in enumerate(self.commodities):
             self._add_commodity(index, commodity)
         self._add_throughput()
-        self._add_weights()
+        self._add_region_weights()
         self._add_coverage()
         self._add_readiness()
         self.model.row(self._loads, upper=float(self._guardrail()))
@@ -170,7 +170,7 @@
             candidate = Candidate(model, index)
             self.units[candidate] = size
             self._candidates_of.setdefault((model, group.region), []).append(candidate)
-            loaded = group.holding(model)
+            loaded = group.loaded_count(model)
             most = loaded if group.avoided else len(group.slots)
             replicas = self.model.column(size, float(most), integer=True)
             self.replicas[candidate] = replicas
@@ -229,7 +229,7 @@
         resource = self.groups[candidate.group_index].resource
         return self.problem.models[candidate.model].resources[resource].tokens_per_s
 
-    def _add_weights(self) -> None:
+    def _add_region_weights(self) -> None:
         for region, facts in sorted(self.problem.regions.items()):
             total = sum(
                 group.units * len(group.slots) for group in self.groups if group.region == region
@@ -262,11 +262,11 @@
             return
         by_zone = self.problem.readiness is Readiness.ZONE
         for demand in coverage_demand(self.problem):
-            if by_zone and self._domains(demand.regions) > 1:
+            if by_zone and self._zone_count(demand.regions) > 1:
                 for region in demand.regions:
                     loaded = self._remaining_throughput(demand.model, demand.regions)
                     lost = self._lost_in_zone(demand.model, region)
-                    self._add_headroom(demand, loaded + lost, self._domains((region,)))
+                    self._add_headroom(demand, loaded + lost, self._zone_count((region,)))
             elif not by_zone and len(demand.regions) > 1:
                 for region in demand.regions:
                     others = tuple(host for host in demand.regions if host != region)
@@ -295,7 +295,7 @@
             )
         return entries
 
-    def _domains(self, regions: tuple[str, ...]) -> int:
+    def _zone_count(self, regions: tuple[str, ...]) -> int:
         return len(
             {slot.zone for group in self.groups for slot in group.slots if group.region in regions}
         )
@@ -305,7 +305,7 @@
 
         Returns the entries of their throughput, which are negative.
         """
-        zones = self._domains((region,))
+        zones = self._zone_count((region,))
         usable = usable_share(self.problem.regions[region])
         entries = []
         for candidate in self._candidates_of.get((model, region), ()):
--- a/rooklug/placement/readiness.py
+++ b/rooklug/placement/readiness.py
@@ -70,7 +70,7 @@
         }
         total = sum(remaining.values())
         for region, domain in sorted(domains):
-            if region not in demand.regions or not _survivable(demand, domains):
+            if region not in demand.regions or not _is_survivable(demand, domains):
                 continue
             left = total - remaining.get(domain, 0.0)
             if demand.load - left > LOAD_EPSILON:
@@ -93,7 +93,7 @@
     ]
 
 
-def _survivable(demand: CoverageDemand, domains: set[tuple[str, str]]) -> bool:
+def _is_survivable(demand: CoverageDemand, domains: set[tuple[str, str]]) -> bool:
     inside = [domain for host, domain in domains if host in demand.regions]
     return len(inside) > 1
 
--- a/rooklug/placement/slotting.py
+++ b/rooklug/placement/slotting.py
@@ -56,9 +56,9 @@
     spare = allowed_loads - _least_loads(groups, counts)
     for index, group in enumerate(groups):
         wanted = {
-            model_region.model: count
-            for model_region, count in counts.items()
-            if model_region.group_index == index and count > 0
+            candidate.model: count
+            for candidate, count in counts.items()
+            if candidate.group_index == index and count > 0
         }
         sizes = {model: units[Candidate(model, index)] for model in wanted}
         least = _group_loads(group, wanted)
@@ -83,22 +83,22 @@
         if fill.left_out_units == 0:
             return fill
         fills.append(fill)
-    return min(fills, key=_fill_order)
+    return min(fills, key=_fill_rank)
 
 
-def _fill_order(fill: GroupFill) -> tuple[float, int]:
+def _fill_rank(fill: GroupFill) -> tuple[float, int]:
     return (fill.left_out_units, fill.loads)
 
 
 def _least_loads(groups: list[SlotGroup], counts: dict[Candidate, int]) -> int:
     return sum(
-        max(0, count - groups[candidate.group_index].holding(candidate.model))
+        max(0, count - groups[candidate.group_index].loaded_count(candidate.model))
         for candidate, count in counts.items()
     )
 
 
 def _group_loads(group: SlotGroup, wanted: dict[str, int]) -> int:
-    return sum(max(0, count - group.holding(model)) for model, count in wanted.items())
+    return sum(max(0, count - group.loaded_count(model)) for model, count in wanted.items())
 
 
 def _count_zones(
@@ -149,7 +149,7 @@
             self._assign_all(models, only_loaded=True)
         self._assign_all(models, only_loaded=False)
         if order is FillOrder.PACKING:
-            self._free_capacity(models)
+            self._place_by_ejection(models)
         self._fill.left_out_units = sum(
             count * max(self._sizes[model], LOAD_EPSILON) for model, count in self._missing.items()
         )
@@ -162,14 +162,16 @@
 
     def _assign(self, model: str, *, only_loaded: bool) -> bool:
         slots = [
-            slot for slot in self._group.slots if self._takes(model, slot, only_loaded=only_loaded)
+            slot
+            for slot in self._group.slots
+            if self._accepts(model, slot, only_loaded=only_loaded)
         ]
         if not slots:
             return False
-        self._put(model, min(slots, key=lambda slot: self._rank(model, slot)))
+        self._place(model, min(slots, key=lambda slot: self._rank(model, slot)))
         return True
 
-    def _free_capacity(self, models: list[str]) -> None:
+    def _place_by_ejection(self, models: list[str]) -> None:
         for model in models:
             while self._missing[model] > 0 and self._assign_by_ejection(model):
                 self._missing[model] -= 1
@@ -183,9 +185,9 @@
         if best is None or self._fill.loads + best.loads > self._allowed_loads:
             return False
         for other, target in best.moved:
-            self._take_off(other, best.slot)
-            self._put(other, target)
-        self._put(model, best.slot)
+            self._remove(other, best.slot)
+            self._place(other, target)
+        self._place(model, best.slot)
         return True
 
     def _ejection(self, model: str, slot: ReplicaSlot) -> "_Ejection | None":
@@ -203,7 +205,7 @@
         for other in sorted(here, key=lambda name: (self._sizes[name], name)):
             if free + LOAD_EPSILON >= self._sizes[model]:
                 break
-            target = self._new_home(other, slot, free_units)
+            target = self._other_slot(other, slot, free_units)
             if target is None:
                 return None
             free_units[target.replica_id] -= self._sizes[other]
@@ -214,7 +216,7 @@
             return None
         return _Ejection(slot, tuple(moved), loads)
 
-    def _new_home(
+    def _other_slot(
         self, model: str, old: ReplicaSlot, free_units: dict[str, float]
     ) -> ReplicaSlot | None:
         slots = [
@@ -227,13 +229,13 @@
         ]
         return min(slots, key=lambda slot: self._rank(model, slot), default=None)
 
-    def _take_off(self, model: str, slot: ReplicaSlot) -> None:
+    def _remove(self, model: str, slot: ReplicaSlot) -> None:
         self._fill.models[slot.replica_id].remove(model)
         self._fill.loads -= model not in slot.loaded_models
         self._free[slot.replica_id] += self._sizes[model]
         self._in_zone[model, slot.zone] -= 1
 
-    def _takes(self, model: str, slot: ReplicaSlot, *, only_loaded: bool) -> bool:
+    def _accepts(self, model: str, slot: ReplicaSlot, *, only_loaded: bool) -> bool:
         if model in self._fill.models[slot.replica_id]:
             return False
         if model not in slot.loaded_models:
@@ -253,9 +255,9 @@
         not_loaded = model not in slot.loaded_models
         return (spread, not_loaded, displaced, -self._free[slot.replica_id], slot.replica_id)
 
-    def _put(self, model: str, slot: ReplicaSlot) -> None:
+    def _place(self, model: str, slot: ReplicaSlot) -> None:
         self._fill.models[slot.replica_id].append(model)
         self._fill.loads += model not in slot.loaded_models
         self._free[slot.replica_id] -= self._sizes[model]
-        model_region = (model, slot.zone)
-        self._in_zone[model_region] = self._in_zone.get(model_region, 0) + 1
+        model_zone = (model, slot.zone)
+        self._in_zone[model_zone] = self._in_zone.get(model_zone, 0) + 1
--- a/rooklug/placement/whatif.py
+++ b/rooklug/placement/whatif.py
@@ -91,13 +91,13 @@
     inside = [slot for slot in problem.slots if slot.region == change.region]
     outside = [slot for slot in problem.slots if slot.region != change.region]
     remaining = inside[: change.replicas]
-    patterns = inside or outside
-    for index in range(change.replicas - len(remaining) if patterns else 0):
-        pattern = patterns[index % len(patterns)]
-        zone = pattern.zone if inside else f"{change.region}-new"
+    templates = inside or outside
+    for index in range(change.replicas - len(remaining) if templates else 0):
+        template = templates[index % len(templates)]
+        zone = template.zone if inside else f"{change.region}-new"
         remaining.append(
             attrs.evolve(
-                pattern,
+                template,
                 replica_id=f"{change.region}-added-{index}",
                 region=change.region,
                 zone=zone,
