--- a/tests/front_support.py
+++ b/tests/front_support.py
@@ -1,4 +1,4 @@
-"""A front in virtual time: fake core link, scripted replicas, collected effects."""
+"""Test harness of one front in virtual time: fake core link, scripted replicas, kept effects."""
 
 import json
 from random import Random
@@ -125,7 +125,7 @@
 
 
 class FakeCoreLink:
-    """What the front reads of the core link."""
+    """Stands in for ``CoreLink``: owner of the placer role, and the last reported readiness."""
 
     def __init__(self) -> None:
         self.owner = RoleOwner("placer", "c1", "127.0.0.30:7000", VersionMark(1, 1))
@@ -145,7 +145,7 @@
 
 
 class TopicSource(BaseComponent):
-    """Sends ``event`` to the other parts when its timer fires."""
+    """Emits ``event`` to the other components when its timer fires."""
 
     name = "topic-source"
     event: TopicChanged
@@ -155,7 +155,11 @@
 
 
 class FrontHarness:
-    """One front node in zone n1 of region north."""
+    """One front node, by default in zone n1 of region north.
+
+    ``timers`` are expiry times by name, ``calls`` all calls sent to replicas by id, and ``effects``
+    everything that the front has returned. ``versions`` counts the bodies published per topic.
+    """
 
     def __init__(self, seed: int = 1, zone: str = "n1", region: str = "north") -> None:
         self.settings = NodeSettings(
@@ -173,7 +177,7 @@
         self.now = 100.0
         self.timers: dict[str, float] = {}
         self.calls: dict[int, fx.HttpCall] = {}
-        self.marks: dict[str, int] = {}
+        self.versions: dict[str, int] = {}
         self.next_http_id = 1000
         self.effects: list[fx.Effect] = []
         self.feed(ev.Started())
@@ -189,7 +193,7 @@
         return effects
 
     def advance(self, seconds: float) -> list[fx.Effect]:
-        """Let virtual time pass; due timers fire in order."""
+        """Advance virtual time by ``seconds`` and fire due timers in order; return the effects."""
         until = self.now + seconds
         effects = []
         while self.timers:
@@ -202,20 +206,22 @@
         self.now = until
         return effects
 
-    def topic(self, topic: str, body, mark: VersionMark | None = None) -> list[fx.Effect]:
-        self.marks[topic] = self.marks.get(topic, 0) + 1
-        self.source.event = TopicChanged(topic, mark or VersionMark(1, self.marks[topic]), body)
+    def topic(self, topic: str, body, version: VersionMark | None = None) -> list[fx.Effect]:
+        self.versions[topic] = self.versions.get(topic, 0) + 1
+        self.source.event = TopicChanged(
+            topic, version or VersionMark(1, self.versions[topic]), body
+        )
         return self.feed(ev.TimerFired(f"{self.source.name}/now"))
 
     def configure(self, **changes) -> list[fx.Effect]:
         document = json.dumps({**DOCUMENT, **changes}).encode()
-        version = self.marks.get(topics.CONFIGURATION, 0) + 1
+        version = self.versions.get(topics.CONFIGURATION, 0) + 1
         return self.topic(topics.CONFIGURATION, ConfigurationBody(version, "d", document))
 
     def members(self, *nodes: NodeRecord) -> list[fx.Effect]:
         return self.topic(topics.MEMBERS, MembersBody(list(nodes), []))
 
-    def empty_zones(self, *zones: str) -> list[fx.Effect]:
+    def drain_zones(self, *zones: str) -> list[fx.Effect]:
         return self.topic(topics.ZONES, ZonesBody(list(zones)))
 
     def replicas(self, *replicas: ListedReplica) -> list[fx.Effect]:
@@ -224,8 +230,8 @@
     def plan(self, replicas, matrix=()) -> list[fx.Effect]:
         return self.topic(topics.PLAN, PlanBody(1, list(replicas), list(matrix), "test"))
 
-    def usual(self, cold: bool = False) -> None:
-        """Two replicas in north, one in south, each region served at home first."""
+    def set_up_site(self, cold: bool = False) -> None:
+        """Publish two replicas in north and one in south; each region prefers its own."""
         self.configure()
         self.members(node("f1", "n1", "north"), node("f22", "n2", "north"),
                      node("f333", "s1", "south"))  # fmt: skip
@@ -237,7 +243,7 @@
         self.plan([loaded(name, cold) for name in "abc"], matrix)
 
     def generate(self, route: str = "banter", headers=None, **body) -> int:
-        """Send a request; return its id. Its effects are in ``last``."""
+        """Send a request and return its HTTP id; the effects are kept in ``last``."""
         self.next_http_id += 1
         http_id = self.next_http_id
         all_headers = {
@@ -255,7 +261,7 @@
         return http_id
 
     def call(self, effects=None) -> fx.HttpCall:
-        """Return the one call to a replica among effects."""
+        """Return the only call to a replica among ``effects``, by default those in ``last``."""
         (found,) = [
             effect
             for effect in (self.last if effects is None else effects)
@@ -264,7 +270,7 @@
         return found
 
     def lines(self, call: fx.HttpCall, *pieces: str, start: int = 0) -> list[fx.Effect]:
-        """Let the replica send pieces."""
+        """Let the replica send one line for each piece, with indices from ``start`` on."""
         request_id = json.loads(call.body)["request_id"]
         effects = []
         for index, piece in enumerate(pieces, start):
@@ -282,7 +288,7 @@
         return effects + self.feed(ev.HttpResponseCompleted(call.call_id))
 
     def complete(self, call: fx.HttpCall, *pieces: str) -> list[fx.Effect]:
-        """Let the replica answer the whole of a call."""
+        """Let the replica answer a call completely."""
         return [
             *self.begin(call),
             *self.lines(call, *pieces),
@@ -290,7 +296,7 @@
         ]
 
     def refuse(self, call: fx.HttpCall, code: str = "busy") -> list[fx.Effect]:
-        """Let the replica refuse: not run."""
+        """Let the replica refuse a call as not run, with an error code."""
         body = json.dumps({"error": {"code": code}}).encode()
         return [
             *self.begin(call, 503),
@@ -309,7 +315,7 @@
 
 
 def answer_of(effects) -> fx.HttpRespond:
-    """Return the one whole answer among effects."""
+    """Return the only complete answer to a caller among ``effects``."""
     (answer,) = [effect for effect in effects if isinstance(effect, fx.HttpRespond)]
     return answer
 
--- a/tests/measure_front.py
+++ b/tests/measure_front.py
@@ -1,8 +1,8 @@
 """Measures the front; see docs/requests.md for the commands.
 
-``reducer``: microseconds of reducer time a request and a streamed piece (9 replicas).
-``hop ADDRESS PATH``: latency and requests/s over real sockets, at a front or straight at the
-stand-in; ``replica PORT`` and ``front PORT REPLICA_ADDRESS`` are the processes for it.
+``reducer``: microseconds of reducer time per request and per streamed piece (9 replicas).
+``hop ADDRESS PATH``: latency and requests/s over real sockets, through a front or directly to the
+stand-in replica. ``replica PORT`` and ``front PORT REPLICA_ADDRESS`` start the processes for it.
 """
 
 import asyncio
@@ -30,7 +30,7 @@
 
 
 def nine_replicas(front: FrontHarness, concurrency: int = 8) -> None:
-    """Five replicas in north, four in south, eleven fronts."""
+    """Publish five replicas in north, four in south, and eleven fronts."""
     names = "abcdefghi"
     front.configure()
     front.members(*(node(f"f{number}", "n1", "north") for number in range(11)))
@@ -42,7 +42,7 @@
 
 
 def measure_reducer() -> None:
-    """Print the reducer's time, the harness's own left out."""
+    """Print the time spent in the reducer, without that of the harness."""
     front = FrontHarness()
     nine_replicas(front)
     spent = {"request": 0, "piece": 0}
@@ -76,7 +76,7 @@
 
 
 def start_replica(port: str) -> Host:
-    """A stand-in that answers with one piece."""
+    """Return the host of a stand-in replica that answers with one piece."""
     profile = ModelProfile(1.0, 1e9, 1000, 1.0)
     settings = ReplicaSettings(
         "a", "", "north", "n1", "gpu", 1.0, {"talk": profile}, ("talk",), cold_factor=1.0
@@ -87,7 +87,7 @@
 
 
 def start_front(port: str, replica_address: str) -> Host:
-    """A front whose plan has that one replica."""
+    """Return the host of a front whose plan has only that replica."""
     harness = FrontHarness()
     harness.now = time.monotonic()
     harness.configure()
@@ -102,7 +102,7 @@
 
 
 class Client:
-    """Makes whole requests over kept connections."""
+    """Makes requests over persistent connections and waits for complete answers."""
 
     def __init__(self, address: str, path: str) -> None:
         self.address = address
@@ -114,7 +114,7 @@
         self.waiting.pop(event.call_id).set_result(event)
 
     async def request(self, number: int) -> float:
-        """Make one request; return its seconds."""
+        """Make one request and return its duration in seconds."""
         name = f"r{number}"
         body = {"prompt_tokens": 8, "max_tokens": 8, "model": "talk", "request_id": name}
         headers = {"x-rooklug-route": "banter", "x-rooklug-request-id": name}
@@ -128,7 +128,7 @@
 
 
 async def load(client: Client, lines: int, requests: int) -> tuple[list[float], float]:
-    """Make requests, several at once; return the latencies and requests/s."""
+    """Make ``requests`` requests, ``lines`` at once; return the latencies in s and requests/s."""
     latencies: list[float] = []
 
     async def line(first: int) -> None:
@@ -141,7 +141,7 @@
 
 
 async def measure_hop(address: str, path: str) -> None:
-    """Print latencies one at a time, and requests/s with several at once."""
+    """Print the latency of single requests, and requests/s with ``CONCURRENCY`` at once."""
     await load(Client(address, path), 1, 50)
     latencies, _ = await load(Client(address, path), 1, HOP_REQUESTS)
     cuts = quantiles(latencies, n=100)
@@ -150,13 +150,13 @@
 
 
 async def serve(host: Host) -> None:
-    """Run until the process is ended."""
+    """Run the host until its process is stopped."""
     await host.start()
     await host.stopped()
 
 
 def main(mode: str, *arguments: str) -> None:
-    """Run one mode."""
+    """Run one mode of the command line (see the module's docstring)."""
     if mode == "reducer":
         measure_reducer()
     elif mode == "hop":
--- a/tests/once_chaos.py
+++ b/tests/once_chaos.py
@@ -1,20 +1,23 @@
-"""Random faults for ``tests.once_support.Site``, by seed."""
+"""Injects random faults into a ``tests.once_support.Site``, reproducibly by the site's seed."""
 
 from collections.abc import Callable
 
 from rooklug.model.topics import CLAIM_SHARDS
 from tests.once_support import Site
 
-CALM_S = 7.0
+WARM_UP_S = 7.0
 STEP_S = 0.7
 SETTLE_S = 14.0
 
 
 class Chaos:
-    """Throws faults at a site for a while, then heals everything.
+    """Injects faults for a while, then undoes all of them.
 
-    ``overlaps``: roles are also handed over while their owner still thinks it has them.
-    ``disk_losses``: one store at a time may lose its disk.
+    Args:
+        site: The site; its random generator draws the faults.
+        overlaps: Also hand roles over while their owner still believes that it holds them.
+        disk_losses: Also let one store at a time lose its disk.
+        stop_when_broken: Stop as soon as the oracle finds a violation.
     """
 
     def __init__(
@@ -30,7 +33,7 @@
         self.undo: list[tuple[float, Callable[[], None]]] = []
         self.lost_store = ""
         self.healed_at = 0.0
-        self.happened: list[str] = []
+        self.injected: list[str] = []
         self.faults = [
             self.kill_front,
             self.kill_front,
@@ -52,13 +55,13 @@
             self.faults += [self.lose_disk] * 4
 
     def run(self, duration_s: float) -> None:
-        """Calm, faults for ``duration_s``, then healing and calm."""
+        """Run without faults, then with faults for ``duration_s``, then without them again."""
         world = self.site.world
-        world.run_for(CALM_S)
+        world.run_for(WARM_UP_S)
         end = world.now + duration_s
         while world.now < end and not (self.stop_when_broken and self.site.violations()):
             fault = self.random.choice(self.faults)
-            self.happened.append(f"{world.now:.1f} {fault.__name__}")
+            self.injected.append(f"{world.now:.1f} {fault.__name__}")
             fault()
             self._run_to(world.now + STEP_S * 2 * self.random.random())
         if self.stop_when_broken and self.site.violations():
@@ -84,8 +87,8 @@
         self.undo = [entry for number, entry in enumerate(self.undo) if number not in done]
         world.run_for(max(0.0, end - world.now))
 
-    def _later(self, longest_s: float, undo: Callable[[], None]) -> None:
-        self.undo.append((self.site.world.now + longest_s * self.random.random(), undo))
+    def _undo_within(self, max_delay_s: float, undo: Callable[[], None]) -> None:
+        self.undo.append((self.site.world.now + max_delay_s * self.random.random(), undo))
 
     def _front(self):
         return self.site.fronts[self.random.choice(sorted(self.site.fronts))]
@@ -93,9 +96,9 @@
     def _store(self):
         return self.site.stores[self.random.choice(sorted(self.site.stores))]
 
-    def _kill_for(self, process, longest_s: float) -> None:
+    def _kill_for(self, process, max_delay_s: float) -> None:
         self.site.world.kill(process)
-        self._later(longest_s, lambda: self.site.world.restart(process))
+        self._undo_within(max_delay_s, lambda: self.site.world.restart(process))
 
     def kill_front(self) -> None:
         self._kill_for(self._front(), 3.0)
@@ -120,7 +123,7 @@
     def freeze_front(self) -> None:
         front = self._front()
         front.freeze()
-        self._later(self.random.choice([1.0, 8.0]), front.thaw)
+        self._undo_within(self.random.choice([1.0, 8.0]), front.thaw)
 
     def stall_disk(self) -> None:
         disk = self._store().disk
@@ -149,12 +152,12 @@
             if both_ways:
                 network.heal(destinations, sources)
 
-        self._later(5.0, heal)
+        self._undo_within(5.0, heal)
 
     def cut_from_core(self) -> None:
         name = self.random.choice(sorted(self.site.fronts))
         self.site.cut_from_core.add(name)
-        self._later(6.0, lambda: self.site.cut_from_core.discard(name))
+        self._undo_within(6.0, lambda: self.site.cut_from_core.discard(name))
 
     def move_roles(self) -> None:
         for shard in range(CLAIM_SHARDS):
@@ -162,11 +165,14 @@
                 self.site.move_role(shard, self.random.choice(sorted(self.site.fronts)))
 
     def lose_disk(self) -> None:
-        """Lose one disk; the next one only after the owners could restore this one."""
+        """Lose the disk of one store, once per run.
+
+        Only one lost disk at a time must be survived, until the owners have restored it.
+        """
         store = self._store()
         if self.lost_store:
             return
         self.lost_store = store.name
         self.site.world.kill(store)
         store.disk.lose()
-        self._later(1.0, lambda: self.site.world.restart(store))
+        self._undo_within(1.0, lambda: self.site.world.restart(store))
--- a/tests/once_mutations.py
+++ b/tests/once_mutations.py
@@ -1,4 +1,4 @@
-"""Guards of once-only requests switched off, to show that the oracle sees the difference."""
+"""Mutations that each disable one guard of once-only requests; the oracle must detect each."""
 
 from collections.abc import Callable, Iterator
 from contextlib import AbstractContextManager, contextmanager
@@ -27,7 +27,7 @@
 
 
 def without_fence() -> AbstractContextManager:
-    """Stores accept owners whose successor has begun."""
+    """Stores accept an owner whose successor has already read them."""
 
     class Unfenced(StoredShard):
         fence = property(lambda self: (0, 0), lambda self, value: None)
@@ -36,7 +36,7 @@
 
 
 def with_fence_in_memory_only() -> AbstractContextManager:
-    """Stores forget the fence when they restart."""
+    """Stores lose the fence when they restart."""
 
     def load_without_fence(number, records):
         shard = store_state.load_shard(number, records)
@@ -47,7 +47,7 @@
 
 
 def with_quorum_of_one() -> AbstractContextManager:
-    """One store is enough to read and to record."""
+    """One store is a quorum for reading and for recording."""
     begin = StoreViews.__init__
 
     def small(self, addresses) -> None:
@@ -57,8 +57,8 @@
     return patch.object(StoreViews, "__init__", small)
 
 
-def with_blank_stores_trusted() -> AbstractContextManager:
-    """A store that lost its disk vouches for what it has."""
+def with_damaged_stores_trusted() -> AbstractContextManager:
+    """A store that has lost its disk still reports itself as intact."""
 
     class Trusting(StoredShard):
         intact = property(lambda self: True, lambda self, value: None)
@@ -90,8 +90,8 @@
     return patch.object(ShardOwner, "_record", record_later)
 
 
-def with_second_try() -> AbstractContextManager:
-    """A write that failed midway is tried again."""
+def with_second_write() -> AbstractContextManager:
+    """A write that failed after it may have been sent is sent again."""
     ended = once_only_component.OnceOnlyComponent._backend_finished
 
     def again(self, event, now):
@@ -103,7 +103,7 @@
 
 
 def with_release_while_writing() -> AbstractContextManager:
-    """A front attests that a running attempt never wrote."""
+    """A front reports a running attempt as released."""
     status = AttemptTable.status
 
     def released(self, claim, digest):
@@ -115,8 +115,8 @@
     return patch.object(AttemptTable, "status", released)
 
 
-def with_gone_holder_released() -> AbstractContextManager:
-    """An attempt of a front that is gone counts as never written."""
+def with_lost_front_released() -> AbstractContextManager:
+    """An attempt of a front that is gone counts as released."""
 
     def released(self, attempt, now, competitor_is_gone):
         answer = ClaimStatusAnswer(state="released", result=b"")
@@ -125,14 +125,14 @@
     return patch.object(ClaimRequester, "_request_replica_status", released)
 
 
-def with_refusal_while_unknown() -> AbstractContextManager:
-    """ "Not run" is said although nobody has asked an owner."""
+def with_not_run_while_unknown() -> AbstractContextManager:
+    """ "Not run" is answered although no owner has confirmed that the key was not written."""
     always = PropertyMock(return_value=True)
     return patch.object(Attempt, "certainly_not_run", always)
 
 
-def with_refusal_after_writing() -> AbstractContextManager:
-    """ "Not run" is said when the deadline passes while writing."""
+def with_not_run_after_writing() -> AbstractContextManager:
+    """ "Not run" is answered when the deadline passes during the write."""
 
     def refuse(self, attempt, refusal):
         return self._respond_given_up(attempt, refusal, not_run=True)
@@ -140,8 +140,8 @@
     return patch.object(once_only_component.OnceOnlyComponent, "_respond_unknown", refuse)
 
 
-def with_any_answer_taken() -> AbstractContextManager:
-    """The back end's answer isn't matched with the request."""
+def with_any_answer_accepted() -> AbstractContextManager:
+    """The back end's answer is not matched with the request."""
 
     def unmatched(attempt, status, body):
         return backend.json.dumps(backend.json.loads(body).get("result", {})).encode()
@@ -149,8 +149,8 @@
     return patch.object(once_only_component, "result_of", unmatched)
 
 
-def with_held_keys_granted() -> AbstractContextManager:
-    """An owner grants a key that another attempt holds."""
+def with_claimed_keys_granted() -> AbstractContextManager:
+    """An owner grants a key that another attempt has claimed."""
     claim = ShardOwner.claim
 
     def grant(self, call_id, request, now):
--- a/tests/once_support.py
+++ b/tests/once_support.py
@@ -1,7 +1,7 @@
 """A simulated site for once-only requests: fronts, claim stores, back ends, callers, an oracle.
 
-The core's part (leases, roles, topics) is played by ``Site``; everything else is the
-project's own reducers in virtual time.
+Fronts and claim stores are the real reducers in virtual time. ``Site`` stands in for the core
+(leases, roles, topics); back ends and callers are simple components.
 """
 
 import json
@@ -38,8 +38,8 @@
 
 
 @attrs.define
-class HeldRole:
-    """Who holds a shard; ``free_at`` in world time."""
+class RoleHolder:
+    """The front that holds a shard's role. ``free_at``: end of its lease, in world time."""
 
     front: str
     token: wire.VersionMark
@@ -47,7 +47,7 @@
 
 
 class FakeLink(BaseComponent):
-    """A front's link to the core, played by the site."""
+    """Stands in for a front's ``CoreLink``; the site fills it at each poll."""
 
     name = "core-link"
 
@@ -106,7 +106,7 @@
 
 
 class Backend(BaseComponent):
-    """Runs on arrival; may lose, delay or cross its answers."""
+    """Executes each request on arrival; may lose its answer, delay it, or send an earlier one."""
 
     name = "backend"
     http_prefixes = ("/api/",)
@@ -149,8 +149,8 @@
 
 
 @attrs.define
-class Sending:
-    """One sending of a key by a caller."""
+class Submission:
+    """One submission of a key by a caller, and its outcome. ``first``: sent as first attempt."""
 
     key: str
     request_id: str
@@ -164,7 +164,10 @@
 
 
 class Callers(BaseComponent):
-    """Send new keys at a rate; repeat what had no result, at other fronts, some at once."""
+    """Submits new keys at a rate, some of them twice at once, and repeats those without a result.
+
+    Each submission goes to a random front; one in ten keys that are done is repeated as well.
+    """
 
     name = "callers"
 
@@ -172,7 +175,7 @@
         self.site = site
         self.context = context
         self.random = context.random
-        self.calls: dict[int, Sending] = {}
+        self.calls: dict[int, Submission] = {}
         self.keys = 0
 
     def handle(self, event: ev.Event, now: float) -> list[fx.Effect]:
@@ -183,9 +186,9 @@
         if isinstance(event, ev.HttpAnswered):
             return self._answered(event)
         if isinstance(event, ev.HttpFailed):
-            sending = self.calls.pop(event.call_id)
+            submission = self.calls.pop(event.call_id)
             sent = event.send_state is not ev.SendState.NOT_SENT
-            return self._ended(sending, "lost" if sent else "not_sent")
+            return self._ended(submission, "lost" if sent else "not_sent")
         return []
 
     def _timer(self, name: str) -> list[fx.Effect]:
@@ -204,17 +207,17 @@
     def send(self, key: str, number: int, front: str = "") -> list[fx.Effect]:
         front = front or self.random.choice(sorted(self.site.fronts))
         call_id = self.context.identifiers.next()
-        alone = number == 1 and self.random.random() < 0.3
-        sending = Sending(key, f"{key}.{call_id}", front, self.site.world.now, alone)
-        self.calls[call_id] = sending
-        self.site.sendings.append(sending)
+        is_first = number == 1 and self.random.random() < 0.3
+        submission = Submission(key, f"{key}.{call_id}", front, self.site.world.now, is_first)
+        self.calls[call_id] = submission
+        self.site.submissions.append(submission)
         headers = {
             "x-rooklug-route": ROUTE,
             "x-rooklug-key": key,
-            "x-rooklug-request-id": sending.request_id,
+            "x-rooklug-request-id": submission.request_id,
             "x-rooklug-deadline-ms": str(DEADLINE_MS),
         }
-        if alone:
+        if is_first:
             headers["x-rooklug-attempt"] = "1"
         address = self.site.fronts[front].http_address
         body = self.site.payload or json.dumps({"asked": key}).encode()
@@ -224,30 +227,30 @@
         ]
 
     def _answered(self, event: ev.HttpAnswered) -> list[fx.Effect]:
-        sending = self.calls.pop(event.call_id)
+        submission = self.calls.pop(event.call_id)
         document = json.loads(event.body)
-        sending.result = document.get("result", {})
-        sending.repeated = document.get("repeated", False)
+        submission.result = document.get("result", {})
+        submission.repeated = document.get("repeated", False)
         outcome = document.get("outcome", f"status {event.status}")
         if outcome in ("not_run", "unknown"):
             assert int(event.headers["retry-after"]) >= 1, event
-        return self._ended(sending, outcome)
+        return self._ended(submission, outcome)
 
-    def _ended(self, sending: Sending, outcome: str) -> list[fx.Effect]:
-        sending.outcome = outcome
-        sending.ended = self.site.world.now
-        number = sum(other.key == sending.key for other in self.site.sendings[-200:])
+    def _ended(self, submission: Submission, outcome: str) -> list[fx.Effect]:
+        submission.outcome = outcome
+        submission.ended = self.site.world.now
+        number = sum(other.key == submission.key for other in self.site.submissions[-200:])
         if outcome == "done" and self.random.random() > 0.1:
             return []
         if number > 5:
             return []
         call_id = self.context.identifiers.next()
         pause = self.random.choice([0.01, 0.3, 1.0, 4.0])
-        return [fx.StartTimer(f"again{call_id}|{sending.key}|{number + 1}", pause)]
+        return [fx.StartTimer(f"again{call_id}|{submission.key}|{number + 1}", pause)]
 
 
 class Site:
-    """Six fronts and three stores in three zones; roles and leases as a core grants them."""
+    """Six fronts, three stores and three back ends in three zones; grants roles like a core."""
 
     def __init__(self, seed: int, document: bytes = b"") -> None:
         self.world = World(seed, region_delay_s=0.02)
@@ -255,7 +258,7 @@
         self.random = Random(seed * 7919 + 1)
         self.cut_from_core: set[str] = set()
         self.executions: list[Execution] = []
-        self.sendings: list[Sending] = []
+        self.submissions: list[Submission] = []
         self.lost_share = 0.0
         self.late_share = 0.0
         self.pause_s = 0.05
@@ -265,7 +268,7 @@
         self.stores: dict[str, object] = {}
         self.links: dict[str, FakeLink] = {}
         self.seen: dict[str, tuple[float, wire.NodeRecord]] = {}
-        self.roles: dict[str, HeldRole] = {}
+        self.roles: dict[str, RoleHolder] = {}
         self.counter = 0
         self.seeds = tuple(f"127.1.{zone}.1:7100" for zone in range(1, 4))
         self.listed = [self._add_backend(zone) for zone in range(1, 4)]
@@ -311,17 +314,17 @@
 
         def build(context) -> CompositeReducer:
             link = self.links[name] = FakeLink(self, settings, context.incarnation)
-            keeper = RoutingViewComponent(settings, read_configuration)
+            view_component = RoutingViewComponent(settings, read_configuration)
             return CompositeReducer(
-                [link, keeper, *build_once_only_components(settings, context, link)]
+                [link, view_component, *build_once_only_components(settings, context, link)]
             )
 
         self.fronts[name] = self.world.add(name, place, build, http, internal)
 
-    # The core's part ---------------------------------------------------------------------
+    # Stand-in for the core ---------------------------------------------------------------
 
     def renew(self, link: FakeLink, now: float) -> None:
-        """A front renews its lease: it gets its grants and the lists."""
+        """Renew a front's lease, and give it its grants and the lists of nodes and owners."""
         at = self.world.now
         own = link.settings
         record = wire.NodeRecord(
@@ -363,80 +366,82 @@
         chosen = names[shard % len(names)] == name
         if vacant and chosen:
             self.counter += 1
-            role = self.roles[key] = HeldRole(name, wire.VersionMark(1, self.counter), 0.0)
+            role = self.roles[key] = RoleHolder(name, wire.VersionMark(1, self.counter), 0.0)
         if role is not None and role.front == name:
             role.free_at = at + LEASE_S + LEASE_MARGIN_S
             grant = wire.RoleGrant(key, role.token, int(LEASE_S * 1000))
             link.grants[key] = (grant, now + LEASE_S)
 
-    def send(self, key: str, front: str) -> Sending:
-        """Let a caller send ``key`` to ``front`` now."""
+    def send(self, key: str, front: str) -> Submission:
+        """Let a caller submit ``key`` at ``front`` now."""
         self.callers.deliver(ev.TimerFired(f"{Callers.name}/{ORDER}|{key}|{front}"))
-        return self.sendings[-1]
+        return self.submissions[-1]
 
     def owner_of(self, key: str) -> str:
-        """Return the front that the core holds for the owner of a key's shard."""
+        """Return the front that holds the role of the key's shard, according to the core."""
         return self.roles[role_key_of(shard_of(ROUTE, key))].front
 
     def fronts_beside(self, *names: str) -> list[str]:
-        """Return the other fronts."""
+        """Return the names of all other fronts, sorted."""
         return [name for name in sorted(self.fronts) if name not in names]
 
     def restart_stores(self) -> None:
-        """Kill all stores and start them again at once, with their disks."""
+        """Kill all stores and restart them at once, with their disks intact."""
         for store in self.stores.values():
             self.world.kill(store)
             self.world.restart(store)
 
     def late_keys_done(self, since: float) -> float:
-        """Return the share of keys first sent after ``since`` that were done."""
+        """Return the share of keys first submitted at or after ``since`` that were done."""
         firsts: dict[str, float] = {}
-        for sending in self.sendings:
-            firsts.setdefault(sending.key, sending.started)
+        for submission in self.submissions:
+            firsts.setdefault(submission.key, submission.started)
         keys = {key for key, started in firsts.items() if started >= since}
-        done = {sending.key for sending in self.sendings if sending.outcome == "done"}
+        done = {submission.key for submission in self.submissions if submission.outcome == "done"}
         return len(keys & done) / len(keys)
 
     def move_role(self, shard: int, front: str) -> None:
-        """Hand a role over at once, although its owner doesn't know: two owners."""
+        """Hand a role over while its owner doesn't know yet, so that there are two owners."""
         self.counter += 1
         token = wire.VersionMark(1, self.counter)
-        self.roles[role_key_of(shard)] = HeldRole(front, token, self.world.now + LEASE_S)
+        self.roles[role_key_of(shard)] = RoleHolder(front, token, self.world.now + LEASE_S)
 
     # The oracle --------------------------------------------------------------------------
 
     def violations(self) -> list[str]:
-        """Return every broken promise, as callers and back ends saw it."""
+        """Return a message for every violated guarantee, as seen by callers and back ends."""
         runs: dict[str, list[Execution]] = {}
         for execution in self.executions:
             runs.setdefault(execution.key, []).append(execution)
         found = [f"{key} ran {len(of_key)} times" for key, of_key in runs.items() if of_key[1:]]
         ran_ids = {execution.request_id for execution in self.executions}
-        for sending in self.sendings:
-            found += self._violations_of(sending, runs.get(sending.key, []), ran_ids)
+        for submission in self.submissions:
+            found += self._violations_of(submission, runs.get(submission.key, []), ran_ids)
         return found
 
-    def _violations_of(self, sending: Sending, runs: list[Execution], ran_ids: set) -> list[str]:
-        if sending.outcome == "not_run":
-            if sending.request_id in ran_ids:
-                return [f"{sending.request_id} was not_run, but ran"]
-            before = [run for run in runs if run.at < sending.started]
-            if before and not sending.first:
-                return [f"{sending.key} was not_run, but had run before"]
-        if sending.outcome == "done":
-            if sending.result.get("key") != sending.key:
-                return [f"{sending.request_id} got {sending.result}"]
+    def _violations_of(
+        self, submission: Submission, runs: list[Execution], ran_ids: set
+    ) -> list[str]:
+        if submission.outcome == "not_run":
+            if submission.request_id in ran_ids:
+                return [f"{submission.request_id} was not_run, but ran"]
+            before = [run for run in runs if run.at < submission.started]
+            if before and not submission.first:
+                return [f"{submission.key} was not_run, but had run before"]
+        if submission.outcome == "done":
+            if submission.result.get("key") != submission.key:
+                return [f"{submission.request_id} got {submission.result}"]
             if not runs:
-                return [f"{sending.request_id} is done, but never ran"]
-            if sending.repeated == (sending.request_id in ran_ids):
-                return [f"{sending.request_id} repeated: {sending.repeated}"]
+                return [f"{submission.request_id} is done, but never ran"]
+            if submission.repeated == (submission.request_id in ran_ids):
+                return [f"{submission.request_id} repeated: {submission.repeated}"]
         return []
 
     def count(self, outcome: str) -> int:
-        """Return how many sendings ended so."""
-        return sum(sending.outcome == outcome for sending in self.sendings)
+        """Return the number of submissions with that outcome."""
+        return sum(submission.outcome == outcome for submission in self.submissions)
 
     def share_of_keys_done(self) -> float:
-        """Return the share of keys of which some sending was done."""
-        done = {sending.key for sending in self.sendings if sending.outcome == "done"}
-        return len(done) / len({sending.key for sending in self.sendings})
+        """Return the share of keys with at least one submission that was done."""
+        done = {submission.key for submission in self.submissions if submission.outcome == "done"}
+        return len(done) / len({submission.key for submission in self.submissions})
--- a/tests/test_front_balancing.py
+++ b/tests/test_front_balancing.py
@@ -1,4 +1,7 @@
-"""Where requests go: matrix, spill, health, affinity, retries and the queue, in virtual time."""
+"""Placement of requests: matrix, spill, health, affinity, retries, queue and slow start.
+
+All tests run one front in virtual time with scripted replicas.
+"""
 
 import unittest
 from collections import Counter
@@ -23,10 +26,10 @@
 class BalancingCase(unittest.TestCase):
     def setUp(self) -> None:
         self.front = FrontHarness()
-        self.front.usual()
+        self.front.set_up_site()
 
     def serve(self, count: int, route: str = "banter", gap_s: float = 0.05, **body) -> Counter:
-        """Send requests one after another; return how many each replica got."""
+        """Send requests one after another; return how many of them each replica got."""
         served: Counter = Counter()
         for _ in range(count):
             self.front.generate(route, **body)
@@ -41,14 +44,14 @@
 
 
 class MatrixTest(BalancingCase):
-    def test_weights_are_kept(self) -> None:
+    def test_traffic_follows_matrix_weights(self) -> None:
         self.front.plan(
             [loaded(name) for name in "abc"], [cell("north", "north", 0, 3), cell("north", "south")]
         )
         served = self.serve(400)
         self.assertAlmostEqual(served["c"] / 400, 0.25, delta=0.06)
 
-    def test_spill_stays_within_the_weights(self) -> None:
+    def test_spill_is_limited_by_spill_weight(self) -> None:
         for _ in range(12):
             self.front.generate()
         spilled = [call for call in self.front.calls.values() if self.front.replica_of(call) == "c"]
@@ -59,14 +62,14 @@
             "south": {"zones": ["s1"], "weights": {"spill": 0}},
         }
         self.front = FrontHarness()
-        self.front.usual()
+        self.front.set_up_site()
         self.front.configure(regions=regions)
         for _ in range(12):
             self.front.generate()
         replicas = {self.front.replica_of(call) for call in self.front.calls.values()}
         self.assertEqual(replicas, {"a", "b"})
 
-    def test_loaded_and_intended_and_not_leaving(self) -> None:
+    def test_serves_only_where_loaded_intended_and_not_leaving(self) -> None:
         self.front.plan(
             [
                 loaded("a", intended_models=[]),
@@ -79,7 +82,7 @@
         self.front.generate()
         self.assertEqual(document_of(self.front.last)["error"]["code"], "no_replica")
 
-    def test_cold_regions_lose_nothing_to_one_another(self) -> None:
+    def test_regions_all_in_slow_start_keep_their_order(self) -> None:
         levels = ((Destination("x", 1.0),), (Destination("y", 1.0),))
         for draw in (0.0, 0.5, 0.99):
             steps = region_order(levels, {"x": 0.05, "y": 0.05}, "x", draw)
@@ -91,20 +94,20 @@
 
 
 class AffinityTest(BalancingCase):
-    def test_same_parts_go_to_the_same_replica_at_every_front(self) -> None:
+    def test_same_prefix_goes_to_same_replica_at_every_front(self) -> None:
         served = self.serve(1, prompt_parts=["s", "archive"])
         (first,) = served
         other = FrontHarness(seed=7)
-        other.usual()
+        other.set_up_site()
         other.generate(prompt_parts=["s", "archive"])
         self.assertEqual(other.replica_of(other.call()), first)
 
-    def test_hot_parts_stay_below_the_bounded_share(self) -> None:
+    def test_popular_prefix_stays_within_bounded_share(self) -> None:
         served = self.serve(300, prompt_parts=["hot"])
         self.assertLess(max(served.values()) / 300, 1.25 / 2 + 0.06)
         self.assertGreater(max(served.values()) / 300, 0.55)
 
-    def test_table_is_bounded_and_forgets_incarnations(self) -> None:
+    def test_table_is_bounded_and_ignores_earlier_incarnations(self) -> None:
         table = AffinityTable(max_blocks=10)
         replica = ServingReplica("a", "x:1", "north", "n1", "1", 4, False)
         for part in range(50):
@@ -115,7 +118,7 @@
         replaced = ServingReplica("a", "x:1", "north", "n1", "2", 4, True)
         self.assertEqual(table.cached_blocks(("north",), (49,), replaced), 0)
 
-    def test_bound_parts_are_dropped_when_the_home_moves(self) -> None:
+    def test_blocks_of_bound_route_are_dropped_when_home_moves(self) -> None:
         self.serve(5, "home", prompt_parts=["secret"])
         table = self.front.by_name["generate"]._decision._balancer.affinity
         self.assertEqual(len(table), 1)
@@ -125,7 +128,7 @@
 
 
 class RetryTest(BalancingCase):
-    def test_refused_connection_is_tried_elsewhere_and_ejects(self) -> None:
+    def test_connect_failure_retries_elsewhere_and_ejects(self) -> None:
         self.front.generate()
         first = self.front.call()
         second = self.front.call(self.front.fail(first))
@@ -136,7 +139,7 @@
         self.front.advance(2)
         self.assertIn(lost, self.serve(8))
 
-    def test_not_run_needs_certainty(self) -> None:
+    def test_not_run_is_answered_only_if_certain(self) -> None:
         for state, outcome in (
             (ev.SendState.NOT_SENT, "not_run"),
             (ev.SendState.MAYBE_SENT, "unknown"),
@@ -156,7 +159,7 @@
         self.assertEqual((answer_of(effects).status, document_of(effects)["outcome"]),
                          (503, "not_run"))  # fmt: skip
 
-    def test_an_unloaded_model_says_nothing_of_the_others(self) -> None:
+    def test_unloaded_model_does_not_affect_other_models(self) -> None:
         both = ["small", "talk"]
         self.front = FrontHarness()
         self.front.configure()
@@ -176,17 +179,17 @@
         self.front.generate()
         self.assertIn("HttpCall", kinds([*self.front.last, *self.front.advance(1.9)]))
 
-    def test_budget_ends_a_retry_storm(self) -> None:
-        tries = 0
+    def test_budget_limits_retry_storm(self) -> None:
+        attempts = 0
         for _ in range(200):
             self.front.generate()
             effects = self.front.last
             while "HttpCall" in kinds(effects):
-                tries += 1
+                attempts += 1
                 effects = self.front.refuse(self.front.call(effects))
-        self.assertLess(tries, 200 * 1.15 + 6)
+        self.assertLess(attempts, 200 * 1.15 + 6)
 
-    def test_one_failing_front_keeps_trying(self) -> None:
+    def test_requests_continue_when_all_replicas_are_ejected(self) -> None:
         for _ in range(6):
             self.front.generate()
             effects = self.front.last
@@ -195,7 +198,7 @@
         self.front.generate()
         self.assertIn("HttpCall", kinds(self.front.last))
 
-    def test_silent_replica_is_left_before_its_first_piece(self) -> None:
+    def test_attempt_without_first_chunk_times_out(self) -> None:
         self.front.generate()
         first = self.front.call()
         self.front.begin(first)
@@ -203,7 +206,7 @@
         self.assertIn(fx.CancelHttpCall(first.call_id), effects)
         self.assertNotEqual(self.front.call(effects).address, first.address)
 
-    def test_stalled_stream_is_broken(self) -> None:
+    def test_stalled_stream_is_aborted(self) -> None:
         self.front.generate(stream=True)
         call = self.front.call()
         self.front.begin(call)
@@ -216,7 +219,7 @@
         while "HttpCall" in kinds(self.front.last):
             self.front.generate()
 
-    def test_waits_for_a_slot_by_priority(self) -> None:
+    def test_free_slot_goes_to_highest_priority(self) -> None:
         self.front.generate()
         first = self.front.call()
         self.fill()
@@ -224,7 +227,7 @@
         effects = self.front.complete(first, "x")
         self.assertIn(f'"r{urgent}"', self.front.call(effects).body.decode())
 
-    def test_refused_at_the_wait_bound_and_when_full(self) -> None:
+    def test_refused_after_maximum_wait_and_when_full(self) -> None:
         self.front.generate()
         self.fill()
         refusals = [e for e in self.front.advance(2.1) if isinstance(e, fx.HttpRespond)]
@@ -236,7 +239,7 @@
         self.front.generate("urgent")
         self.assertEqual(document_of(self.front.last)["error"]["message"], "the queue is full")
 
-    def test_queued_request_obeys_the_newest_home(self) -> None:
+    def test_queued_request_follows_newest_home(self) -> None:
         self.front.generate()
         self.fill()
         self.front.generate("home")
@@ -252,15 +255,15 @@
         served = self.serve(seconds * 20)
         return served["b"] / max(1, sum(served.values()))
 
-    def replace_b(self, incarnation: str, cold: bool = True, room: int = 4) -> None:
+    def replace_b(self, incarnation: str, cold: bool = True, concurrency: int = 4) -> None:
         replicas = [
-            loaded("a", concurrency=room),
-            loaded("b", cold, incarnation, concurrency=room),
+            loaded("a", concurrency=concurrency),
+            loaded("b", cold, incarnation, concurrency=concurrency),
             loaded("c"),
         ]
         self.front.plan(replicas, [cell("north", "north")])
 
-    def test_a_cold_replica_gets_a_trickle_then_its_share(self) -> None:
+    def test_replica_in_slow_start_gets_growing_share(self) -> None:
         self.replace_b("2")
         early = self.share_of_b(2)
         self.serve(160)
@@ -268,29 +271,29 @@
         self.assertLess(early, 0.12)
         self.assertGreater(late, 0.4)
 
-    def test_much_room_does_not_lift_the_trickle(self) -> None:
-        self.replace_b("2", room=64)
+    def test_high_concurrency_does_not_raise_slow_start_share(self) -> None:
+        self.replace_b("2", concurrency=64)
         self.assertLess(self.share_of_b(2), 0.12)
 
-    def test_a_second_loss_begins_at_the_bottom(self) -> None:
+    def test_second_loss_restarts_slow_start(self) -> None:
         self.replace_b("2")
         self.serve(160)
         self.replace_b("3")
         self.assertLess(self.share_of_b(2), 0.12)
 
-    def test_lost_for_a_moment_is_cold_too(self) -> None:
+    def test_replica_missing_from_one_plan_restarts_slow_start(self) -> None:
         self.front.plan([loaded("a"), loaded("c")], [cell("north", "north")])
         self.replace_b("1", cold=False)
         self.assertLess(self.share_of_b(2), 0.12)
 
-    def test_affinity_and_overflow_do_not_lift_the_trickle(self) -> None:
+    def test_affinity_and_overflow_do_not_raise_slow_start_share(self) -> None:
         self.replace_b("2")
         for number in range(40):
             self.front.generate(prompt_parts=[str(number)])
         to_b = [c for c in self.front.calls.values() if self.front.replica_of(c) == "b"]
         self.assertLessEqual(len(to_b), 2)
 
-    def test_a_repaired_region_gets_a_trickle(self) -> None:
+    def test_returning_region_gets_slow_start_share(self) -> None:
         matrix = [cell("north", "north"), cell("north", "south", 1)]
         self.front.plan([loaded("c")], matrix)
         self.serve(20)
@@ -298,9 +301,9 @@
         served = self.serve(60)
         self.assertLess((served["a"] + served["b"]) / 60, 0.25)
 
-    def test_cold_fleet_serves_a_quarter_in_time(self) -> None:
+    def test_fleet_entirely_in_slow_start_ramps_up(self) -> None:
         self.front = FrontHarness()
-        self.front.usual(cold=True)
+        self.front.set_up_site(cold=True)
         self.front.members(node("f1", "n1", "north"))
         began: dict[int, float] = {}
         early = late = 0
--- a/tests/test_front_limits.py
+++ b/tests/test_front_limits.py
@@ -1,4 +1,7 @@
-"""Limits, retry budget, queue, health and retry-after, against plain oracles."""
+"""Concurrency limit, slow start, retry budget, queue, health and retry-after.
+
+Several are compared with simple oracles on random steps.
+"""
 
 import unittest
 from random import Random
@@ -40,7 +43,7 @@
 class ConcurrencyLimitTest(unittest.TestCase):
     @settings(derandomize=True, deadline=None)
     @given(LIMIT_STEPS)
-    def test_always_between_one_and_what_is_reported(self, steps) -> None:
+    def test_stays_between_one_and_reported_concurrency(self, steps) -> None:
         limit, maximum = ConcurrencyLimit(8, 2), 8
         for step in steps:
             if step == "busy":
@@ -54,7 +57,7 @@
                 limit.record_first_chunk(*step)
             self.assertTrue(1 <= limit.value <= maximum)
 
-    def test_follows_latency_both_ways(self) -> None:
+    def test_grows_and_shrinks_with_latency(self) -> None:
         limit = ConcurrencyLimit(32, 4)
         for _ in range(200):
             limit.record_first_chunk(0.1, 100, limit.value)
@@ -64,13 +67,13 @@
             limit.record_first_chunk(0.5, 100, limit.value)
         self.assertLess(limit.value, grown / 2)
 
-    def test_an_idle_limit_does_not_grow(self) -> None:
+    def test_unused_limit_does_not_grow(self) -> None:
         limit = ConcurrencyLimit(32, 4)
         for _ in range(100):
             limit.record_first_chunk(0.1, 100, 1)
         self.assertEqual(limit.value, 4)
 
-    def test_long_prompts_are_no_congestion(self) -> None:
+    def test_long_prompts_are_not_taken_for_congestion(self) -> None:
         limit = ConcurrencyLimit(32, 8)
         for number in range(200):
             tokens = 100 if number % 2 else 100_000
@@ -81,12 +84,12 @@
 REPLICA_STATES = st.none() | st.tuples(st.integers(1, 2), st.booleans())
 
 
-class SlowStartRampsTest(unittest.TestCase):
+class SlowStartTrackerTest(unittest.TestCase):
     @settings(derandomize=True, deadline=None)
     @given(st.lists(st.tuples(st.floats(0, 6), REPLICA_STATES), min_size=1, max_size=12))
-    def test_shares_against_a_history(self, steps) -> None:
-        """The oracle: seconds since the last change that makes a replica cold."""
-        tracker, now, before, began = SlowStartTracker(), 100.0, None, None
+    def test_shares_match_oracle(self, steps) -> None:
+        """The oracle computes the share from the time since the slow start last began."""
+        tracker, now, before, started = SlowStartTracker(), 100.0, None, None
         for number, (pause, state) in enumerate(steps):
             now += pause
             other = loaded("b")
@@ -94,18 +97,18 @@
             tracker.apply_view(view_of(plan), now)
             tracker.start_clock("a", "talk", now)
             if state is not None:
-                came = before is None or before[0] != state[0]
-                emptied = before is not None and state[1] and not before[1]
-                if (came and (number > 0 or state[1])) or emptied:
-                    began = now
-                elif came:
-                    began = None
-                share = 1.0 if began is None else min(1.0, 0.05 ** (1 - (now - began) / 10))
+                is_new = before is None or before[0] != state[0]
+                lost_cache = before is not None and state[1] and not before[1]
+                if (is_new and (number > 0 or state[1])) or lost_cache:
+                    started = now
+                elif is_new:
+                    started = None
+                share = 1.0 if started is None else min(1.0, 0.05 ** (1 - (now - started) / 10))
                 self.assertAlmostEqual(tracker.replica_share("a", "talk", now), share)
             self.assertEqual(tracker.replica_share("b", "talk", now), 1.0)
             before = state
 
-    def test_a_second_model_keeps_the_first_one_warm(self) -> None:
+    def test_loading_a_second_model_keeps_the_first_at_full_share(self) -> None:
         tracker = SlowStartTracker()
         tracker.apply_view(view_of([loaded("a")]), 1.0)
         both = ["talk", "other"]
@@ -114,7 +117,7 @@
         self.assertEqual(tracker.replica_share("a", "talk", 2.0), 1.0)
         self.assertEqual(tracker.replica_share("a", "other", 2.0), 0.05)
 
-    def test_a_model_that_rests_stays_warm(self) -> None:
+    def test_loaded_model_keeps_its_share_while_not_planned(self) -> None:
         tracker = SlowStartTracker()
         tracker.apply_view(view_of([loaded("a"), loaded("b")]), 1.0)
         tracker.apply_view(view_of([loaded("a", intended_models=[]), loaded("b")]), 2.0)
@@ -124,14 +127,14 @@
         tracker.apply_view(view_of([loaded("a"), loaded("b")]), 5.0)
         self.assertEqual(tracker.replica_share("a", "talk", 5.0), 0.05)
 
-    def test_time_without_traffic_warms_nothing(self) -> None:
+    def test_clock_starts_with_first_request(self) -> None:
         tracker = SlowStartTracker()
         tracker.apply_view(view_of([loaded("b")]), 1.0)
         tracker.apply_view(view_of([loaded("a", True), loaded("b")]), 2.0)
         tracker.start_clock("a", "talk", 60.0)
         self.assertEqual(tracker.replica_share("a", "talk", 60.0), 0.05)
 
-    def test_a_region_whose_only_replica_rested_cold_is_cold(self) -> None:
+    def test_region_with_suspended_slow_start_restarts_clock(self) -> None:
         tracker = SlowStartTracker()
         tracker.apply_view(view_of([loaded("a", True)]), 1.0)
         tracker.apply_view(view_of([loaded("a", True, intended_models=[])]), 2.0)
@@ -140,7 +143,7 @@
         view = view_of([loaded("a", True)])
         self.assertEqual(tracker.region_share(view.serving("talk"), "talk", 60.0), 0.05)
 
-    def test_what_others_have_warmed_is_warm(self) -> None:
+    def test_replica_warmed_by_other_fronts_has_full_share(self) -> None:
         tracker = SlowStartTracker()
         tracker.apply_view(view_of([loaded("b")]), 1.0)
         tracker.apply_view(view_of([loaded("b")]), 61.0)
@@ -152,7 +155,7 @@
 class RetryBudgetTest(unittest.TestCase):
     @settings(derandomize=True, deadline=None)
     @given(st.lists(st.booleans(), max_size=400), st.floats(0, 1))
-    def test_retries_are_a_share_of_traffic(self, tries, share) -> None:
+    def test_retries_stay_within_share_of_first_attempts(self, tries, share) -> None:
         budget, granted, firsts, now = RetryBudget(), 0, 0, 0.0
         for is_first in tries:
             now += 0.01
@@ -168,7 +171,7 @@
 class WaitQueueTest(unittest.TestCase):
     @settings(derandomize=True, deadline=None)
     @given(QUEUE_STEPS)
-    def test_against_a_sorted_list(self, steps) -> None:
+    def test_matches_sorted_list(self, steps) -> None:
         queue, oracle, capacity = WaitQueue(), [], 4
         for number, (step, priority, value) in enumerate(steps):
             if step == "add":
@@ -192,7 +195,7 @@
 
 
 class HealthTest(unittest.TestCase):
-    def test_ejections_grow_to_a_bound_and_end(self) -> None:
+    def test_ejections_grow_to_maximum_and_end_with_success(self) -> None:
         health, now, waits = ReplicaHealth(), 0.0, []
         for _ in range(6):
             self.assertTrue(health.failed(AttemptOutcome.CONNECT_FAILED, now, Random(1)))
@@ -206,7 +209,7 @@
         health.succeeded()
         self.assertFalse(health.on_probation)
 
-    def test_busy_and_cancelled_are_no_faults(self) -> None:
+    def test_busy_and_cancelled_do_not_count_as_failures(self) -> None:
         health = ReplicaHealth()
         for outcome in (AttemptOutcome.BUSY, AttemptOutcome.CANCELLED) * 9:
             self.assertFalse(health.failed(outcome, 1.0, Random(1)))
@@ -215,13 +218,13 @@
 
 
 class OverloadTest(unittest.TestCase):
-    def test_retry_after_grows_and_is_spread(self) -> None:
-        quiet, loaded = Overload(Random(1)), Overload(Random(1))
+    def test_retry_after_grows_and_is_jittered(self) -> None:
+        serving, refusing = Overload(Random(1)), Overload(Random(1))
         for _ in range(400):
-            quiet.record_served(1.0)
-        calm = {quiet.record_refusal(1.0) for _ in range(20)}
-        stormy = {loaded.record_refusal(1.0) for _ in range(200)}
-        self.assertLessEqual(max(calm), 2)
-        self.assertGreaterEqual(len(stormy), 4)
-        self.assertGreaterEqual(min(stormy | calm), 1)
-        self.assertLessEqual(max(stormy), 6)
+            serving.record_served(1.0)
+        low = {serving.record_refusal(1.0) for _ in range(20)}
+        high = {refusing.record_refusal(1.0) for _ in range(200)}
+        self.assertLessEqual(max(low), 2)
+        self.assertGreaterEqual(len(high), 4)
+        self.assertGreaterEqual(min(high | low), 1)
+        self.assertLessEqual(max(high), 6)
--- a/tests/test_front_path.py
+++ b/tests/test_front_path.py
@@ -22,9 +22,9 @@
 class ServingTest(unittest.TestCase):
     def setUp(self) -> None:
         self.front = FrontHarness()
-        self.front.usual()
+        self.front.set_up_site()
 
-    def test_whole_answer(self) -> None:
+    def test_complete_answer(self) -> None:
         self.front.generate()
         call = self.front.call()
         self.assertIn(self.front.replica_of(call), "ab")
@@ -32,7 +32,7 @@
         answer = document_of(self.front.complete(call, "x", "y"))
         self.assertEqual((answer["text"], answer["pieces"], answer["end"]), ("xy", 2, True))
 
-    def test_stream_ends_only_after_the_replicas_end(self) -> None:
+    def test_stream_ends_only_after_the_replica_ends_it(self) -> None:
         http_id = self.front.generate(stream=True)
         call = self.front.call()
         self.assertEqual(self.front.begin(call), [])
@@ -43,7 +43,7 @@
         self.assertEqual(json.loads(last[0].data)["pieces"], 1)
         self.assertEqual(last[0].request_id, http_id)
 
-    def test_break_after_the_first_byte_closes_without_end(self) -> None:
+    def test_failure_after_first_byte_aborts_stream(self) -> None:
         for state in (ev.SendState.RESPONDING, ev.SendState.MAYBE_SENT):
             self.front.generate(stream=True)
             call = self.front.call()
@@ -54,21 +54,21 @@
             self.assertNotIn("HttpStreamEnd", broken)
             self.assertNotIn("HttpCall", broken)
 
-    def test_caller_gone_cancels(self) -> None:
+    def test_caller_disconnect_cancels_attempt(self) -> None:
         http_id = self.front.generate(stream=True)
         call = self.front.call()
         effects = self.front.feed(ev.HttpRequestClosed(http_id))
         self.assertEqual(effects, [fx.CancelHttpCall(call.call_id)])
         self.assertEqual(self.front.by_name["generate"].active_requests(), 0)
 
-    def test_deadline_is_carried_on(self) -> None:
+    def test_deadline_is_passed_to_replica(self) -> None:
         self.front.generate(headers={"x-rooklug-deadline-ms": "1500"})
         call = self.front.call()
         self.assertEqual(call.headers["x-rooklug-deadline-ms"], "1500")
         self.assertAlmostEqual(call.deadline_s, 1.5)
         self.assertAlmostEqual(call.not_after, self.front.now + 1.5)
 
-    def test_given_up_at_once_when_it_may_have_run(self) -> None:
+    def test_possibly_run_request_is_answered_unknown_at_deadline(self) -> None:
         self.front.generate(headers={"x-rooklug-deadline-ms": "1500"})
         call = self.front.call()
         self.front.now += 1.5
@@ -79,7 +79,7 @@
 
 
 class RefusalTest(unittest.TestCase):
-    def test_no_plan_is_refused_with_a_second(self) -> None:
+    def test_without_a_plan_refused_with_retry_after(self) -> None:
         front = FrontHarness()
         front.configure()
         front.generate()
@@ -87,9 +87,9 @@
         self.assertEqual((answer.status, answer.headers["Retry-After"]), (503, "1"))
         self.assertEqual(document_of(front.last)["outcome"], "not_run")
 
-    def test_bad_input_is_a_typed_error(self) -> None:
+    def test_invalid_input_gets_error_code(self) -> None:
         front = FrontHarness()
-        front.usual()
+        front.set_up_site()
         front.generate("nothing")
         self.assertEqual(answer_of(front.last).status, 404)
         front.generate("results")
@@ -105,7 +105,7 @@
         front = FrontHarness()
         ready = ev.HttpRequestArrived(1, "GET", "/v1/ready", {}, {}, b"")
         self.assertEqual(answer_of(front.feed(ready)).status, 503)
-        front.usual()
+        front.set_up_site()
         self.assertEqual(answer_of(front.feed(ready)).status, 200)
         self.assertTrue(front.core_link.ready)
         front.generate()
@@ -119,10 +119,10 @@
         front.complete(call, "x")
         self.assertIn(fx.StopProcess(0, "drained"), front.advance(1))
 
-    def test_zone_emptied_is_not_ready(self) -> None:
+    def test_front_in_drained_zone_is_not_ready(self) -> None:
         front = FrontHarness()
-        front.usual()
-        front.empty_zones("n1")
+        front.set_up_site()
+        front.drain_zones("n1")
         ready = ev.HttpRequestArrived(1, "GET", "/v1/ready", {}, {}, b"")
         self.assertEqual(document_of(front.feed(ready))["reason"], "zone emptied")
         front.generate()
@@ -130,61 +130,61 @@
 
 
 class ViewTest(unittest.TestCase):
-    def test_two_topics_at_once(self) -> None:
-        """The event of the first comes when the keeper already holds the second."""
+    def test_queue_uses_newest_view_when_two_topics_change(self) -> None:
+        """When the first topic's event is handled, the view may already contain the second."""
         front = FrontHarness()
-        front.usual()
+        front.set_up_site()
         front.generate()
         while "HttpCall" in kinds(front.last):
             front.generate()
         older = front.by_name["routing-view"].view
-        keeper = front.by_name["routing-view"]
+        view_component = front.by_name["routing-view"]
         replicas = ReplicasBody([listed("d", "n1", "north")])
-        keeper.handle(TopicChanged("replicas", VersionMark(2, 1), replicas), front.now)
-        keeper.handle(TopicChanged("plan", VersionMark(2, 1),
+        view_component.handle(TopicChanged("replicas", VersionMark(2, 1), replicas), front.now)
+        view_component.handle(TopicChanged("plan", VersionMark(2, 1),
                                    PlanBody(1, [loaded("d")], [], "")), front.now)  # fmt: skip
         front.by_name["generate"].handle(RoutingViewChanged(older), front.now)
         calls = [effect for effect in front.advance(2) if isinstance(effect, fx.HttpCall)]
         self.assertEqual({front.replica_of(call) for call in calls}, {"d"})
 
-    def test_never_takes_an_older_topic(self) -> None:
+    def test_older_topic_version_is_ignored(self) -> None:
         front = FrontHarness()
-        front.usual()
-        front.empty_zones()
+        front.set_up_site()
+        front.drain_zones()
         self.assertEqual(front.topic("zones", ZonesBody(["n1"]), VersionMark(0, 9)), [])
         self.assertFalse(front.by_name["routing-view"].view.own_zone_drained)
 
 
 class HomeTest(unittest.TestCase):
-    def test_redirected_from_the_head_alone(self) -> None:
+    def test_redirected_before_the_body_is_read(self) -> None:
         front = FrontHarness()
-        front.usual()
+        front.set_up_site()
         front.generate("bound")
         answer = answer_of(front.last)
         self.assertEqual(answer.status, 307)
         self.assertEqual(document_of(front.last)["front"]["region"], "south")
         self.assertTrue(answer.headers["Location"].endswith("/v1/generate"))
 
-    def test_no_home_front_is_refused_not_carried(self) -> None:
+    def test_bound_route_without_home_front_is_refused(self) -> None:
         front = FrontHarness()
-        front.usual()
+        front.set_up_site()
         front.members(node("f1", "n1", "north"))
         front.generate("bound")
         self.assertEqual(answer_of(front.last).status, 503)
         self.assertEqual(document_of(front.last)["error"]["code"], "no_home")
 
-    def test_home_route_never_leaves_home(self) -> None:
+    def test_bound_route_is_not_served_outside_home(self) -> None:
         front = FrontHarness()
-        front.usual()
+        front.set_up_site()
         front.plan([], [])
         front.generate("home")
         self.assertEqual(document_of(front.last)["error"]["code"], "no_replica")
 
 
 class DemandTest(unittest.TestCase):
-    def test_demand_goes_to_the_placer(self) -> None:
+    def test_demand_is_reported_to_the_placer(self) -> None:
         front = FrontHarness()
-        front.usual()
+        front.set_up_site()
         front.advance(1.5)
         front.generate()
         front.complete(front.call(), "x", "y")
@@ -208,18 +208,18 @@
         )  # fmt: skip
         return front.feed(arrived)
 
-    def test_own_region_unless_home_forbids(self) -> None:
+    def test_own_region_unless_home_excludes_it(self) -> None:
         front = FrontHarness()
-        front.usual()
+        front.set_up_site()
         answer = document_of(self.ask(front, {"route": "banter"}))
         self.assertEqual(answer["front"]["region"], "north")
         answer = document_of(self.ask(front, {"route": "bound"}))
         self.assertEqual(answer["front"]["region"], "south")
         self.assertEqual(answer["alternatives"], [])
 
-    def test_unready_draining_and_emptied_fronts_are_not_named(self) -> None:
+    def test_unready_and_draining_fronts_and_drained_zones_are_not_named(self) -> None:
         front = FrontHarness()
-        front.usual()
+        front.set_up_site()
         front.members(
             node("f1", "n1", "north", ready=False),
             node("f22", "n2", "north", draining=True),
@@ -227,11 +227,11 @@
         )
         self.assertEqual(document_of(self.ask(front, {"route": "banter"}))["front"]["node_id"],
                          "f333")  # fmt: skip
-        front.empty_zones("s1")
+        front.drain_zones("s1")
         self.assertEqual(answer_of(self.ask(front, {"route": "banter"})).status, 503)
 
-    def test_unknown_and_invalid(self) -> None:
+    def test_unknown_route_and_invalid_body(self) -> None:
         front = FrontHarness()
-        front.usual()
+        front.set_up_site()
         self.assertEqual(answer_of(self.ask(front, {"route": "x"})).status, 404)
         self.assertEqual(answer_of(self.ask(front, {})).status, 400)
--- a/tests/test_front_promises.py
+++ b/tests/test_front_promises.py
@@ -1,6 +1,7 @@
-"""Random events against an oracle that sees only what callers and replicas see.
+"""Invariants of the front under random events, checked by an oracle outside the front.
 
-Each guard is then switched off: the oracle, or the named test, must event (mutations).
+The oracle sees only what callers and replicas see. The mutation test then disables one guard of
+the front after the other: the oracle, or the named test, must fail each time.
 """
 
 import json
@@ -32,12 +33,23 @@
 
 
 class World:
-    """One front, scripted replicas, and the oracle's notes of both."""
+    """One front with scripted replicas, and the oracle's record of both.
+
+    Attributes:
+        open: Calls in flight at replicas, with the number of pieces sent so far.
+        calls_of: Ids of the calls of each request, by request id.
+        may_have_run: Ids of the calls that may have run at their replica.
+        scripts: Pieces that the replica has sent, by call id.
+        streamed: Bytes sent to each caller, by HTTP id.
+        finals: Final answer of each caller, None after a disconnect, by HTTP id.
+        forbidden: Replicas that must not get new requests under the present view.
+        seen: Number of effects that have been checked.
+    """
 
     def __init__(self, seed: int) -> None:
         self.random = Random(seed)
         self.front = FrontHarness(seed)
-        self.front.usual()
+        self.front.set_up_site()
         self.open: dict[int, int] = {}
         self.calls_of: dict[str, list[int]] = {}
         self.may_have_run: set[int] = set()
@@ -48,17 +60,17 @@
         self.seen = len(self.front.effects)
 
     def run(self, steps: int) -> None:
-        actions = [self.send, self.answer, self.spoil, self.leave, self.pass_time,
-                   self.change_view]  # fmt: skip
+        actions = [self.send, self.answer, self.inject_fault, self.disconnect_caller,
+                   self.pass_time, self.change_view]  # fmt: skip
         for _ in range(steps):
             self.random.choices(actions, [8, 30, 4, 1, 4, 1])[0]()
-            self.observe()
+            self.check_new_effects()
         for call_id in list(self.open):
             self.end_call(call_id, ev.HttpFailed(call_id, "end", ev.SendState.MAYBE_SENT))
-            self.observe()
+            self.check_new_effects()
         self.front.advance(60)
-        self.observe()
-        self.settle()
+        self.check_new_effects()
+        self.check_settled()
 
     def send(self) -> None:
         self.front.generate(
@@ -84,7 +96,7 @@
         self.open[call_id] += 1
         self.front.lines(call, piece, start=sent)
 
-    def spoil(self) -> None:
+    def inject_fault(self) -> None:
         if not self.open:
             return
         call_id = self.random.choice(sorted(self.open))
@@ -106,7 +118,7 @@
             self.may_have_run.add(call_id)
             self.end_call(call_id, ev.HttpFailed(call_id, "", ev.SendState.MAYBE_SENT))
 
-    def leave(self) -> None:
+    def disconnect_caller(self) -> None:
         waiting = [http_id for http_id in self.streamed if http_id not in self.finals]
         if waiting:
             http_id = self.random.choice(waiting)
@@ -117,13 +129,16 @@
         self.front.advance(self.random.choice([0.01, 0.1, 1.0]))
 
     def change_view(self) -> None:
-        """Replicas leave, unload, come cold, or zones are emptied; nothing of it is allowed."""
+        """Publish a random view: replicas leave, unload, restart or warm up, zones are drained.
+
+        Replicas that leave, unload or are in drained zones become ``forbidden``.
+        """
         leaving, unloaded = (set(self.random.sample("abc", self.random.randrange(2)))
                              for _ in range(2))  # fmt: skip
-        emptied = self.random.sample(["n2", "s1"], self.random.randrange(2))
-        self.observe()
-        self.forbidden = leaving | unloaded | {n for n in "abc" if ZONES[n][0] in emptied}
-        self.front.empty_zones(*emptied)
+        drained = self.random.sample(["n2", "s1"], self.random.randrange(2))
+        self.check_new_effects()
+        self.forbidden = leaving | unloaded | {n for n in "abc" if ZONES[n][0] in drained}
+        self.front.drain_zones(*drained)
         self.front.replicas(*(listed(n, *ZONES[n], leaving=n in leaving) for n in "abc"))
         incarnation = str(self.random.randrange(3))
         replicas = [
@@ -140,14 +155,14 @@
         if event is not None:
             self.front.feed(event)
 
-    def observe(self) -> None:
-        """Judge the new effects."""
+    def check_new_effects(self) -> None:
+        """Check the effects that the front has returned since the last check."""
         new, self.seen = self.front.effects[self.seen :], len(self.front.effects)
         for effect in new:
             if isinstance(effect, fx.ReadRequestBody):
                 self.streamed[effect.request_id] = b""
             elif isinstance(effect, fx.HttpCall):
-                self.judge_call(effect)
+                self.check_call(effect)
             elif isinstance(effect, fx.CancelHttpCall):
                 self.may_have_run.add(effect.call_id)
                 self.open.pop(effect.call_id, None)
@@ -159,9 +174,9 @@
             elif isinstance(effect, FINAL):
                 assert effect.request_id not in self.finals, "two final answers"
                 self.finals[effect.request_id] = effect
-                self.judge_final(effect)
+                self.check_final(effect)
 
-    def judge_call(self, call: fx.HttpCall) -> None:
+    def check_call(self, call: fx.HttpCall) -> None:
         replica = self.front.replica_of(call)
         assert replica not in self.forbidden, "sent where nothing new may go"
         if call.headers["x-rooklug-route"] == "home":
@@ -172,7 +187,7 @@
         self.open[call.call_id] = 0
         self.scripts[call.call_id] = []
 
-    def judge_final(self, answer: fx.Effect) -> None:
+    def check_final(self, answer: fx.Effect) -> None:
         calls = self.calls_of.get(f"r{answer.request_id}", [])
         scripts = [self.scripts[call_id] for call_id in calls]
         if isinstance(answer, fx.HttpStreamEnd):
@@ -186,15 +201,15 @@
             assert answer.status == 307 or int(answer.headers["Retry-After"]) >= 1
 
     def streamed_pieces(self, http_id: int) -> list[str]:
-        """Return the pieces that went to a caller; they must be the beginning of one run."""
+        """Return the pieces sent to a caller; they must be a prefix of one replica's answer."""
         lines = [json.loads(line) for line in self.streamed[http_id].split(b"\n") if line]
         pieces = [line["piece"] for line in lines if "piece" in line]
         scripts = [self.scripts[call_id] for call_id in self.calls_of[f"r{http_id}"]]
         assert any(pieces == script[: len(pieces)] for script in scripts), "spliced"
         return pieces
 
-    def settle(self) -> None:
-        """In the end every request is answered and nothing is counted as running."""
+    def check_settled(self) -> None:
+        """Check that every request has a final answer and that nothing is counted as running."""
         generate = self.front.by_name["generate"]
         assert set(self.streamed) <= set(self.finals), "no final answer"
         assert generate.active_requests() == 0
@@ -208,16 +223,16 @@
         World(seed).run(150)
 
 
-class PromisesTest(unittest.TestCase):
-    def test_random_events(self) -> None:
+class InvariantsTest(unittest.TestCase):
+    def test_invariants_hold_under_random_events(self) -> None:
         run_worlds(range(40))
 
 
-def forget_failures(self, request, outcome, reason, now, *, may_have_run, cancel=False):
+def report_not_run(self, request, outcome, reason, now, *, may_have_run, cancel=False):
     return ORIGINAL_FAIL(self, request, outcome, reason, now, may_have_run=False, cancel=cancel)
 
 
-def trust_line(self, line, texts):
+def accept_line(self, line, texts):
     document = json.loads(line)
     if "end" in document:
         self._end_line = line + b"\n"
@@ -228,58 +243,59 @@
 
 ORIGINAL_FAIL = AttemptRunner._fail
 ORIGINAL_PROGRESS = SlowStartTracker._next_progress
-# (what is switched off, where, its name, the replacement, the test that must fail)
+# (guard, its class or module, its name, the replacement, the test that must fail or None for the
+# random events)
 MUTATIONS = [
-    ("stream check", StreamChecker, "_check", trust_line, None),
-    ("not run is certain", AttemptRunner, "_fail", forget_failures, None),
+    ("stream check", StreamChecker, "_check", accept_line, None),
+    ("not run is certain", AttemptRunner, "_fail", report_not_run, None),
     ("no retry after a byte", ActiveRequest, "answer_started", property(lambda s: False,
      lambda s, value: None), None),
     ("plan's intention", view_building, "_serving_by_model",
      lambda listed, plan, region_of: {"talk": tuple(
-         view_building._serving_replica(one, told, region_of(one.zone, one.region))
-         for one in listed for told in (plan.replicas if plan else ())
-         if told.replica_id == one.replica_id)}, None),
+         view_building._serving_replica(one, reported, region_of(one.zone, one.region))
+         for one in listed for reported in (plan.replicas if plan else ())
+         if reported.replica_id == one.replica_id)}, None),
     ("home of the matrix", RoutingView, "destinations",
      lambda self, route, source: self._unplanned(source, ()), None),
     ("slots given back", Decision, "record_end", lambda self, report, now: None, None),
     ("leaving the queue", WaitQueue, "remove", lambda self, http_id: True, None),
     ("home from the head", RoutingView, "serves_home", lambda self, route: True,
-     path.HomeTest("test_redirected_from_the_head_alone")),
+     path.HomeTest("test_redirected_before_the_body_is_read")),
     ("slow start", SlowStartTracker, "replica_share", lambda *arguments: 1.0,
-     balancing.SlowStartTest("test_a_cold_replica_gets_a_trickle_then_its_share")),
+     balancing.SlowStartTest("test_replica_in_slow_start_gets_growing_share")),
     ("ramp by incarnation", SlowStartTracker, "_next_progress",
      lambda self, known, replica, now, **options:
      known or ORIGINAL_PROGRESS(self, known, replica, now, **options),
-     balancing.SlowStartTest("test_a_second_loss_begins_at_the_bottom")),
+     balancing.SlowStartTest("test_second_loss_restarts_slow_start")),
     ("region ramp", SlowStartTracker, "region_share", lambda *arguments: 1.0,
-     balancing.SlowStartTest("test_a_repaired_region_gets_a_trickle")),
+     balancing.SlowStartTest("test_returning_region_gets_slow_start_share")),
     ("absolute cold measure", SlowStartAdmission, "has_capacity_token", lambda *arguments: True,
-     balancing.SlowStartTest("test_cold_fleet_serves_a_quarter_in_time")),
+     balancing.SlowStartTest("test_fleet_entirely_in_slow_start_ramps_up")),
     ("relative cold measure", SlowStartAdmission, "has_earned", lambda *arguments: True,
-     balancing.SlowStartTest("test_much_room_does_not_lift_the_trickle")),
+     balancing.SlowStartTest("test_high_concurrency_does_not_raise_slow_start_share")),
     ("ejection", ReplicaHealth, "failed", lambda *arguments: False,
-     balancing.RetryTest("test_refused_connection_is_tried_elsewhere_and_ejects")),
+     balancing.RetryTest("test_connect_failure_retries_elsewhere_and_ejects")),
     ("keep trying", Balancer, "_usable", lambda self, replicas, model, now: [
         r for r in replicas if not self.states[r].health.is_ejected(now)],
-     balancing.RetryTest("test_one_failing_front_keeps_trying")),
+     balancing.RetryTest("test_requests_continue_when_all_replicas_are_ejected")),
     ("retry budget", RetryBudget, "try_spend", lambda self, now: True,
-     balancing.RetryTest("test_budget_ends_a_retry_storm")),
+     balancing.RetryTest("test_budget_limits_retry_storm")),
     ("spill bound", Balancer, "_spill_allowed", lambda *arguments: True,
-     balancing.MatrixTest("test_spill_stays_within_the_weights")),
+     balancing.MatrixTest("test_spill_is_limited_by_spill_weight")),
     ("bounded affinity", Balancer, "_choose_at_full_share", lambda self, placement, replicas:
      self._ordered(placement, replicas)[0],
-     balancing.AffinityTest("test_hot_parts_stay_below_the_bounded_share")),
+     balancing.AffinityTest("test_popular_prefix_stays_within_bounded_share")),
     ("table's home", AffinityTable, "apply_view", lambda self, view: None,
-     balancing.AffinityTest("test_bound_parts_are_dropped_when_the_home_moves")),
+     balancing.AffinityTest("test_blocks_of_bound_route_are_dropped_when_home_moves")),
     ("stalls", AttemptRunner, "fail_if_stalled", lambda *arguments: None,
-     balancing.RetryTest("test_silent_replica_is_left_before_its_first_piece")),
+     balancing.RetryTest("test_attempt_without_first_chunk_times_out")),
     ("wait bound", WaitQueue, "take_expired", lambda *arguments: [],
-     balancing.QueueTest("test_refused_at_the_wait_bound_and_when_full")),
+     balancing.QueueTest("test_refused_after_maximum_wait_and_when_full")),
 ]  # fmt: skip
 
 
 class MutationTest(unittest.TestCase):
-    def is_noticed(self, test: unittest.TestCase | None) -> bool:
+    def is_detected(self, test: unittest.TestCase | None) -> bool:
         if test is not None:
             result = unittest.TestResult()
             test.run(result)
@@ -290,10 +306,10 @@
             return True
         return False
 
-    def test_each_guard_matters(self) -> None:
-        unnoticed = []
+    def test_each_disabled_guard_is_detected(self) -> None:
+        undetected = []
         for name, owner, attribute, replacement, test in MUTATIONS:
             with mock.patch.object(owner, attribute, replacement):
-                if not self.is_noticed(test):
-                    unnoticed.append(name)
-        self.assertEqual(unnoticed, [])
+                if not self.is_detected(test):
+                    undetected.append(name)
+        self.assertEqual(undetected, [])
--- a/tests/test_front_streams.py
+++ b/tests/test_front_streams.py
@@ -1,4 +1,4 @@
-"""The stream checker against an oracle: only a whole, unmixed stream of one request passes."""
+"""The stream checker accepts only a complete stream of one request, with its lines in order."""
 
 import json
 import unittest
@@ -22,12 +22,12 @@
 
 
 def check(data: bytes, cuts: list[int]) -> tuple[bool, list[str], bytes]:
-    """Feed data cut at ``cuts``; return (complete, texts, forwarded bytes)."""
+    """Feed ``data`` in chunks cut at ``cuts``; return (complete, texts, forwarded bytes)."""
     checker = StreamChecker("r")
     texts: list[str] = []
     forwarded = b""
-    marks = [0, *sorted(cut % (len(data) + 1) for cut in cuts), len(data)]
-    for begin, end in pairwise(marks):
+    bounds = [0, *sorted(cut % (len(data) + 1) for cut in cuts), len(data)]
+    for begin, end in pairwise(bounds):
         checked = checker.feed(data[begin:end])
         if isinstance(checked, StreamFault):
             return False, texts, forwarded
@@ -40,13 +40,13 @@
 class StreamCheckerTest(unittest.TestCase):
     @settings(derandomize=True, deadline=None)
     @given(PIECES, st.lists(st.integers(min_value=0, max_value=999), max_size=5))
-    def test_good_streams_pass_however_they_are_cut(self, pieces, cuts) -> None:
+    def test_valid_streams_pass_for_any_chunking(self, pieces, cuts) -> None:
         data = b"".join(line + b"\n" for line in stream_lines(pieces))
         self.assertEqual(check(data, cuts), (True, pieces, data))
 
     @settings(derandomize=True, deadline=None, max_examples=300)
     @given(PIECES, PIECES, st.data())
-    def test_any_other_order_of_lines_breaks(self, pieces, others, data) -> None:
+    def test_any_other_sequence_of_lines_is_a_fault(self, pieces, others, data) -> None:
         own = stream_lines(pieces)
         foreign = stream_lines(others, "other")
         chosen = data.draw(st.lists(st.sampled_from(own + foreign), max_size=9))
@@ -56,16 +56,16 @@
 
     @settings(derandomize=True, deadline=None)
     @given(PIECES, st.integers(min_value=1, max_value=400))
-    def test_a_cut_end_is_never_complete(self, pieces, missing) -> None:
+    def test_truncated_stream_is_never_complete(self, pieces, missing) -> None:
         data = b"".join(line + b"\n" for line in stream_lines(pieces))
         self.assertFalse(check(data[:-1][: -min(missing, len(data) - 1)], [])[0])
 
     @settings(derandomize=True, deadline=None)
     @given(st.binary(max_size=60))
-    def test_garbage_is_a_value(self, data) -> None:
+    def test_arbitrary_bytes_are_a_fault_not_an_exception(self, data) -> None:
         self.assertFalse(check(data + b"\n", [])[0])
 
-    def test_odd_lines_break(self) -> None:
+    def test_malformed_lines_are_faults(self) -> None:
         for line in (
             b"[" * 100_000,
             b'{"request_id":"r","index":true,"piece":""}',
--- a/tests/test_once_front.py
+++ b/tests/test_once_front.py
@@ -1,4 +1,4 @@
-"""A front's answers from the head, its bounded memory, and the claim store's file."""
+"""A front's answers to invalid or misplaced requests, its bounded memory, the store's file."""
 
 import json
 import unittest
@@ -55,9 +55,9 @@
 
 
 class Front:
-    """The part of one front in alexandria; the route's homes are given."""
+    """The once-only component of a front in region alexandria, for given home regions."""
 
-    def __init__(self, homes: list[str], emptied: frozenset = frozenset()) -> None:
+    def __init__(self, homes: list[str], drained_zones: frozenset = frozenset()) -> None:
         document = json.loads(read_example("payroll"))
         document["routes"]["payslip-lookup"]["home_regions"] = homes
         nodes = (
@@ -67,7 +67,7 @@
         sources = ViewSources(
             configuration=read_configuration(json.dumps(document).encode()).ok,
             nodes=nodes,
-            drained_zones=emptied,
+            drained_zones=drained_zones,
             replicas=(),
         )
         context = ProcessContext("front-1", "i", Random(1), Identifiers())
@@ -85,32 +85,32 @@
 
 
 class HeadTest(unittest.TestCase):
-    def test_inside_the_home_the_body_is_read(self) -> None:
+    def test_inside_home_the_body_is_read(self) -> None:
         self.assertEqual(Front(["alexandria"]).head(HEADERS), [fx.ReadRequestBody(1)])
         self.assertEqual(Front([]).head(HEADERS), [fx.ReadRequestBody(1)])
 
-    def test_outside_the_home_it_goes_elsewhere_from_the_head(self) -> None:
+    def test_outside_home_redirected_from_the_headers(self) -> None:
         answer = Front(["cairo"]).head(HEADERS)[0]
         self.assertEqual(
             (answer.status, answer.headers["Location"]), (307, "http://front-2:2/v1/once")
         )
         self.assertEqual(json.loads(answer.body)["error"]["code"], "go_elsewhere")
 
-    def test_without_a_front_at_home_it_is_refused(self) -> None:
-        front = Front(["cairo"], emptied=frozenset({"cairo-a"}))
+    def test_without_a_front_in_home_it_is_refused(self) -> None:
+        front = Front(["cairo"], drained_zones=frozenset({"cairo-a"}))
         answer = front.head(HEADERS)[0]
         self.assertEqual((answer.status, json.loads(answer.body)["outcome"]), (504, "unknown"))
         first = front.head({**HEADERS, "x-rooklug-attempt": "1"})[0]
         self.assertEqual((first.status, json.loads(first.body)["outcome"]), (503, "not_run"))
         self.assertEqual(first.headers["Retry-After"], "1")
 
-    def test_a_front_that_goes_sends_callers_on(self) -> None:
+    def test_draining_front_redirects(self) -> None:
         self.assertEqual(Front([], frozenset({"alexandria-a"})).head(HEADERS)[0].status, 307)
         front = Front([])
         front.component.handle(DrainingStarted(), 0.0)
         self.assertEqual(front.head(HEADERS)[0].status, 307)
 
-    def test_faults_of_the_head(self) -> None:
+    def test_invalid_headers_are_rejected(self) -> None:
         cases = [
             ({"x-rooklug-route": "payslip-lookup"}, 400),
             ({**HEADERS, "x-rooklug-key": "k" * 201}, 400),
@@ -125,20 +125,20 @@
             self.assertEqual(answer.status, status, headers)
             self.assertNotIn("outcome", json.loads(answer.body))
 
-    def test_faults_of_the_body(self) -> None:
+    def test_invalid_bodies_are_rejected(self) -> None:
         deep = b"[" * (MAX_JSON_DEPTH + 1) + b"]" * (MAX_JSON_DEPTH + 1)
         for data in (b"", b"{", b"[NaN]", b"\xff", deep):
             self.assertEqual(Front([]).body(data)[0].status, 400, data)
 
-    def test_a_key_is_claimed_before_anything_is_written(self) -> None:
+    def test_nothing_is_written_before_the_claim(self) -> None:
         effects = Front([]).body(b'{"id": 90071992547409931234}')
         self.assertFalse([e for e in effects if not isinstance(e, fx.StartTimer)])
 
     def test_before_the_first_configuration(self) -> None:
         context = ProcessContext("front-1", "i", Random(1), Identifiers())
-        part = OnceOnlyComponent(context, FakeLink(), AttemptTable("front-1", "i"))
+        component = OnceOnlyComponent(context, FakeLink(), AttemptTable("front-1", "i"))
         event = ev.HttpRequestArrived(1, "POST", "/v1/once", {}, HEADERS, b"", True)
-        self.assertEqual(part.handle(event, 0.0)[0].status, 504)
+        self.assertEqual(component.handle(event, 0.0)[0].status, 504)
 
 
 def claim(key: int, sequence: int = 1, attempt: int = 1, counter: int = 1) -> claims.ClaimRecord:
@@ -147,7 +147,7 @@
 
 
 class MemoryTest(unittest.TestCase):
-    def test_results_are_dropped_before_outcomes(self) -> None:
+    def test_results_are_evicted_before_outcomes(self) -> None:
         memory = OutcomeMemory()
         with (
             patch.object(outcome_memory, "MAX_STORED_RESULT_BYTES", 10),
@@ -160,7 +160,7 @@
         self.assertEqual([s.state for s in states], ["unknown"] * 2 + ["done"] * 3)
         self.assertEqual([s.result for s in states], [b"", b"", b"", b"12345", b"12345"])
 
-    def test_too_large_a_result_is_not_kept(self) -> None:
+    def test_result_above_size_limit_is_not_stored(self) -> None:
         memory = OutcomeMemory()
         result = b"1" * (limits.MAX_RESULT_BYTES + 1)
         memory.put(Outcome(0, claim(1), b"p", AttemptState.DONE, result))
@@ -174,7 +174,7 @@
         found = [table.find(key.to_bytes(16, "big")) is not None for key in range(10)]
         self.assertEqual([key for key in range(10) if found[key]], [3, 4, 9])
 
-    def test_of_two_claims_of_a_key_the_higher_one_counts(self) -> None:
+    def test_merge_keeps_the_higher_claim_of_a_key(self) -> None:
         table = ShardTable()
         table.merge([claim(1, 5, counter=1), claim(1, 2, counter=2), claim(1, 7, counter=1)])
         self.assertEqual(table.find((1).to_bytes(16, "big")).claim, claim(1, 2, counter=2))
@@ -194,8 +194,8 @@
 class StoreFileTest(unittest.TestCase):
     @settings(derandomize=True, deadline=None, max_examples=200)
     @given(st.lists(_ENTRIES, max_size=40))
-    def test_the_rewritten_file_gives_the_same_state(self, entries: list) -> None:
-        """The oracle keeps, for each key, the highest claim ever written."""
+    def test_rewritten_file_restores_the_same_state(self, entries: list) -> None:
+        """The oracle keeps the highest claim that was written for each key."""
         shard, oracle = StoredShard(), {}
         for entry in entries:
             shard.apply(entry)
@@ -218,8 +218,8 @@
         started = ev.Started({claims_file(1): records}, "disk", problem)
         return store, store.handle(started, 0.0)
 
-    def ask(self, store: ClaimStore, request: object) -> object:
-        """Return the answer, after the write if there is one."""
+    def call(self, store: ClaimStore, request: object) -> object:
+        """Return the store's answer to a call, which must wait for the write if there is one."""
         effects = store.handle(ev.CallArrived(7, "front-1", request), 0.0)
         for effect in effects:
             if isinstance(effect, fx.WriteRecords):
@@ -227,7 +227,7 @@
                 effects = store.handle(ev.WriteFinished(effect.ticket, 0.0), 0.0)
         return effects[0].answer
 
-    def test_a_file_that_cannot_be_trusted_is_not_intact(self) -> None:
+    def test_unusable_file_is_not_intact(self) -> None:
         good = (encode(claim_entry(1, encode(claim(1)))), encode(intact_entry(1)))
         token = wire.VersionMark(1, 1)
         request = claims.ReadClaimsRequest(1, token)
@@ -238,10 +238,10 @@
             ((), "blank", False),
         ):
             store, _ = self.store(records, problem)
-            answer = self.ask(store, request)
+            answer = self.call(store, request)
             self.assertEqual((answer.intact, len(answer.claims)), (intact, int(intact)))
 
-    def test_a_failed_write_ends_the_trust(self) -> None:
+    def test_failed_write_makes_the_store_not_intact(self) -> None:
         good = (encode(intact_entry(1)),)
         store, _ = self.store(good)
         token = wire.VersionMark(1, 1)
@@ -249,16 +249,16 @@
         effects = store.handle(ev.CallArrived(7, "front-1", request), 0.0)
         effects = store.handle(ev.WriteFailed(effects[0].ticket, "no space"), 0.0)
         self.assertFalse(effects[-1].answer.recorded)
-        self.assertFalse(self.ask(store, claims.ReadClaimsRequest(1, token)).intact)
+        self.assertFalse(self.call(store, claims.ReadClaimsRequest(1, token)).intact)
 
-    def test_a_restore_meant_for_an_earlier_loss_is_refused(self) -> None:
+    def test_restore_for_another_incarnation_is_refused(self) -> None:
         store, _ = self.store()
         token = wire.VersionMark(1, 1)
         late = claims.RestoreClaimsRequest(1, token, "another incarnation", [])
-        self.assertFalse(self.ask(store, late).recorded)
+        self.assertFalse(self.call(store, late).recorded)
         right = claims.RestoreClaimsRequest(1, token, "incarnation", [encode(claim(1))])
-        self.assertTrue(self.ask(store, right).recorded)
-        self.assertTrue(self.ask(store, claims.ReadClaimsRequest(1, token)).intact)
+        self.assertTrue(self.call(store, right).recorded)
+        self.assertTrue(self.call(store, claims.ReadClaimsRequest(1, token)).intact)
 
     def test_a_long_file_is_rewritten(self) -> None:
         store, _ = self.store((encode(intact_entry(1)),))
--- a/tests/test_once_scenarios.py
+++ b/tests/test_once_scenarios.py
@@ -1,4 +1,4 @@
-"""Once-only requests: one fault at a time, at the worst moment."""
+"""Once-only requests with one fault at a time, injected at the most critical moment."""
 
 import json
 import unittest
@@ -13,8 +13,8 @@
 KEY = "key-under-test"
 
 
-def quiet_site(seed: int = 1) -> Site:
-    """Return a site that has started and has no traffic."""
+def idle_site(seed: int = 1) -> Site:
+    """Return a site whose first start is complete and that has no traffic."""
     site = Site(seed)
     site.calling = False
     site.world.run_for(FIRST_START_S)
@@ -26,20 +26,22 @@
         self.assertEqual(site.violations(), [])
         self.assertEqual(len(site.executions), runs)
 
-    def sent(self, site: Site, front: str, seconds: float = 6.0) -> str:
-        sending = site.send(KEY, front)
+    def submit(self, site: Site, front: str, seconds: float = 6.0) -> str:
+        submission = site.send(KEY, front)
         site.world.run_for(seconds)
-        return sending.outcome
+        return submission.outcome
 
     def test_repeat_at_any_front_gets_the_same_result(self) -> None:
-        site = quiet_site()
+        site = idle_site()
         for front in sorted(site.fronts):
-            self.assertEqual(self.sent(site, front, 0.5), "done")
-        self.assertEqual([sending.repeated for sending in site.sendings], [False] + [True] * 5)
+            self.assertEqual(self.submit(site, front, 0.5), "done")
+        self.assertEqual(
+            [submission.repeated for submission in site.submissions], [False] + [True] * 5
+        )
         self.check(site, runs=1)
 
     def test_repeat_while_running_waits_for_the_result(self) -> None:
-        site = quiet_site()
+        site = idle_site()
         site.late_share = 1.0
         front, other = site.fronts_beside()[:2]
         first = site.send(KEY, front)
@@ -51,40 +53,40 @@
         self.assertTrue(second.repeated)
         self.check(site, runs=1)
 
-    def test_given_up_is_answered_at_the_deadline_and_not_later(self) -> None:
-        site = quiet_site()
+    def test_lost_back_end_answer_is_unknown_at_once(self) -> None:
+        site = idle_site()
         site.lost_share = 0.5
-        sending = site.send(KEY, site.fronts_beside()[0])
+        submission = site.send(KEY, site.fronts_beside()[0])
         site.world.run_for(6.0)
-        self.assertEqual(sending.outcome, "unknown")
-        self.assertLess(sending.ended - sending.started, 0.2)
+        self.assertEqual(submission.outcome, "unknown")
+        self.assertLess(submission.ended - submission.started, 0.2)
         self.check(site, runs=1)
 
     def test_no_back_end_is_not_run_and_a_repeat_runs(self) -> None:
-        site = quiet_site()
+        site = idle_site()
         backends = [site.world.processes[f"backend-{zone}"] for zone in (1, 2, 3)]
         for backend in backends:
             site.world.kill(backend)
         front, other = site.fronts_beside()[:2]
-        self.assertEqual(self.sent(site, front), "not_run")
-        self.assertLess(site.sendings[0].ended - site.sendings[0].started, 1.0)
+        self.assertEqual(self.submit(site, front), "not_run")
+        self.assertLess(site.submissions[0].ended - site.submissions[0].started, 1.0)
         for backend in backends:
             site.world.restart(backend)
-        self.assertEqual(self.sent(site, other), "done")
+        self.assertEqual(self.submit(site, other), "done")
         self.check(site, runs=1)
 
-    def test_asker_dies_after_the_run_and_the_copy_answers(self) -> None:
-        site = quiet_site()
+    def test_requesting_front_crashes_and_result_replica_answers(self) -> None:
+        site = idle_site()
         front = site.fronts_beside(site.owner_of(KEY))[0]
-        self.assertEqual(self.sent(site, front, 0.5), "done")
+        self.assertEqual(self.submit(site, front, 0.5), "done")
         site.world.kill(site.fronts[front])
         site.world.run_for(4.0)
         for other in site.fronts_beside(front):
-            self.assertEqual(self.sent(site, other, 1.0), "done")
+            self.assertEqual(self.submit(site, other, 1.0), "done")
         self.check(site, runs=1)
 
-    def test_asker_dies_in_the_middle_of_the_run(self) -> None:
-        site = quiet_site()
+    def test_requesting_front_crashes_during_the_run(self) -> None:
+        site = idle_site()
         site.late_share = 1.0
         front, other = site.fronts_beside(site.owner_of(KEY))[:2]
         site.send(KEY, front)
@@ -92,44 +94,44 @@
         site.world.kill(site.fronts[front])
         site.world.restart(site.fronts[front])
         site.world.run_for(1.0)
-        self.assertEqual(self.sent(site, other), "unknown")
+        self.assertEqual(self.submit(site, other), "unknown")
         self.check(site, runs=1)
 
-    def test_owner_dies_and_its_successor_knows(self) -> None:
-        site = quiet_site()
+    def test_owner_crashes_and_its_successor_knows_the_claim(self) -> None:
+        site = idle_site()
         owner = site.owner_of(KEY)
         front, other = site.fronts_beside(owner)[:2]
-        self.assertEqual(self.sent(site, front, 0.5), "done")
+        self.assertEqual(self.submit(site, front, 0.5), "done")
         site.world.kill(site.fronts[owner])
-        self.assertEqual(self.sent(site, other), "done")
-        self.assertTrue(site.sendings[-1].repeated)
+        self.assertEqual(self.submit(site, other), "done")
+        self.assertTrue(site.submissions[-1].repeated)
         self.check(site, runs=1)
 
     def test_new_keys_wait_for_a_new_owner(self) -> None:
-        site = quiet_site()
+        site = idle_site()
         owner = site.owner_of(KEY)
         site.world.kill(site.fronts[owner])
-        self.assertEqual(self.sent(site, site.fronts_beside(owner)[0]), "done")
+        self.assertEqual(self.submit(site, site.fronts_beside(owner)[0]), "done")
         self.check(site, runs=1)
 
-    def test_everything_dies_and_the_disks_remember(self) -> None:
-        site = quiet_site()
+    def test_everything_crashes_and_claims_survive_on_disk(self) -> None:
+        site = idle_site()
         front, other = site.fronts_beside()[:2]
-        self.assertEqual(self.sent(site, front, 0.5), "done")
+        self.assertEqual(self.submit(site, front, 0.5), "done")
         everything = [*site.fronts.values(), *site.stores.values()]
         for process in everything:
             site.world.kill(process)
         for process in everything:
             site.world.restart(process)
         site.world.run_for(4.0)
-        self.assertEqual(self.sent(site, other), "unknown")
+        self.assertEqual(self.submit(site, other), "unknown")
         site.send("another key", other)
         site.world.run_for(1.0)
-        self.assertEqual(site.sendings[-1].outcome, "done")
+        self.assertEqual(site.submissions[-1].outcome, "done")
         self.check(site, runs=2)
 
-    def test_frozen_asker_writes_nothing_late(self) -> None:
-        site = quiet_site()
+    def test_frozen_front_does_not_write_late(self) -> None:
+        site = idle_site()
         front, other = site.fronts_beside(site.owner_of(KEY))[:2]
         site.send(KEY, front)
         site.world.run_for(0.002)
@@ -138,13 +140,13 @@
         site.fronts[front].thaw()
         site.world.run_for(1.0)
         self.check(site, runs=0)
-        self.assertEqual(self.sent(site, other), "done")
+        self.assertEqual(self.submit(site, other), "done")
         self.check(site, runs=1)
 
-    def test_lost_disk_is_restored_and_then_counts(self) -> None:
-        site = quiet_site()
+    def test_lost_disk_is_restored_and_counts_for_the_quorum(self) -> None:
+        site = idle_site()
         front, other = site.fronts_beside(site.owner_of(KEY))[:2]
-        self.assertEqual(self.sent(site, front, 0.5), "done")
+        self.assertEqual(self.submit(site, front, 0.5), "done")
         stores = list(site.stores.values())
         site.world.kill(stores[0])
         stores[0].disk.lose()
@@ -153,63 +155,65 @@
         site.world.machine_fails(stores[1])
         site.world.kill(site.fronts[site.owner_of(KEY)])
         site.world.run_for(4.0)
-        self.assertEqual(self.sent(site, other), "done")
+        self.assertEqual(self.submit(site, other), "done")
         self.check(site, runs=1)
 
-    def test_all_stores_blank_and_the_fronts_tell(self) -> None:
-        site = quiet_site()
+    def test_all_disks_lost_and_claims_recovered_from_fronts(self) -> None:
+        site = idle_site()
         front = site.fronts_beside()[0]
-        self.assertEqual(self.sent(site, front, 0.5), "done")
+        self.assertEqual(self.submit(site, front, 0.5), "done")
         for store in site.stores.values():
             site.world.kill(store)
             store.disk.lose()
             site.world.restart(store)
         site.move_role(shard_of(ROUTE, KEY), site.fronts_beside(site.owner_of(KEY))[0])
         site.world.run_for(8.0)
-        self.assertEqual(self.sent(site, site.fronts_beside()[1]), "done")
-        self.assertTrue(site.sendings[-1].repeated)
+        self.assertEqual(self.submit(site, site.fronts_beside()[1]), "done")
+        self.assertTrue(site.submissions[-1].repeated)
         self.check(site, runs=1)
 
     def test_stalled_disk_of_one_store_delays_nothing(self) -> None:
-        site = quiet_site()
+        site = idle_site()
         site.stores["store-1"].disk.stalled_until = site.world.now + 20.0
-        self.assertEqual(self.sent(site, site.fronts_beside()[0], 0.5), "done")
+        self.assertEqual(self.submit(site, site.fronts_beside()[0], 0.5), "done")
         self.check(site, runs=1)
 
     def test_without_stores_nothing_runs(self) -> None:
-        site = quiet_site()
+        site = idle_site()
         for store in site.stores.values():
             site.world.kill(store)
-        sending = site.send(KEY, site.fronts_beside()[0])
+        submission = site.send(KEY, site.fronts_beside()[0])
         site.world.run_for(6.0)
-        self.assertEqual(sending.outcome, "not_run")
-        self.assertLess(sending.ended - sending.started, 4.1)
+        self.assertEqual(submission.outcome, "not_run")
+        self.assertLess(submission.ended - submission.started, 4.1)
         self.check(site, runs=0)
 
-    def test_in_a_long_outage_refusals_come_at_once(self) -> None:
-        site = quiet_site()
+    def test_long_outage_is_refused_at_once(self) -> None:
+        site = idle_site()
         for store in site.stores.values():
             site.world.kill(store)
         front = site.fronts_beside()[0]
         keys = [f"key-{number}" for number in range(400)]
         of_one_shard = [key for key in keys if shard_of(ROUTE, key) == shard_of(ROUTE, KEY)]
-        sendings = []
+        submissions = []
         for key in of_one_shard[:8]:
-            sendings.append(site.send(key, front))
+            submissions.append(site.send(key, front))
             site.world.run_for(1.0)
         site.world.run_for(3.0)
-        # A caller may itself have hung up ("lost") on one of the first, that still waited.
-        self.assertLessEqual({sending.outcome for sending in sendings}, {"not_run", "lost"})
-        for sending in sendings[-2:]:
-            self.assertEqual(sending.outcome, "not_run")
-            self.assertLess(sending.ended - sending.started, 0.2)
+        # Callers may have timed out themselves ("lost") while the first ones still waited.
+        self.assertLessEqual(
+            {submission.outcome for submission in submissions}, {"not_run", "lost"}
+        )
+        for submission in submissions[-2:]:
+            self.assertEqual(submission.outcome, "not_run")
+            self.assertLess(submission.ended - submission.started, 0.2)
         for store in site.stores.values():
             site.world.restart(store)
         site.world.run_for(1.0)
-        self.assertEqual(self.sent(site, front), "done")
+        self.assertEqual(self.submit(site, front), "done")
         self.assertEqual(site.violations(), [])
 
-    def test_a_bound_route_stays_at_home(self) -> None:
+    def test_bound_route_stays_in_home(self) -> None:
         document = json.loads(read_example("payroll"))
         document["routes"][ROUTE]["home_regions"] = ["cairo"]
         site = Site(1, json.dumps(document).encode())
@@ -222,30 +226,30 @@
             outcomes = len(front.reducer.components["claim-outcomes"]._attempts.memory)
             self.assertEqual(outcomes > 0, front.place.region == "cairo", name)
         elsewhere = {
-            sending.outcome
-            for sending in site.sendings
-            if site.fronts[sending.front].place.region != "cairo"
-            and sending.started > FIRST_START_S
+            submission.outcome
+            for submission in site.submissions
+            if site.fronts[submission.front].place.region != "cairo"
+            and submission.started > FIRST_START_S
         }
         self.assertEqual(elsewhere, {"status 307"})
 
     def test_key_with_another_payload_is_refused(self) -> None:
-        site = quiet_site()
+        site = idle_site()
         first, second = site.fronts_beside()[:2]
-        self.assertEqual(self.sent(site, first, 0.5), "done")
+        self.assertEqual(self.submit(site, first, 0.5), "done")
         site.payload = b'{"asked": "something else"}'
-        self.assertEqual(self.sent(site, second, 0.5), "status 409")
+        self.assertEqual(self.submit(site, second, 0.5), "status 409")
         site.payload = b'{ "asked":"key-under-test" }'
-        self.assertEqual(self.sent(site, second, 0.5), "done")
+        self.assertEqual(self.submit(site, second, 0.5), "done")
         self.check(site, runs=1)
 
 
 class GuardTest(unittest.TestCase):
-    """Each run is whole with its guard, and breaks a promise without it."""
+    """Each scenario has no violations, but has some when its guard is disabled."""
 
     def violations_with(self, scenario, mutation: AbstractContextManager) -> list[str]:
         with mutation:
-            site = quiet_site()
+            site = idle_site()
             scenario(site)
         return site.violations()
 
@@ -253,7 +257,7 @@
         self.assertEqual(self.violations_with(scenario, nullcontext()), [])
         self.assertNotEqual(self.violations_with(scenario, mutation), [])
 
-    def test_fence_stops_the_owner_before(self) -> None:
+    def test_fence_stops_the_previous_owner(self) -> None:
         self.assert_guards(lambda site: self.two_owners(site, False), mutations.without_fence())
 
     def test_fence_survives_a_restart_of_the_stores(self) -> None:
@@ -261,7 +265,7 @@
         self.assert_guards(lambda site: self.two_owners(site, True), mutation)
 
     def two_owners(self, site: Site, restart_stores: bool) -> None:
-        """A front that is cut off still asks the owner before, which still has its lease."""
+        """A front cut off from the core still asks the previous owner, whose lease is valid."""
         old = site.owner_of(KEY)
         stale, fresh, new = site.fronts_beside(old)[:3]
         site.cut_from_core |= {old, stale}
@@ -274,18 +278,18 @@
         site.send(KEY, fresh)
         site.world.run_for(6.0)
 
-    def test_grant_follows_the_record(self) -> None:
+    def test_claim_is_granted_only_once_recorded(self) -> None:
         def scenario(site: Site) -> None:
             old = site.owner_of(KEY)
-            asker, other = site.fronts_beside(old)[:2]
+            requester, other = site.fronts_beside(old)[:2]
             places = [store.place for store in site.stores.values()]
-            places = [place for place in places if place.ip != site.fronts[asker].place.ip]
+            places = [place for place in places if place.ip != site.fronts[requester].place.ip]
             site.world.network.cut([site.fronts[old].place], places)
             site.world.kill(site.stores["store-1"])
-            site.send(KEY, asker)
+            site.send(KEY, requester)
             site.world.run_for(0.5)
             site.world.kill(site.fronts[old])
-            site.world.kill(site.fronts[asker])
+            site.world.kill(site.fronts[requester])
             site.world.restart(site.stores["store-1"])
             site.world.run_for(5.0)
             site.send(KEY, other)
@@ -293,16 +297,16 @@
 
         self.assert_guards(scenario, mutations.with_grant_before_record())
 
-    def test_blank_store_does_not_vouch(self) -> None:
+    def test_store_that_lost_its_disk_is_not_trusted(self) -> None:
         def scenario(site: Site) -> None:
             one, two, three = (site.stores[f"store-{zone}"] for zone in (1, 2, 3))
             old = site.owner_of(KEY)
-            asker, other = site.fronts_beside(old)[:2]
+            requester, other = site.fronts_beside(old)[:2]
             site.world.kill(one)
-            site.send(KEY, asker)
+            site.send(KEY, requester)
             site.world.run_for(0.5)
             site.world.kill(site.fronts[old])
-            site.world.kill(site.fronts[asker])
+            site.world.kill(site.fronts[requester])
             site.world.restart(one)
             site.world.kill(two)
             two.disk.lose()
@@ -312,4 +316,4 @@
             site.send(KEY, other)
             site.world.run_for(6.0)
 
-        self.assert_guards(scenario, mutations.with_blank_stores_trusted())
+        self.assert_guards(scenario, mutations.with_damaged_stores_trusted())
--- a/tests/test_once_simulated.py
+++ b/tests/test_once_simulated.py
@@ -1,4 +1,4 @@
-"""Once-only requests under faults, in virtual time, judged from outside."""
+"""Once-only requests in virtual time without faults, checked by the oracle of the site."""
 
 import unittest
 
@@ -7,8 +7,8 @@
 FIRST_START_S = 7.0
 
 
-class QuietTest(unittest.TestCase):
-    def test_all_keys_are_done_and_run_once(self) -> None:
+class WithoutFaultsTest(unittest.TestCase):
+    def test_every_key_runs_once_and_is_done(self) -> None:
         site = Site(1)
         site.calling = False
         site.world.run_for(FIRST_START_S)
