--- a/rooklug/front/balancer.py
+++ b/rooklug/front/balancer.py
@@ -22,6 +22,7 @@
 
 HASH_RANGE = 2.0**64
 LOST_AFTER_EJECTIONS = 2
+# How long no requests for a model go to a replica that has refused one as not loaded.
 UNLOADED_BACKOFF_S = 1.0
 BACKOFF_JITTER = 0.25
 
--- a/rooklug/front/decision.py
+++ b/rooklug/front/decision.py
@@ -51,7 +51,7 @@
         self._overload = Overload(random)
         self.draining = False
 
-    def view_changed(self, view: RoutingView, now: float) -> None:
+    def apply_view(self, view: RoutingView, now: float) -> None:
         """Update the balancer's replica states for a new view."""
         self._balancer.apply_view(view, now)
 
--- a/rooklug/front/directory.py
+++ b/rooklug/front/directory.py
@@ -12,6 +12,7 @@
 from rooklug.front.view_component import RoutingViewComponent
 
 WHERE_PATH = "/v1/where"
+# How long clients may use an answer before they ask again.
 VALID_S = 5
 MAX_ALTERNATIVES = 2
 
--- a/rooklug/front/executor.py
+++ b/rooklug/front/executor.py
@@ -29,6 +29,7 @@
 AttemptEvent = ev.HttpBodyChunk | ev.HttpResponseStarted | ev.HttpResponseCompleted | ev.HttpFailed
 """Events of a call to a replica."""
 ALREADY_QUEUED = QueueOutlook(ahead=0, has_capacity=True)
+"""Outlook of a request that is in the queue: it may go on waiting there."""
 
 
 class GenerateComponent(BaseComponent):
@@ -83,7 +84,7 @@
             case ev.Started():
                 return [fx.StartTimer(SWEEP_TIMER, SWEEP_INTERVAL_S)]
             case RoutingViewChanged():
-                self._decision.view_changed(self._view_component.view, now)
+                self._decision.apply_view(self._view_component.view, now)
                 return self._process_queue(now)
             case DrainingStarted():
                 self._decision.draining = True
--- a/rooklug/front/limits.py
+++ b/rooklug/front/limits.py
@@ -2,16 +2,20 @@
 
 import attrs
 
+# Weights of the latest wait in the moving averages.
 RECENT_RATIO_WEIGHT = 0.2
 USUAL_WAIT_WEIGHT = 0.02
+# Recent waits may be this many times the usual ones before the limit shrinks.
 LATENCY_TOLERANCE = 1.5
 MIN_GRADIENT = 0.5
 GROWTH_STEP = 1.0
 LIMIT_SMOOTHING = 0.2
 BUSY_FACTOR = 0.7
 TIMEOUT_FACTOR = 0.5
+# Added to both waits of a ratio, so that differences between very short waits don't count.
 WAIT_SLACK_S = 0.02
 
+# Most retries that the budget can save up, and retries earned without any traffic.
 RETRY_BURST = 10.0
 RETRY_FLOOR_PER_S = 0.5
 
--- a/rooklug/front/once_only/claim_requester.py
+++ b/rooklug/front/once_only/claim_requester.py
@@ -28,7 +28,7 @@
     ClaimStatusRequest,
 )
 
-NEXT_TIMER = "next:"
+RETRY_TIMER = "next:"
 
 
 @attrs.frozen
@@ -221,7 +221,7 @@
 
     @staticmethod
     def _schedule_retry(attempt: Attempt, delay_s: float) -> fx.StartTimer:
-        return fx.StartTimer(f"{NEXT_TIMER}{attempt.number}", delay_s)
+        return fx.StartTimer(f"{RETRY_TIMER}{attempt.number}", delay_s)
 
 
 def _is_waiting_for(attempt: Attempt, competing_claim: ClaimRecord) -> bool:
--- a/rooklug/front/once_only/once_only_component.py
+++ b/rooklug/front/once_only/once_only_component.py
@@ -18,7 +18,7 @@
 from rooklug.front.once_only.attempt_table import AttemptTable
 from rooklug.front.once_only.backend import backend_call, result_of
 from rooklug.front.once_only.claim_requester import (
-    NEXT_TIMER,
+    RETRY_TIMER,
     AlreadyDone,
     ClaimRequester,
     ClaimResolution,
@@ -243,8 +243,8 @@
     # Timers and final answers ------------------------------------------------------------
 
     def _on_timer(self, name: str, now: float) -> list[fx.Effect]:
-        if name.startswith(NEXT_TIMER):
-            attempt = self._attempts.live(int(name.removeprefix(NEXT_TIMER)))
+        if name.startswith(RETRY_TIMER):
+            attempt = self._attempts.live(int(name.removeprefix(RETRY_TIMER)))
             return self._claim_requester.proceed(attempt, now) if attempt else []
         attempt = self._attempts.live(int(name.removeprefix(DEADLINE_TIMER)))
         if attempt is None:
@@ -279,7 +279,7 @@
     ) -> list[fx.Effect]:
         self._attempts.finish(attempt, state, result)
         return [
-            fx.CancelTimer(f"{NEXT_TIMER}{attempt.number}"),
+            fx.CancelTimer(f"{RETRY_TIMER}{attempt.number}"),
             fx.CancelTimer(f"{DEADLINE_TIMER}{attempt.number}"),
         ]
 
--- a/rooklug/front/overload.py
+++ b/rooklug/front/overload.py
@@ -5,6 +5,7 @@
 
 DECAY_TIME_S = 5.0
 MIN_RETRY_AFTER_S = 1
+# Added to the mean ``Retry-After`` when all requests are refused.
 OVERLOAD_ADDED_S = 3.0
 JITTER = 0.5
 MIN_COUNT_FOR_RATE = 3.0
--- a/rooklug/front/replica_states.py
+++ b/rooklug/front/replica_states.py
@@ -13,7 +13,8 @@
 
 DEFAULT_DURATION_S = 1.0
 DURATION_WEIGHT = 0.1
-RECENT_LOAD_S = 10.0
+RECENT_LOAD_DECAY_S = 10.0
+# A new replica's limit starts at this multiple of an even share among all fronts.
 INITIAL_SHARE_FACTOR = 2.0
 PROBATION_LIMIT = 1
 
@@ -23,7 +24,7 @@
     """State of one incarnation of a replica.
 
     ``in_flight`` counts attempts of this front only. The recent load is the number of load
-    tokens sent there, decaying with the time constant ``RECENT_LOAD_S``.
+    tokens sent there, decaying with the time constant ``RECENT_LOAD_DECAY_S``.
     """
 
     incarnation: str
@@ -52,7 +53,7 @@
 
     def recent_load(self, now: float) -> float:
         """Return the decayed number of load tokens sent there."""
-        return self._recent_load * exp((self._recent_at - now) / RECENT_LOAD_S)
+        return self._recent_load * exp((self._recent_at - now) / RECENT_LOAD_DECAY_S)
 
     def record_completion(self, elapsed_s: float) -> None:
         """Record a complete answer in health and average duration."""
