--- a/rooklug/core/change_history.py
+++ b/rooklug/core/change_history.py
@@ -84,7 +84,7 @@
     def classify_change(
         self, version: int, digest: str, base_version: int | None
     ) -> Classification:
-        """Classify a change; ``base_version`` is None if it doesn't depend on the newest one."""
+        """Classify a change; ``base_version`` is None if it doesn't depend on a base."""
         pending = self._changes.get(version)
         if pending is not None:
             return _repeat_or_conflict(
--- a/rooklug/core/changes.py
+++ b/rooklug/core/changes.py
@@ -2,7 +2,7 @@
 
 A change that is appended and may still commit is never answered as rejected: if the primary
 steps down before the commit, the outcome is ``UNKNOWN``. ``UNAVAILABLE`` means that this request
-certainly has no effect, so that the operator may safely send it again.
+certainly has no effect.
 """
 
 import hashlib
--- a/rooklug/core/disk.py
+++ b/rooklug/core/disk.py
@@ -26,7 +26,7 @@
 
     def __init__(self, outbox: Outbox) -> None:
         self._outbox = outbox
-        self._issued: dict[int, float] = {}
+        self._in_flight: dict[int, float] = {}
         self._barriers: list[Barrier] = []
         self.broken = ""
 
@@ -48,14 +48,14 @@
         """Run ``then`` once all writes issued so far are synced; at once if none is in flight."""
         if self.broken:
             return
-        if self._issued:
-            self._barriers.append(Barrier(set(self._issued), then))
+        if self._in_flight:
+            self._barriers.append(Barrier(set(self._in_flight), then))
         else:
             then(now)
 
     def on_write_finished(self, ticket: int, now: float) -> None:
         """Handle a completed write; run the continuations that waited only for it."""
-        if self._issued.pop(ticket, None) is None or self.broken:
+        if self._in_flight.pop(ticket, None) is None or self.broken:
             return
         ready = []
         for barrier in self._barriers:
@@ -73,11 +73,11 @@
 
     def oldest_write_age_s(self, now: float) -> float:
         """Return the age of the oldest write in flight in seconds, 0 if there is none."""
-        return now - min(self._issued.values()) if self._issued else 0.0
+        return now - min(self._in_flight.values()) if self._in_flight else 0.0
 
     def _issue(self, now: float, then: Continuation | None) -> int:
         ticket = self._outbox.identifiers.next()
-        self._issued[ticket] = now
+        self._in_flight[ticket] = now
         if then is not None:
             self._barriers.append(Barrier({ticket}, then))
         return ticket
--- a/rooklug/core/follower.py
+++ b/rooklug/core/follower.py
@@ -6,6 +6,7 @@
 from rooklug.core.types import Position
 
 NEVER = float("-inf")
+"""The monotonic time of an event that has not happened."""
 
 
 @attrs.define(eq=False)
--- a/rooklug/core/recovery.py
+++ b/rooklug/core/recovery.py
@@ -27,7 +27,7 @@
 from rooklug.core.witness import Witness
 from rooklug.wire.generated.core import ttypes as wire
 
-AnswerTo = Callable[[wire.RecoverAnswer], None]
+SendAnswer = Callable[[wire.RecoverAnswer], None]
 
 
 class RecoveryOutcome(Enum):
@@ -62,7 +62,7 @@
     ``completed`` counts the calls that have ended, answered or not.
     """
 
-    answer: AnswerTo
+    answer: SendAnswer
     confirmed_plan: str
     survivors: dict[str, Survivor] = attrs.field(factory=dict)
     completed: int = 0
@@ -94,7 +94,7 @@
         """Handle a recover request that came as a call."""
         self.begin(request.confirmed_plan, lambda answer: self._outbox.answer(call_id, answer), now)
 
-    def begin(self, confirmed_plan: str, answer: AnswerTo, now: float) -> None:
+    def begin(self, confirmed_plan: str, answer: SendAnswer, now: float) -> None:
         """Read the other cores' state, then plan or execute; ``answer`` is called once."""
         survey = Survey(answer, confirmed_plan)
         if self._has_primary(now):
--- a/rooklug/core/replicator.py
+++ b/rooklug/core/replicator.py
@@ -52,7 +52,7 @@
         self._store = store
         self._on_progress = on_progress
         self._on_refused = on_refused
-        self._lease_until = lease_expires_at
+        self._lease_expires_at = lease_expires_at
         self._writing = False
         self.view: View | None = None
         self.followers: dict[str, Follower] = {}
@@ -94,7 +94,7 @@
         return self.view
 
     def replicate(self, now: float) -> None:
-        """Send the entries that are missing there to the own disk and to each follower."""
+        """Write new entries to this core's disk and send each follower the next message."""
         if self.view is None:
             return
         self._write_own(now)
@@ -116,7 +116,7 @@
         return [follower for follower in self.followers.values() if not follower.in_sync]
 
     def overdue(self, now: float) -> frozenset[str]:
-        """Return the in-sync followers whose answer is later than ``answer_timeout_s``."""
+        """Return the in-sync followers that have owed an answer for ``answer_timeout_s``."""
         return frozenset(
             follower.core_id
             for follower in self.in_sync_followers()
@@ -133,7 +133,7 @@
         )
 
     def record_contact(self, follower: Follower, disk: MemberDisk, now: float) -> None:
-        """Record contact; an in-sync follower with a new disk has lost the old one: overdue."""
+        """Record contact; an in-sync follower with a new disk lost its log: overdue at once."""
         follower.last_contact_at = now
         if follower.in_sync and not self.led_view.has(disk):
             follower.awaiting_answer_since = now
@@ -159,11 +159,11 @@
         if follower.transfer is not None:
             self._send_chunk(follower, follower.transfer, now)
         elif not follower.log_compared:
-            self._send_start(follower, now)
+            self._send_start_view(follower, now)
         elif follower.acknowledged < self._store.last.sequence:
             self._send_entries(follower, now)
 
-    def _send_start(self, follower: Follower, now: float) -> None:
+    def _send_start_view(self, follower: Follower, now: float) -> None:
         log = self._store.log
         request = wire.StartViewRequest(
             view=view_to_wire(self.led_view),
@@ -171,9 +171,11 @@
             runs=runs_to_wire(log.runs()),
             last=position_to_wire(log.last),
         )
-        self._send(follower, request, MESSAGE_DEADLINE_S, self._on_started, now)
+        self._send(follower, request, MESSAGE_DEADLINE_S, self._on_view_started, now)
 
-    def _on_started(self, follower: Follower, answer: wire.StartViewAnswer, now: float) -> bool:
+    def _on_view_started(
+        self, follower: Follower, answer: wire.StartViewAnswer, now: float
+    ) -> bool:
         if answer.needs_snapshot and not follower.in_sync:
             records = self._store.snapshot_records()
             follower.transfer = SnapshotTransfer(self._store.state.position, records[1:])
@@ -191,7 +193,7 @@
         previous = log.position_at(follower.acknowledged)
         if previous is None:
             follower.log_compared = False
-            self._send_start(follower, now)
+            self._send_start_view(follower, now)
             return
         entries = _batch(log.after(follower.acknowledged))
         request = wire.AppendRequest(
@@ -268,7 +270,7 @@
                 follower.transfer = None
 
         address = self._peers.address(follower.core_id)
-        not_after = self._lease_until()
+        not_after = self._lease_expires_at()
         self._outbox.call(address, request, deadline_s, answered, failed, not_after)
 
 
--- a/rooklug/core/witness.py
+++ b/rooklug/core/witness.py
@@ -26,6 +26,7 @@
 from rooklug.wire.generated.core import ttypes as wire
 
 NEVER = float("-inf")
+"""The monotonic time of an event that has not happened."""
 
 
 class Witness:
--- a/tests/core_oracle.py
+++ b/tests/core_oracle.py
@@ -72,19 +72,19 @@
         """Every core commits the same entries, at any time."""
         store = core.component.store
         key = (core.core_id, core.incarnation)
-        done = self._checked.get(key, store.log.base.sequence)
-        for entry in store.log.between(max(done, store.log.base.sequence), store.committed):
+        checked = self._checked.get(key, store.log.base.sequence)
+        for entry in store.log.between(max(checked, store.log.base.sequence), store.committed):
             data = encode(entry)
             known = self.committed.setdefault(entry.sequence, data)
             self.check(known == data, f"two entries committed with sequence {entry.sequence}")
-        self._checked[key] = max(done, store.committed)
+        self._checked[key] = max(checked, store.committed)
 
     def _check_events(self, core: Core) -> None:
         """No core announces an older configuration after a newer one, or two for one version."""
         key = (core.core_id, core.incarnation)
-        done, newest = self._announced.get(key, (0, (0, 0)))
+        checked, newest = self._announced.get(key, (0, (0, 0)))
         seen = core.recorder.seen
-        for _, event in seen[done:]:
+        for _, event in seen[checked:]:
             if isinstance(event, internal.ConfigurationCommitted):
                 mark = (event.version.epoch, event.version.counter)
                 self.check(mark > newest, f"{core.core_id} announced the older version {mark}")
@@ -181,15 +181,17 @@
             cluster.run(cluster.now + 120.0, all_in_sync),
             "not all cores came in sync after the faults had ended",
         )
-        self._check_table(cluster.primary())
+        self._check_accepted_changes(cluster.primary())
         self._check_resent()
 
-    def _check_table(self, primary: Core) -> None:
-        table = {v: d.hex() for v, d in primary.component.store.state.changes.items()}
+    def _check_accepted_changes(self, primary: Core) -> None:
+        accepted_changes = {v: d.hex() for v, d in primary.component.store.state.changes.items()}
         for version, digest in sorted(self.acknowledged.items()):
-            self.check(table.get(version) == digest, f"acknowledged version {version} is lost")
+            self.check(
+                accepted_changes.get(version) == digest, f"acknowledged version {version} is lost"
+            )
         for change in self.changes:
-            taken = table.get(change.version) == digest_of(change.body)
+            taken = accepted_changes.get(change.version) == digest_of(change.body)
             outcomes = {answer.outcome for answer in change.answers}
             certain = len(change.answers) == change.sent and outcomes <= FINAL_OUTCOMES - {
                 "accepted"
--- a/tests/stored_data.py
+++ b/tests/stored_data.py
@@ -41,10 +41,10 @@
 DATA = Path(__file__).resolve().parent / "data"
 FRAMES_FILE = DATA / "frames.json"
 CLAIMS_FILE = DATA / "claim-store.json"
-CUT_LOG_FILE = DATA / "cut-log.json"
+TRUNCATED_LOG_FILE = DATA / "cut-log.json"
 FOLDERS = DATA / "core-folders"
 SAMPLE_NUMBER = 7
-LONGEST_DEPTH = 4
+MAX_NESTING_DEPTH = 4
 
 
 def sample(struct_class: type, depth: int = 0) -> Any:
@@ -67,7 +67,7 @@
     if kind == TType.STRING:
         return b"bytes %d" % number if argument == "BINARY" else f"text {number}"
     if kind == TType.STRUCT:
-        return sample(argument[0], depth + 1) if depth < LONGEST_DEPTH else None
+        return sample(argument[0], depth + 1) if depth < MAX_NESTING_DEPTH else None
     if kind in (TType.LIST, TType.SET):
         return [_sample_value(argument[0], argument[1], number, depth)]
     if kind == TType.MAP:
@@ -136,7 +136,7 @@
     return identities
 
 
-def cut_log() -> list[str]:
+def truncated_log() -> list[str]:
     """Return the records of a log whose uncommitted tail was truncated and written again."""
     outbox = Outbox(Identifiers(itertools.count(1)))
     store = ReplicaStore(Disk(outbox))
@@ -202,7 +202,7 @@
     write_folders(FOLDERS)
     for path, content in (
         (FRAMES_FILE, frames()),
-        (CUT_LOG_FILE, cut_log()),
+        (TRUNCATED_LOG_FILE, truncated_log()),
         (CLAIMS_FILE, claim_store_files()),
     ):
         path.write_text(json.dumps(content, indent=1, sort_keys=True) + "\n")
--- a/tests/test_core_disks.py
+++ b/tests/test_core_disks.py
@@ -68,8 +68,8 @@
 
     def test_snapshot_transfer_in_chunks(self) -> None:
         small_file = mock.patch("rooklug.core.store.REWRITE_BYTES", 1500)
-        small_parts = mock.patch("rooklug.core.control_state.CHANGES_PER_CHUNK", 3)
-        with small_file, small_parts:
+        small_chunks = mock.patch("rooklug.core.control_state.CHANGES_PER_CHUNK", 3)
+        with small_file, small_chunks:
             cluster = started()
             for version in range(1, 21):
                 ask(cluster, "core-a", change(version, b"{%d}" % version))
--- a/tests/test_core_exploration.py
+++ b/tests/test_core_exploration.py
@@ -50,7 +50,7 @@
         self.assertGreaterEqual(self.explore(start).states, LIMIT)
 
 
-def _votes_at_once(state: WitnessState, others: Any) -> WitnessState:
+def _vote_immediately(state: WitnessState, others: Any) -> WitnessState:
     return attrs.evolve(state, voting=True)
 
 
@@ -59,7 +59,7 @@
     return View(epoch, own.voter.core_id, tuple(sorted(disks)))
 
 
-def _every_voter_joins(epoch: int, own: Promise, others: list[Promise]) -> View | None:
+def _admit_every_voter(epoch: int, own: Promise, others: list[Promise]) -> View | None:
     view = CHOOSE_VIEW(epoch, own, others)
     disks = [own.voter, *(other.voter for other in others)]
     return view and attrs.evolve(view, in_sync=tuple(sorted(disks)))
@@ -69,7 +69,7 @@
     return True
 
 
-def _cut_at_any_time(member: Member, epoch: int) -> bool:
+def _truncate_at_any_time(member: Member, epoch: int) -> bool:
     return False
 
 
@@ -91,11 +91,11 @@
 
     def test_late_start_view_truncates_nothing_of_its_own_epoch(self) -> None:
         start = first_world(Budget(1, 1, 0, 0))
-        self.caught(core_exploration, "may_skip_comparison", _cut_at_any_time, start)
+        self.caught(core_exploration, "may_skip_comparison", _truncate_at_any_time, start)
 
     def test_core_with_a_lost_disk_reads_other_witnesses_before_it_votes(self) -> None:
         start = world_after_failover(Budget(1, 0, 0, 1))
-        self.caught(witness_rules, "recover_vote", _votes_at_once, start)
+        self.caught(witness_rules, "recover_vote", _vote_immediately, start)
 
     def test_only_a_core_with_an_in_sync_disk_leads(self) -> None:
         start = world_after_failover(Budget(1, 0, 0, 0))
@@ -103,7 +103,7 @@
 
     def test_only_a_disk_with_an_equal_log_is_admitted(self) -> None:
         start = world_after_failover(Budget(2, 0, 0, 0))
-        self.caught(witness_rules, "choose_view", _every_voter_joins, start)
+        self.caught(witness_rules, "choose_view", _admit_every_voter, start)
 
     def test_primary_neither_appends_nor_commits_after_a_partial_view_change(self) -> None:
         start = world_after_partial_view_change(Budget(1, 1, 0, 0))
--- a/tests/test_core_faults.py
+++ b/tests/test_core_faults.py
@@ -64,7 +64,7 @@
         self.caught(core_mutations.KEEP_NEWEST_IDENTITY_ONLY)
 
 
-def survives_a_power_cut() -> None:
+def check_acknowledged_change_survives_power_cut() -> None:
     """Crash all cores while a backup's disk stalls; an acknowledged change must survive."""
     for seed in range(6):
         cluster = started(seed)
@@ -108,11 +108,11 @@
         self.assertTrue(granted.granted)
 
     def test_answers_are_sent_after_the_sync(self) -> None:
-        survives_a_power_cut()
+        check_acknowledged_change_survives_power_cut()
         mutation = core_mutations.ANSWER_BEFORE_SYNC
         replaced = mock.patch.object(mutation.owner, mutation.name, mutation.replacement)
         with replaced, self.assertRaises(BrokenGuaranteeError):
-            survives_a_power_cut()
+            check_acknowledged_change_survives_power_cut()
 
 
 class LateMessageTest(unittest.TestCase):
--- a/tests/test_core_member_exploration.py
+++ b/tests/test_core_member_exploration.py
@@ -18,21 +18,23 @@
 STEPS = 30
 # The numbers of proposals that a, b, c and d may start.
 CHANGE_AND_RIVAL = (1, 1, 0, 0)
-CHANGE_SETTLED_AND_RIVAL = (2, 1, 0, 0)
+CHANGE_COMPLETED_AND_RIVAL = (2, 1, 0, 0)
 CHANGE_AND_LEAVER = (2, 0, 1, 0)
 
 
-def _without_the_old(latest: Any, view: Any) -> tuple:
+def _new_members_only(latest: Any, view: Any) -> tuple:
     return exploration.electorates(view)[:1]
 
 
-def _at_once(*arguments: Any, **options: Any) -> Any:
+def _change_in_one_view(*arguments: Any, **options: Any) -> Any:
     """Change the members in a single view, which only the new members choose."""
     view = CHOOSE_VIEW(*arguments, **options)
     return view and attrs.evolve(view, previous=())
 
 
-def _settled_unseen(epoch: int, own: Any, others: Any, excluded: Any, change: Any, _: Any) -> Any:
+def _treat_newest_as_chosen(
+    epoch: int, own: Any, others: Any, excluded: Any, change: Any, _: Any
+) -> Any:
     """Treat the newest known view as chosen, although it may not be."""
     newest = witness_rules.newest_view(own, others)
     return CHOOSE_VIEW(epoch, own, others, excluded, change, newest)
@@ -47,7 +49,7 @@
         self.assertGreater(chosen, 1)
 
     def test_random_walks_from_a_partial_change(self) -> None:
-        for rounds in (CHANGE_AND_RIVAL, CHANGE_SETTLED_AND_RIVAL, CHANGE_AND_LEAVER):
+        for rounds in (CHANGE_AND_RIVAL, CHANGE_COMPLETED_AND_RIVAL, CHANGE_AND_LEAVER):
             start = exploration.world_after_partial_change(rounds)
             self.assertGreater(exploration.walk(start, WALKS, STEPS, seed=1), WALKS)
 
@@ -60,14 +62,16 @@
             exploration.walk(start, GUARD_WALKS, STEPS, seed=1)
 
     def test_the_old_members_must_accept_too(self) -> None:
-        self.caught(exploration, "must_agree", _without_the_old, CHANGE_AND_RIVAL)
+        self.caught(exploration, "must_agree", _new_members_only, CHANGE_AND_RIVAL)
 
     def test_a_majority_is_more_than_half(self) -> None:
         half = mock.Mock(side_effect=lambda count: max(count // 2, 1))
         self.caught(quorum, "majority", half, CHANGE_AND_RIVAL)
 
     def test_members_change_through_a_joint_view(self) -> None:
-        self.caught(witness_rules, "choose_view", _at_once, CHANGE_AND_RIVAL)
+        self.caught(witness_rules, "choose_view", _change_in_one_view, CHANGE_AND_RIVAL)
 
     def test_old_members_are_dropped_only_after_the_joint_view_is_chosen(self) -> None:
-        self.caught(witness_rules, "choose_view", _settled_unseen, CHANGE_SETTLED_AND_RIVAL)
+        self.caught(
+            witness_rules, "choose_view", _treat_newest_as_chosen, CHANGE_COMPLETED_AND_RIVAL
+        )
--- a/tests/test_core_scenarios.py
+++ b/tests/test_core_scenarios.py
@@ -129,7 +129,7 @@
         self.assertFalse(cluster.cores["core-a"].alive)
 
 
-class UnwrittenTest(unittest.TestCase):
+class UnwrittenEntriesTest(unittest.TestCase):
     def test_deposed_primary_discards_entries_never_written_to_disk(self) -> None:
         cluster = started()
         core = cluster.cores["core-a"]
@@ -144,7 +144,7 @@
         self.assertLessEqual(store.last.sequence, store.written)
 
 
-class OrderTest(unittest.TestCase):
+class AppendOrderTest(unittest.TestCase):
     def test_changes_are_appended_in_order_of_arrival_not_of_their_checks(self) -> None:
         cluster = started()
         held: list[Any] = []
@@ -167,7 +167,7 @@
         self.assertEqual([answer.outcome for answer in answers], ["accepted", "accepted"])
 
 
-class HalfViewChangeTest(unittest.TestCase):
+class PartialViewChangeTest(unittest.TestCase):
     """A view that admits core-c is accepted by it, but the primary doesn't learn of that.
 
     Core-b's prepare request and core-c's answer to the accept request are lost.
@@ -248,7 +248,7 @@
         self.assertFalse(answer.granted)
 
 
-class HeldUpOrderTest(unittest.TestCase):
+class DelayedZoneOrderTest(unittest.TestCase):
     def test_a_delayed_zone_order_does_not_revert_later_ones(self) -> None:
         cluster = started()
         primary = cluster.primary()
@@ -258,6 +258,6 @@
         known = primary.component.store.state.zones_version()
         back = control.SetZoneRequest("zone-1", False, "second", known)
         self.assertEqual(ask(cluster, primary.core_id, back).outcome, "accepted")
-        held_up = control.SetZoneRequest("zone-1", True, "late", empty.known_zones)
-        self.assertEqual(ask(cluster, primary.core_id, held_up).outcome, "unavailable")
+        delayed = control.SetZoneRequest("zone-1", True, "late", empty.known_zones)
+        self.assertEqual(ask(cluster, primary.core_id, delayed).outcome, "unavailable")
         self.assertEqual(primary.component.store.state.zones_body().emptied_zones, [])
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -23,16 +23,16 @@
 from tests.core_cluster import ADDRESSES, CORE_IDS, STUB_CHECKER
 from tests.stored_data import (
     CLAIMS_FILE,
-    CUT_LOG_FILE,
     FOLDERS,
     FRAMES_FILE,
     SAMPLE_NUMBER,
+    TRUNCATED_LOG_FILE,
     claim_store,
     claim_store_files,
-    cut_log,
     disk_identity,
     frames,
     sample,
+    truncated_log,
     write_folders,
 )
 
@@ -122,15 +122,15 @@
         self.assertEqual(MEMBERS, {disk.core_id for disk in witness.view.in_sync})
 
 
-class CutLog(unittest.TestCase):
+class TruncatedLog(unittest.TestCase):
     """A log whose uncommitted tail was truncated."""
 
     def test_the_log_is_written_as_before(self) -> None:
-        self.assertEqual(json.loads(CUT_LOG_FILE.read_text()), cut_log())
+        self.assertEqual(json.loads(TRUNCATED_LOG_FILE.read_text()), truncated_log())
 
     def test_the_log_is_read(self) -> None:
         store = ReplicaStore(Disk(Outbox(Identifiers(itertools.count(1)))))
-        records = [bytes.fromhex(record) for record in json.loads(CUT_LOG_FILE.read_text())]
+        records = [bytes.fromhex(record) for record in json.loads(TRUNCATED_LOG_FILE.read_text())]
         self.assertEqual("", store.load(records))
         entries = [(entry.epoch, entry.sequence) for entry in store.log.entries]
         self.assertEqual([(3, 1), (4, 2)], entries)
