--- a/rooklug/front/once_only/limits.py
+++ b/rooklug/front/once_only/limits.py
@@ -1,8 +1,8 @@
-"""Limits and times of once-only requests; units are in the names.
+"""Limits and times of once-only requests.
 
-What is remembered is bounded by number, not by time: clocks jump. ``MAX_CLAIMS_PER_SHARD``
-times ``CLAIM_SHARDS`` keys are known to have been claimed; at 8 requests a second that is
-more than two hours, see docs/once-only.md.
+Claims and outcomes are limited by number and not by age, because clocks can jump. The most recent
+``MAX_CLAIMS_PER_SHARD`` times ``CLAIM_SHARDS`` claimed keys are kept; at 8 requests per second
+that is more than two hours (docs/once-only.md).
 """
 
 MAX_CLAIMS_PER_SHARD = 4096
@@ -23,13 +23,13 @@
 CLAIM_WAIT_S = 4.5
 WRITE_RESERVE_S = 0.1
 OUTAGE_AFTER_S = 5.0
-OUTAGE_FORGOTTEN_S = 3.0
+OUTAGE_RESET_AFTER_S = 3.0
 STATUS_DEADLINE_S = 0.6
 STATUS_POLL_S = 0.1
 MAX_STATUS_FAILURES = 3
 REPLICATION_DEADLINE_S = 1.0
 CONNECT_DEADLINE_S = 0.5
-AVOID_S = 5.0
-MIN_WRITE_S = 0.02
-LATE_RESULT_S = 5.0
+REPLICA_AVOIDANCE_S = 5.0
+MIN_WRITE_TIME_S = 0.02
+LATE_RESULT_ALLOWANCE_S = 5.0
 RETRY_AFTER_S = 1
--- a/rooklug/front/view_component.py
+++ b/rooklug/front/view_component.py
@@ -1,4 +1,4 @@
-"""Keeps the front's routing view up to date with the distributed topics."""
+"""Rebuilds the front's routing view when a distributed topic changes."""
 
 from collections.abc import Callable
 from typing import Any
@@ -23,13 +23,13 @@
 
 @attrs.frozen
 class RoutingViewChanged(InternalEvent):
-    """The front has a new routing view."""
+    """The front has a new routing view. At handling time the component may have a newer one."""
 
     view: RoutingView
 
 
 class RoutingViewComponent(BaseComponent):
-    """Holds ``view``, the newest snapshot; never takes an older body of a topic."""
+    """Holds the newest snapshot in ``view``; ignores topic bodies older than the last one."""
 
     name = "routing-view"
     subscribes_to = (TopicChanged,)
@@ -42,13 +42,13 @@
         self.view = self._build(None)
 
     def handle(self, event: ev.Event, now: float) -> list[fx.Effect]:
-        """Take a topic's new body."""
+        """Rebuild the view from a topic's new body and announce it; other events are ignored."""
         if not isinstance(event, TopicChanged):
             return []
         if not is_newer(event.version, self._versions.get(event.topic, ZERO_VERSION)):
             return []
         self._versions[event.topic] = event.version
-        logs = self._take(event.topic, event.body)
+        logs = self._apply_body(event.topic, event.body)
         self.view = self._build(self.view)
         return [*logs, EmitEvent(RoutingViewChanged(self.view))]
 
@@ -56,9 +56,9 @@
         own = self._settings
         return build_routing_view(own.node_id, own.zone, own.region, self._sources, previous)
 
-    def _take(self, topic: str, body: Any) -> list[fx.Effect]:
+    def _apply_body(self, topic: str, body: Any) -> list[fx.Effect]:
         if topic == topics.CONFIGURATION:
-            return self._take_configuration(body)
+            return self._apply_configuration(body)
         if topic == topics.ZONES:
             zones = frozenset(body.emptied_zones)
             self._sources = attrs.evolve(self._sources, drained_zones=zones)
@@ -70,13 +70,13 @@
             self._sources = attrs.evolve(self._sources, plan=body)
         return []
 
-    def _take_configuration(self, body: ConfigurationBody) -> list[fx.Effect]:
+    def _apply_configuration(self, body: ConfigurationBody) -> list[fx.Effect]:
         result = self._read(body.document)
         if result.is_error():
             fields = {"version": body.version, "problems": str(result.error)}
-            return [fx.Log("error", "a committed configuration can't be read; serving on", fields)]
+            return [fx.Log("error", "unreadable configuration ignored", fields)]
         self._sources = attrs.evolve(
             self._sources, configuration=result.ok, configuration_version=body.version
         )
         fields = {"version": body.version, "digest": body.digest}
-        return [fx.Log("info", "serves under a configuration", fields)]
+        return [fx.Log("info", "configuration applied", fields)]
