--- a/tests/core_failover.py
+++ b/tests/core_failover.py
@@ -9,14 +9,14 @@
 
 from rooklug.engine.events import StopRequested
 from tests.core_cluster import Cluster, Core
-from tests.test_core_replication import change, started
+from tests.test_core_replication import change_request, started_cluster
 
 WAIT_S = 60.0
 
 
 def _stall(cluster: Cluster, core: Core) -> None:
     core.disk.stalled_until = cluster.now + WAIT_S
-    cluster.request(core.core_id, change(1, b"{}"), lambda answer: None)
+    cluster.request(core.core_id, change_request(1, b"{}"), lambda answer: None)
 
 
 FAILURES: dict[str, Callable[[Cluster, Core], None]] = {
@@ -30,7 +30,7 @@
 
 def failover_s(seed: int, failure: Callable[[Cluster, Core], None]) -> float:
     """Return the seconds from the failure until another core serves as the primary."""
-    cluster = started(seed)
+    cluster = started_cluster(seed)
     cluster.run(cluster.now + 1.0 + 3.0 * cluster.random.random())
     old, began = cluster.primary(), cluster.now
     failure(cluster, old)
--- a/tests/test_core_disks.py
+++ b/tests/test_core_disks.py
@@ -9,23 +9,23 @@
 from rooklug.wire.generated.core import ttypes as wire
 from tests.core_cluster import CORE_IDS
 from tests.core_cluster_waits import http, in_sync, wait_back, wait_in_sync
-from tests.test_core_replication import ask, change, started
+from tests.test_core_replication import call_core, change_request, started_cluster
 
 
 class DiskTest(unittest.TestCase):
     def test_slow_backup_leaves_the_in_sync_set_and_the_change_is_accepted(self) -> None:
-        cluster = started()
+        cluster = started_cluster()
         cluster.cores["core-c"].disk.stalled_until = cluster.now + 6.0
-        self.assertEqual(ask(cluster, "core-a", change(1, b"{}")).outcome, "accepted")
+        self.assertEqual(call_core(cluster, "core-a", change_request(1, b"{}")).outcome, "accepted")
         self.assertEqual(in_sync(cluster), ["core-a", "core-b"])
         self.assertTrue(wait_in_sync(cluster, list(CORE_IDS)))
 
     def test_primary_with_a_stalled_disk_hands_over_before_its_lease_expires(self) -> None:
-        cluster = started()
+        cluster = started_cluster()
         cluster.cores["core-a"].disk.stalled_until = cluster.now + 10.0
         began = cluster.now
         answers: list[Any] = []
-        cluster.request("core-a", change(1, b"{}"), answers.append)
+        cluster.request("core-a", change_request(1, b"{}"), answers.append)
         self.assertTrue(cluster.run(began + 10.0, lambda: bool(answers)))
         self.assertEqual(answers[0].outcome, "unknown")
         moved = cluster.run(
@@ -33,13 +33,13 @@
         )
         self.assertTrue(moved)
         self.assertLess(cluster.now - began, 1.0 + LEASE_GUARD_S)
-        again = ask(cluster, cluster.primary().core_id, change(1, b"{}"))
+        again = call_core(cluster, cluster.primary().core_id, change_request(1, b"{}"))
         self.assertEqual(again.outcome, "accepted")
 
     def test_permanently_slow_disk_causes_few_view_changes(self) -> None:
         for sync in ((0.15, 0.3), (0.4, 0.9), (1.5, 2.5)):
             with self.subTest(sync=sync):
-                cluster = started()
+                cluster = started_cluster()
                 cluster.crash("core-c")
                 self.assertTrue(wait_in_sync(cluster, ["core-a", "core-b"]))
                 cluster.cores["core-c"].disk.sync = sync
@@ -47,7 +47,9 @@
                 slowest = 0.0
                 for version in range(1, 101):
                     began = cluster.now
-                    answer = ask(cluster, "core-a", change(version, b"{%d}" % version))
+                    answer = call_core(
+                        cluster, "core-a", change_request(version, b"{%d}" % version)
+                    )
                     self.assertEqual(answer.outcome, "accepted")
                     slowest = max(slowest, cluster.now - began)
                     cluster.run(cluster.now + 0.5)
@@ -56,8 +58,8 @@
                 self.assertLess(slowest, QUORUM_TIMEOUT_S)
 
     def test_backup_with_a_lost_disk_receives_the_log_again(self) -> None:
-        cluster = started()
-        ask(cluster, "core-a", change(1, b"{}"))
+        cluster = started_cluster()
+        call_core(cluster, "core-a", change_request(1, b"{}"))
         cluster.crash("core-b")
         cluster.lose_disk("core-b")
         cluster.start("core-b")
@@ -70,9 +72,9 @@
         small_file = mock.patch("rooklug.core.store.REWRITE_BYTES", 1500)
         small_chunks = mock.patch("rooklug.core.control_state.CHANGES_PER_CHUNK", 3)
         with small_file, small_chunks:
-            cluster = started()
+            cluster = started_cluster()
             for version in range(1, 21):
-                ask(cluster, "core-a", change(version, b"{%d}" % version))
+                call_core(cluster, "core-a", change_request(version, b"{%d}" % version))
             cluster.run(cluster.now + 1.0)
             self.assertGreater(cluster.cores["core-a"].component.store.log.base.sequence, 0)
             cluster.crash("core-b")
@@ -88,8 +90,8 @@
             self.assertEqual(cluster.cores["core-b"].component.store.state.version, 20)
 
     def test_no_primary_with_two_blank_disks_and_one_with_data(self) -> None:
-        cluster = started()
-        ask(cluster, "core-a", change(1, b"{}"))
+        cluster = started_cluster()
+        call_core(cluster, "core-a", change_request(1, b"{}"))
         for core_id in CORE_IDS:
             cluster.crash(core_id)
         for core_id in ("core-a", "core-b"):
@@ -101,29 +103,29 @@
             self.assertIn("runbook recover", cluster.cores[core_id].recorder.status.note)
 
     def test_recovery_reports_the_loss_and_executes_only_the_confirmed_plan(self) -> None:
-        cluster = started()
-        ask(cluster, "core-a", change(1, b"{}"))
+        cluster = started_cluster()
+        call_core(cluster, "core-a", change_request(1, b"{}"))
         for core_id in CORE_IDS:
             cluster.crash(core_id)
         for core_id in ("core-a", "core-b"):
             cluster.lose_disk(core_id)
         cluster.start_all()
         cluster.run(cluster.now + 5.0)
-        self.assertEqual(ask(cluster, "core-a", wire.RecoverRequest("")).outcome, "refused")
-        planned = ask(cluster, "core-c", wire.RecoverRequest(""))
+        self.assertEqual(call_core(cluster, "core-a", wire.RecoverRequest("")).outcome, "refused")
+        planned = call_core(cluster, "core-c", wire.RecoverRequest(""))
         self.assertEqual(planned.outcome, "plan")
         self.assertTrue(planned.may_be_lost)
-        wrong = ask(cluster, "core-c", wire.RecoverRequest(planned.plan + "!"))
+        wrong = call_core(cluster, "core-c", wire.RecoverRequest(planned.plan + "!"))
         self.assertEqual(wrong.outcome, "plan")
         self.assertIsNone(cluster.primary())
-        done = ask(cluster, "core-c", wire.RecoverRequest(planned.plan))
+        done = call_core(cluster, "core-c", wire.RecoverRequest(planned.plan))
         self.assertEqual(done.outcome, "recovered")
         self.assertTrue(wait_in_sync(cluster, list(CORE_IDS)))
-        again = ask(cluster, cluster.primary().core_id, change(1, b"{}"))
+        again = call_core(cluster, cluster.primary().core_id, change_request(1, b"{}"))
         self.assertEqual((again.outcome, again.repeated), ("accepted", True))
 
     def test_recovery_and_status_over_http(self) -> None:
-        cluster = started()
+        cluster = started_cluster()
         for core_id in CORE_IDS:
             cluster.crash(core_id)
         for core_id in ("core-a", "core-b"):
@@ -147,15 +149,15 @@
         self.assertTrue(wait_in_sync(cluster, list(CORE_IDS)))
 
     def test_recovery_is_not_needed_while_there_is_a_primary(self) -> None:
-        cluster = started()
+        cluster = started_cluster()
         cluster.run(cluster.now + 1.0)
         for core_id in CORE_IDS:
-            answer = ask(cluster, core_id, wire.RecoverRequest(""))
+            answer = call_core(cluster, core_id, wire.RecoverRequest(""))
             self.assertEqual(answer.outcome, "not_needed")
 
     def test_damaged_disk_is_not_in_sync_until_replicated_again(self) -> None:
-        cluster = started()
-        ask(cluster, "core-a", change(1, b"{}"))
+        cluster = started_cluster()
+        call_core(cluster, "core-a", change_request(1, b"{}"))
         cluster.crash("core-c")
         del cluster.cores["core-c"].disk.files["control-log"]
         cluster.cores["core-c"].disk.problem = "damaged: control-log"
@@ -165,9 +167,9 @@
         self.assertNotIn("disk-core-c:core-c-1", disks)
 
     def test_log_with_a_missing_record_is_not_in_sync_until_replicated_again(self) -> None:
-        cluster = started()
+        cluster = started_cluster()
         for version in range(1, 4):
-            ask(cluster, "core-a", change(version, b"{%d}" % version))
+            call_core(cluster, "core-a", change_request(version, b"{%d}" % version))
         cluster.run(cluster.now + 1.0)
         cluster.crash("core-c")
         del cluster.cores["core-c"].disk.files["control-log"][2]
--- a/tests/test_core_faults.py
+++ b/tests/test_core_faults.py
@@ -14,7 +14,7 @@
 from tests.core_mutations import Mutation
 from tests.core_oracle import BrokenGuaranteeError, Operator, Oracle
 from tests.core_storm import Client, free_address
-from tests.test_core_replication import ask, change, started
+from tests.test_core_replication import call_core, change_request, started_cluster
 
 SEEDS = range(20)
 MUTATION_SEEDS = range(40)
@@ -67,10 +67,10 @@
 def check_acknowledged_change_survives_power_cut() -> None:
     """Crash all cores while a backup's disk stalls; an acknowledged change must survive."""
     for seed in range(6):
-        cluster = started(seed)
+        cluster = started_cluster(seed)
         oracle = Oracle(cluster)
         cluster.cores["core-b"].disk.stalled_until = cluster.now + 0.8
-        answer = ask(cluster, "core-a", change(1, b"{}"), 0.5)
+        answer = call_core(cluster, "core-a", change_request(1, b"{}"), 0.5)
         for core_id in CORE_IDS:
             cluster.cores[core_id].unsynced.clear()
             cluster.crash(core_id)
@@ -78,14 +78,14 @@
         cluster.start("core-c")
         cluster.run(cluster.now + 10.0, lambda cluster=cluster: cluster.primary() is not None)
         oracle.check(cluster.primary() is not None, "no primary after the power cut")
-        again = ask(cluster, cluster.primary().core_id, change(1, b"{}"))
+        again = call_core(cluster, cluster.primary().core_id, change_request(1, b"{}"))
         lost = answer is not None and answer.outcome == "accepted" and not again.repeated
         oracle.check(not lost, "an acknowledged change is lost")
 
 
 class DirectedGuardTest(unittest.TestCase):
     def test_backup_cut_off_from_the_primary_does_not_depose_it(self) -> None:
-        cluster = started()
+        cluster = started_cluster()
         oracle = Oracle(cluster)
         Operator(oracle, cluster.random, "amal").begin()
         cluster.blocked_links |= {("core-a", "core-b"), ("core-b", "core-a")}
@@ -93,18 +93,18 @@
         self.assertIs(cluster.primary(), cluster.cores["core-a"])
 
     def test_no_promise_to_another_core_while_the_lease_is_guarded(self) -> None:
-        cluster = started()
+        cluster = started_cluster()
         cluster.run(cluster.now + 1.0)
         rival = MemberDisk(core_id="core-b", disk_id="disk-core-b:core-b-1")
         primary = MemberDisk(core_id="core-a", disk_id="disk-core-a:core-a-1")
-        refused = ask(cluster, "core-c", PrepareRequest(proposer=rival, epoch=4))
+        refused = call_core(cluster, "core-c", PrepareRequest(proposer=rival, epoch=4))
         self.assertFalse(refused.granted)
-        granted = ask(cluster, "core-c", PrepareRequest(proposer=primary, epoch=6))
+        granted = call_core(cluster, "core-c", PrepareRequest(proposer=primary, epoch=6))
         self.assertTrue(granted.granted)
         cluster.isolate("core-a")
         cluster.block_link("core-b", "core-c")
         cluster.run(cluster.now + LEASE_GUARD_S + 0.1)
-        granted = ask(cluster, "core-c", PrepareRequest(proposer=rival, epoch=7))
+        granted = call_core(cluster, "core-c", PrepareRequest(proposer=rival, epoch=7))
         self.assertTrue(granted.granted)
 
     def test_answers_are_sent_after_the_sync(self) -> None:
@@ -133,7 +133,7 @@
     def test_a_call_to_an_unused_address_ends_without_an_answer(self) -> None:
         async def call_unused_address() -> object:
             client = Client()
-            answer = await client.ask(free_address(), change(1, b"{}"), 1.0)
+            answer = await client.ask(free_address(), change_request(1, b"{}"), 1.0)
             client.close()
             return answer
 
--- a/tests/test_runbook_recover.py
+++ b/tests/test_runbook_recover.py
@@ -12,15 +12,15 @@
 from rooklug.runbooks.site import Site
 from tests.core_cluster import CORE_IDS
 from tests.core_cluster_waits import http, wait_in_sync
-from tests.test_core_replication import ask, change, started
+from tests.test_core_replication import call_core, change_request, started_cluster
 
 RUNBOOK = "recover-cores"
 
 
 class RecoverCoresTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.cluster = started()
-        ask(self.cluster, "core-a", change(1, b"{}"))
+        self.cluster = started_cluster()
+        call_core(self.cluster, "core-a", change_request(1, b"{}"))
         self.running = set(CORE_IDS)
         self.sent: list[dict] = []
         self.told: list[str] = []
@@ -76,7 +76,7 @@
         self.assertTrue(self.run_it(), self.text())
         self.assertTrue(wait_in_sync(self.cluster, list(CORE_IDS)))
         self.assertIn("MAY BE LOST: changes acknowledged in a view newer", self.text())
-        again = ask(self.cluster, self.cluster.primary().core_id, change(1, b"{}"))
+        again = call_core(self.cluster, self.cluster.primary().core_id, change_request(1, b"{}"))
         self.assertEqual((again.outcome, again.repeated), ("accepted", True))
 
     def test_a_machine_that_stays_away_is_named_and_comes_back_empty(self) -> None:
