--- a/rooklug/cli/compose.py
+++ b/rooklug/cli/compose.py
@@ -40,7 +40,7 @@
         component for component in front_components if isinstance(component, Readiness)
     )
     once_only = next(c for c in once_only_components if isinstance(c, OnceOnlyComponent))
-    readiness.watch(once_only.active_requests)
+    readiness.register_active_counter(once_only.active_requests)
     return CompositeReducer(
         [
             core_link,
--- a/rooklug/front/build.py
+++ b/rooklug/front/build.py
@@ -22,15 +22,15 @@
 
     ``RoutingViewComponent`` comes first, so that the others see the view of the newest topics.
     Components with requests of their own must be registered at the ``Readiness`` of the list with
-    ``watch``, so that a drain waits for them. ``read_configuration`` defaults to the project's
-    reader of configuration documents.
+    ``register_active_counter``, so that a drain waits for them. ``read_configuration`` defaults
+    to the project's reader of configuration documents.
     """
     view_component = RoutingViewComponent(settings, read_configuration or _default_reader())
     counts = DemandCounts()
     decision = Decision(view_component, context.random)
     generate = GenerateComponent(context, view_component, decision, counts)
     readiness = Readiness(view_component, core_link)
-    readiness.watch(generate.active_requests)
+    readiness.register_active_counter(generate.active_requests)
     return [
         view_component,
         readiness,
--- a/rooklug/front/health.py
+++ b/rooklug/front/health.py
@@ -42,13 +42,13 @@
         """Whether the replica has been ejected and has had no success since."""
         return self.consecutive_ejections > 0
 
-    def succeeded(self) -> None:
+    def record_success(self) -> None:
         """Record a success, which ends ejection and probation."""
         self.consecutive_failures = 0
         self.consecutive_ejections = 0
         self.ejected_until = 0.0
 
-    def failed(self, outcome: AttemptOutcome, now: float, random: Random) -> bool:
+    def record_failure(self, outcome: AttemptOutcome, now: float, random: Random) -> bool:
         """Record a failure; return whether it ejects the replica.
 
         Outcomes that are not in ``FAILURES_TO_EJECT`` don't count.
--- a/rooklug/front/once_only/answers.py
+++ b/rooklug/front/once_only/answers.py
@@ -52,7 +52,7 @@
     return build(http_id, request_id, "no_configuration", message, RETRY_AFTER_S)
 
 
-def given_up_answer(
+def failure_answer(
     http_id: int, head: OnceHead, refusal: Refuse, *, not_run: bool
 ) -> fx.HttpRespond:
     """Return the final answer for a request without a result; the caller may retry its key."""
--- a/rooklug/front/once_only/once_only_component.py
+++ b/rooklug/front/once_only/once_only_component.py
@@ -96,7 +96,7 @@
         if isinstance(event, ev.CallAnswered | ev.CallFailed):
             return self._calls.end(event, now)
         if isinstance(event, ev.HttpAnswered | ev.HttpFailed):
-            return self._backend_finished(event, now)
+            return self._on_backend_finished(event, now)
         return []
 
     def metrics(self, now: float) -> Iterable[MetricSample]:
@@ -134,7 +134,7 @@
             return [self._count_answer(answer)]
         if isinstance(verdict, Refuse):
             not_run = head.ok.is_first_attempt
-            answer = answers.given_up_answer(event.request_id, head.ok, verdict, not_run=not_run)
+            answer = answers.failure_answer(event.request_id, head.ok, verdict, not_run=not_run)
             return [self._count_answer(answer)]
         self._heads[event.request_id] = head.ok
         if event.body_withheld:
@@ -209,7 +209,7 @@
         self._writes[call_id] = attempt
         return [backend_call(call_id, replica, attempt, now)]
 
-    def _backend_finished(
+    def _on_backend_finished(
         self, event: ev.HttpAnswered | ev.HttpFailed, now: float
     ) -> list[fx.Effect]:
         attempt = self._writes.pop(event.call_id, None)
@@ -271,7 +271,7 @@
         effects = self._finish(attempt, AttemptState.RELEASED)
         return [
             *effects,
-            *self._respond_given_up(attempt, refusal, not_run=attempt.certainly_not_run),
+            *self._respond_failure(attempt, refusal, not_run=attempt.certainly_not_run),
         ]
 
     def _finish(
@@ -292,12 +292,12 @@
         return [self._count_answer(answer, outcome)]
 
     def _respond_unknown(self, attempt: Attempt, refusal: Refuse) -> list[fx.Effect]:
-        return self._respond_given_up(attempt, refusal, not_run=False)
+        return self._respond_failure(attempt, refusal, not_run=False)
 
-    def _respond_given_up(
+    def _respond_failure(
         self, attempt: Attempt, refusal: Refuse, *, not_run: bool
     ) -> list[fx.Effect]:
-        answer = answers.given_up_answer(attempt.http_id, attempt.head, refusal, not_run=not_run)
+        answer = answers.failure_answer(attempt.http_id, attempt.head, refusal, not_run=not_run)
         return self._respond(attempt, answer)
 
     def _count_answer(self, answer: fx.HttpRespond, outcome: str = "") -> fx.HttpRespond:
--- a/rooklug/front/readiness.py
+++ b/rooklug/front/readiness.py
@@ -29,7 +29,8 @@
 
     After ``StopRequested`` it stops the process once no request is active: at the earliest after
     ``DRAIN_PROPAGATION_S``, so that other nodes learn of the drain first, and at the latest after
-    ``DRAIN_LIMIT_S``. Components with requests of their own register a counter with ``watch``.
+    ``DRAIN_LIMIT_S``. Components with requests of their own register a counter of them with
+    ``register_active_counter``.
     """
 
     name = "readiness"
@@ -47,7 +48,7 @@
         """Whether the drain has started; it never ends except with the process."""
         return self._draining_since is not None
 
-    def watch(self, active_requests: Callable[[], int]) -> None:
+    def register_active_counter(self, active_requests: Callable[[], int]) -> None:
         """Register a counter of active requests; the drain waits until all counters are 0."""
         self._active_counters.append(active_requests)
 
--- a/rooklug/front/replica_states.py
+++ b/rooklug/front/replica_states.py
@@ -57,7 +57,7 @@
 
     def record_completion(self, elapsed_s: float) -> None:
         """Record a complete answer in health and average duration."""
-        self.health.succeeded()
+        self.health.record_success()
         usual = self.measured_duration_s if self.measured_duration_s is not None else elapsed_s
         self.measured_duration_s = usual + DURATION_WEIGHT * (elapsed_s - usual)
 
@@ -124,7 +124,7 @@
             state.limit.record_busy()
         elif report.outcome is AttemptOutcome.TIMED_OUT:
             state.limit.record_timeout()
-        return state.health.failed(report.outcome, now, self._random)
+        return state.health.record_failure(report.outcome, now, self._random)
 
     def _mean_duration(self) -> float | None:
         measured = [state.measured_duration_s for _, state in self.items()]
--- a/rooklug/gateway/traffic_record.py
+++ b/rooklug/gateway/traffic_record.py
@@ -122,9 +122,9 @@
         self.prefill_rate.record_end(call_id)
         if outcome is AttemptOutcome.SUCCESS:
             self.stale_endpoints.record_match(replica.replica_id)
-            load.health.succeeded()
+            load.health.record_success()
         elif outcome is not None:
-            load.health.failed(outcome, now, self.random)
+            load.health.record_failure(outcome, now, self.random)
 
     def record_address_mismatch(self, replica: GatewayReplica) -> None:
         """Note that a replica's address has answered as another replica."""
--- a/rooklug_lab/sim/mutations.py
+++ b/rooklug_lab/sim/mutations.py
@@ -147,14 +147,14 @@
 @contextmanager
 def _write_again_after_any_failure() -> Iterator[None]:
     """A once-only request is written again whatever became of the first write."""
-    ended = once_only_component.OnceOnlyComponent._backend_finished
+    ended = once_only_component.OnceOnlyComponent._on_backend_finished
 
     def careless(self, event, now):
         if hasattr(event, "send_state"):
             event = attrs.evolve(event, send_state=SendState.NOT_SENT)
         return ended(self, event, now)
 
-    with mock.patch.object(once_only_component.OnceOnlyComponent, "_backend_finished", careless):
+    with mock.patch.object(once_only_component.OnceOnlyComponent, "_on_backend_finished", careless):
         yield
 
 
@@ -162,12 +162,12 @@
 def _say_not_run_when_unknown() -> Iterator[None]:
     """A once-only request whose answer was lost is answered "not run"."""
 
-    given_up = answers.given_up_answer
+    given_up = answers.failure_answer
 
     def wrong(http_id, head, why, *, not_run):
         return given_up(http_id, head, why, not_run=True)
 
-    with mock.patch.object(answers, "given_up_answer", wrong):
+    with mock.patch.object(answers, "failure_answer", wrong):
         yield
 
 
--- a/tests/once_mutations.py
+++ b/tests/once_mutations.py
@@ -92,14 +92,14 @@
 
 def with_second_write() -> AbstractContextManager:
     """A write that failed after it may have been sent is sent again."""
-    ended = once_only_component.OnceOnlyComponent._backend_finished
+    ended = once_only_component.OnceOnlyComponent._on_backend_finished
 
     def again(self, event, now):
         if isinstance(event, ev.HttpFailed):
             event = ev.HttpFailed(event.call_id, event.reason, ev.SendState.NOT_SENT)
         return ended(self, event, now)
 
-    return patch.object(once_only_component.OnceOnlyComponent, "_backend_finished", again)
+    return patch.object(once_only_component.OnceOnlyComponent, "_on_backend_finished", again)
 
 
 def with_release_while_writing() -> AbstractContextManager:
@@ -135,7 +135,7 @@
     """ "Not run" is answered when the deadline passes during the write."""
 
     def refuse(self, attempt, refusal):
-        return self._respond_given_up(attempt, refusal, not_run=True)
+        return self._respond_failure(attempt, refusal, not_run=True)
 
     return patch.object(once_only_component.OnceOnlyComponent, "_respond_unknown", refuse)
 
--- a/tests/test_front_limits.py
+++ b/tests/test_front_limits.py
@@ -198,7 +198,7 @@
     def test_ejections_grow_to_maximum_and_end_with_success(self) -> None:
         health, now, waits = ReplicaHealth(), 0.0, []
         for _ in range(6):
-            self.assertTrue(health.failed(AttemptOutcome.CONNECT_FAILED, now, Random(1)))
+            self.assertTrue(health.record_failure(AttemptOutcome.CONNECT_FAILED, now, Random(1)))
             waits.append(health.ejected_until - now)
             self.assertTrue(health.on_probation)
             now = health.ejected_until
@@ -206,15 +206,15 @@
         self.assertLess(waits[0], 1.5)
         self.assertGreater(waits[2], waits[0])
         self.assertLessEqual(max(waits), MAX_EJECTION_S * 1.25)
-        health.succeeded()
+        health.record_success()
         self.assertFalse(health.on_probation)
 
     def test_busy_and_cancelled_do_not_count_as_failures(self) -> None:
         health = ReplicaHealth()
         for outcome in (AttemptOutcome.BUSY, AttemptOutcome.CANCELLED) * 9:
-            self.assertFalse(health.failed(outcome, 1.0, Random(1)))
-        self.assertFalse(health.failed(AttemptOutcome.TIMED_OUT, 1.0, Random(1)))
-        self.assertTrue(health.failed(AttemptOutcome.TIMED_OUT, 1.0, Random(1)))
+            self.assertFalse(health.record_failure(outcome, 1.0, Random(1)))
+        self.assertFalse(health.record_failure(AttemptOutcome.TIMED_OUT, 1.0, Random(1)))
+        self.assertTrue(health.record_failure(AttemptOutcome.TIMED_OUT, 1.0, Random(1)))
 
 
 class OverloadTest(unittest.TestCase):
--- a/tests/test_front_promises.py
+++ b/tests/test_front_promises.py
@@ -273,7 +273,7 @@
      balancing.SlowStartTest("test_fleet_entirely_in_slow_start_ramps_up")),
     ("relative cold measure", SlowStartAdmission, "has_earned", lambda *arguments: True,
      balancing.SlowStartTest("test_high_concurrency_does_not_raise_slow_start_share")),
-    ("ejection", ReplicaHealth, "failed", lambda *arguments: False,
+    ("ejection", ReplicaHealth, "record_failure", lambda *arguments: False,
      balancing.RetryTest("test_connect_failure_retries_elsewhere_and_ejects")),
     ("keep trying", Balancer, "_usable", lambda self, replicas, model, now: [
         r for r in replicas if not self.states[r].health.is_ejected(now)],
