--- a/rooklug/front/balancer.py
+++ b/rooklug/front/balancer.py
@@ -65,7 +65,7 @@
         self._unloaded_until: dict[tuple[str, str], float] = {}
 
     def apply_view(self, view: RoutingView, now: float) -> None:
-        """Bring all replica states in line with a new view, and drop expired back-offs."""
+        """Update all replica states for a new view, and drop expired back-offs."""
         self.states.apply_view(view)
         self.slow_starts.apply_view(view, now)
         self.affinity.apply_view(view)
--- a/rooklug/front/once_only/attempt.py
+++ b/rooklug/front/once_only/attempt.py
@@ -72,7 +72,7 @@
 
         If the answer would be "not run", the caller can simply retry, so the wait is that of a
         queue. Otherwise it would be "unknown", which a caller may be unable to resolve, so the
-        claim is requested for as long as there would still be time to write.
+        claim is requested for ``CLAIM_WAIT_S``, as long as there would still be time to write.
         """
         wait_s = self.queue_wait_s if self.certainly_not_run else CLAIM_WAIT_S
         return min(self.head.started + wait_s, self.head.deadline - WRITE_RESERVE_S)
--- a/rooklug/front/readiness.py
+++ b/rooklug/front/readiness.py
@@ -55,7 +55,7 @@
     def reason_not_ready(self) -> str:
         """Return why the front is not ready, "" if it is ready.
 
-        Losing the control plane does not make a front unready: it serves on with its last view.
+        Losing the control plane does not make a front unready: it keeps serving its last view.
         """
         view = self._view_component.view
         if self.draining:
--- a/rooklug/front/wait_queue.py
+++ b/rooklug/front/wait_queue.py
@@ -41,7 +41,7 @@
         return iter(tuple(self._entries))
 
     def has_capacity(self, priority: int, capacity: int) -> bool:
-        """Return whether a request of that priority would be queued, if need be by eviction."""
+        """Return whether a request of that priority would be queued, possibly by eviction."""
         if len(self._entries) < capacity:
             return True
         return bool(self._entries) and capacity > 0 and -self._entries[-1].rank < priority
--- a/tests/once_chaos.py
+++ b/tests/once_chaos.py
@@ -16,7 +16,7 @@
     Args:
         site: The site; its random generator draws the faults.
         overlaps: Also hand roles over while their owner still believes that it holds them.
-        disk_losses: Also let one store at a time lose its disk.
+        disk_losses: Also let one store lose its disk.
         stop_when_broken: Stop as soon as the oracle finds a violation.
     """
 
--- a/tests/test_once_scenarios.py
+++ b/tests/test_once_scenarios.py
@@ -265,7 +265,7 @@
         self.assert_guards(lambda site: self.two_owners(site, True), mutation)
 
     def two_owners(self, site: Site, restart_stores: bool) -> None:
-        """A front cut off from the core still asks the previous owner, whose lease is valid."""
+        """A front cut off from the core sends its claim to the previous, still leased owner."""
         old = site.owner_of(KEY)
         stale, fresh, new = site.fronts_beside(old)[:3]
         site.cut_from_core |= {old, stale}
