--- a/rooklug/controller/demand_forecast.py
+++ b/rooklug/controller/demand_forecast.py
@@ -12,14 +12,19 @@
 from rooklug.placement.problem import DemandKey
 
 HORIZON_S = 10.0
+"""How far the trend is extrapolated."""
 LEVEL_TIME_CONSTANT_S = 4.0
 TREND_TIME_CONSTANT_S = 12.0
 DECAY_HALF_LIFE_S = 60.0
 MAX_GROWTH = 2.0
+"""Upper bound of an extrapolated level, as a multiple of the current level."""
 STEP_RATIO = 1.3
+"""A step exceeds the demand of the last solve by this factor and by both amounts below."""
 STEP_TOKENS_PER_S = 50.0
 STEP_SHARE_OF_TOTAL = 0.002
+"""Minimum step as a share of the planned demand of all keys."""
 GRID_RATIO = 1.15
+"""Ratio between neighbouring values of planned demand."""
 NEGLIGIBLE_TOKENS_PER_S = 0.5
 
 
--- a/rooklug/controller/demand_table.py
+++ b/rooklug/controller/demand_table.py
@@ -10,12 +10,14 @@
 
 REPORT_TTL_S = 5.0
 PROMPT_TOKEN_COST = 1.0 / 8.0
+"""Load tokens per prompt token; an answer token is one load token."""
 MAX_RATE = 1e9
+"""Entries with a higher rate per second are rejected."""
 
 
 @attrs.frozen
 class FrontReport:
-    """A front's newest report. ``at`` is the monotonic time at which it was received."""
+    """A front's newest report. ``received_at`` is in monotonic seconds."""
 
     incarnation: str
     sequence: int
@@ -47,7 +49,7 @@
         return True
 
     def expire(self, now: float) -> None:
-        """Drop reports that are older than ``REPORT_LIFETIME_S``."""
+        """Drop reports that are older than ``REPORT_TTL_S``."""
         self._fronts = {
             node_id: report
             for node_id, report in self._fronts.items()
--- a/rooklug/controller/listing_guard.py
+++ b/rooklug/controller/listing_guard.py
@@ -12,6 +12,10 @@
 
 SUSPICIOUS_SHARE = 0.5
 SUSPICIOUS_MINIMUM = 2
+"""A loss is suspicious if it exceeds this share and has at least this many replicas.
+
+The minimum does not apply to an empty list.
+"""
 RETAIN_S = 10.0
 
 
--- a/rooklug/controller/order_dispatcher.py
+++ b/rooklug/controller/order_dispatcher.py
@@ -115,11 +115,11 @@
         return effects
 
     def cancel_replica(self, replica_id: str) -> list[fx.Effect]:
-        """Cancel all orders to a replica that may not get any more."""
+        """Cancel all orders to a replica that is gone, leaving or in a drained zone."""
         targets = [target for target in self._pending if target[0] == replica_id]
         return [effect for target in targets for effect in self._cancel(target)]
 
-    def clear(self) -> list[fx.Effect]:
+    def cancel_all(self) -> list[fx.Effect]:
         """Cancel all orders. Called when the role is lost."""
         return [effect for target in list(self._pending) for effect in self._cancel(target)]
 
--- a/rooklug/controller/placer_term.py
+++ b/rooklug/controller/placer_term.py
@@ -45,6 +45,7 @@
 
 VERDICT_INTERVAL_S = 0.2
 AVOID_S = 30.0
+"""How long a replica gets no load after it rejected an order or an order timed out."""
 FRONT_ROLE = "front"
 
 
@@ -105,7 +106,7 @@
 
     def finish(self) -> list[fx.Effect]:
         """End the term: cancel the orders that have not completed."""
-        return self.dispatcher.clear()
+        return self.dispatcher.cancel_all()
 
     def handle_topic_changed(self, topic: str, body: Any, now: float) -> list[fx.Effect]:
         """Apply a newer body of topic "configuration", "replicas" or "zones"; ignore others."""
--- a/rooklug/controller/platform_listing.py
+++ b/rooklug/controller/platform_listing.py
@@ -39,7 +39,7 @@
 def read_listing(body: bytes) -> Result[Listing, ListingError]:
     """Parse a complete answer; a single invalid entry rejects it all."""
     if len(body) > MAX_LISTING_BYTES:
-        return Error(ListingError("listing too large"))
+        return Error(ListingError("the listing is larger than 8 MiB"))
     try:
         return Ok(_read_document(json.loads(body)))
     except (ValueError, RecursionError) as problem:
--- a/rooklug/controller/probe_schedule.py
+++ b/rooklug/controller/probe_schedule.py
@@ -18,9 +18,13 @@
 SERVING_INTERVAL_S = 10.0
 URGENT_SPACING_S = 0.3
 JITTER_SHARE = 0.2
+"""Intervals vary randomly by up to this share in both directions."""
 EARLY_FAILURES = 4
+"""Consecutive failures below which probes stay urgent, to confirm a failure quickly."""
 LONG_DEAD_FAILURES = 12
+"""Consecutive failures from which a replica is probed at ``LONG_DEAD_INTERVAL_S``."""
 SERVING_HINT_TTL_S = 5.0
+"""How long the placer's note that fronts get answers from a replica is valid."""
 
 FLEET_PROBE_BUDGET_PER_S = 240.0
 SHARD_PROBE_BUDGET_PER_S = FLEET_PROBE_BUDGET_PER_S / PROBER_SHARDS
--- a/rooklug/controller/prober.py
+++ b/rooklug/controller/prober.py
@@ -34,6 +34,7 @@
 REPORT_INTERVAL_S = 0.5
 BATCH_DELAY_S = 0.05
 REFERENCE_PROBES = 2
+"""Replicas of other shards probed at once while the self check suspects this process."""
 MIN_TIMER_DELAY_S = 0.005
 REFERENCE_SPACING_S = 1.0
 HTTP_OK = 200
--- a/rooklug/controller/replica_report.py
+++ b/rooklug/controller/replica_report.py
@@ -69,7 +69,7 @@
 def read_report(body: bytes | str, expected_id: str) -> Result[ReplicaReport, ReportError]:
     """Parse a report; one that is not of replica ``expected_id`` is an error."""
     if len(body) > MAX_REPORT_BYTES:
-        return Error(ReportError("report too large"))
+        return Error(ReportError("the report is larger than 256 KiB"))
     try:
         document = json.loads(body)
         report = _read_document(document)
--- a/rooklug/placement/objective.py
+++ b/rooklug/placement/objective.py
@@ -15,7 +15,9 @@
 from rooklug.placement.readiness import shortfalls
 
 UNPLACED_RATIO = 1000.0
+"""Cost of unplaced demand of the lowest rank, relative to the capacity that serves it."""
 PRIORITY_RATIO = 5.0
+"""Factor of the costs of unplaced and uncovered demand from each rank to the next."""
 PRIORITY_LEVELS = 5
 COVERAGE_RATIO = 500.0
 LATE_RATIO = 200.0
@@ -23,6 +25,7 @@
 LOAD_SHARE = 0.25
 """Cost of a load as a share of the units it fills; a move must save more than this."""
 UNLOAD_SHARE = 0.05
+"""Cost of an unload as a share of the units it frees."""
 
 
 @attrs.frozen
--- a/rooklug/placement/orders.py
+++ b/rooklug/placement/orders.py
@@ -61,7 +61,7 @@
 class MoveDecision:
     """One decision of the executor, with its cause.
 
-    ``kind`` is a value of ``rooklug.controller.decision_log.DecisionKind``.
+    ``kind`` is the kind of the decision record, such as "load", "unload" or "blocked".
     """
 
     kind: str
--- a/rooklug/placement/program.py
+++ b/rooklug/placement/program.py
@@ -31,6 +31,7 @@
 BRANCHING_LIMIT = 100
 """Up to this many replica columns, HiGHS solves by branch and bound; above it, by diving."""
 REPACKING_SHARE = 0.12
+"""Share of the allowed loads that large problems reserve for repacking slots."""
 
 
 @attrs.frozen
