--- a/rooklug/controller/decision_log.py
+++ b/rooklug/controller/decision_log.py
@@ -56,7 +56,7 @@
         """Whether there are unpublished decisions."""
         return bool(self._pending)
 
-    def take(self) -> list[DecisionRecord]:
+    def take_pending(self) -> list[DecisionRecord]:
         """Return and clear the unpublished decisions."""
         pending, self._pending = self._pending, []
         return pending
--- a/rooklug/controller/demand_forecast.py
+++ b/rooklug/controller/demand_forecast.py
@@ -82,10 +82,10 @@
 
         Values are rounded up to a coarse grid, so that small fluctuations don't change the plan.
         """
-        return {key: on_grid(forecast.peak) for key, forecast in self._by_key.items()}
+        return {key: round_up_to_grid(forecast.peak) for key, forecast in self._by_key.items()}
 
 
-def rose(planned: float, solved_for: float, total: float) -> bool:
+def has_stepped_up(planned: float, solved_for: float, total: float) -> bool:
     """Return whether a key's demand has risen enough to solve before the next periodic solve.
 
     ``total`` is the planned demand of all keys, in tokens/s. With hundreds of small keys, some
@@ -96,7 +96,7 @@
     return planned > solved_for * STEP_RATIO and planned > solved_for + least
 
 
-def on_grid(value: float) -> float:
+def round_up_to_grid(value: float) -> float:
     """Round ``value`` up to the next power of ``GRID_RATIO``; negligible values become 0."""
     if value <= NEGLIGIBLE_TOKENS_PER_S:
         return 0.0
--- a/rooklug/controller/demand_table.py
+++ b/rooklug/controller/demand_table.py
@@ -32,7 +32,7 @@
     _fronts: dict[str, FrontReport] = attrs.field(factory=dict)
     bad_entries: int = 0
 
-    def take(self, report: DemandReport, now: float) -> bool:
+    def record(self, report: DemandReport, now: float) -> bool:
         """Store a report without its invalid entries; return False if it is out of date.
 
         Sequence numbers are compared within one incarnation; another incarnation always replaces
--- a/rooklug/controller/demand_watch.py
+++ b/rooklug/controller/demand_watch.py
@@ -3,7 +3,7 @@
 import attrs
 
 from rooklug.config.document import Configuration
-from rooklug.controller.demand_forecast import DemandForecast, rose
+from rooklug.controller.demand_forecast import DemandForecast, has_stepped_up
 from rooklug.controller.demand_table import DemandTable
 from rooklug.placement.problem import DemandKey
 
@@ -40,7 +40,7 @@
         return [
             _describe_step(key, load, solved_for.get(key, 0.0))
             for key, load in planned.items()
-            if rose(load, solved_for.get(key, 0.0), total)
+            if has_stepped_up(load, solved_for.get(key, 0.0), total)
         ]
 
 
--- a/rooklug/controller/placer_term.py
+++ b/rooklug/controller/placer_term.py
@@ -141,7 +141,7 @@
 
     def handle_demand_report(self, report: DemandReport, now: float) -> None:
         """Record a front's demand and its observations of replicas, unless out of date."""
-        if self.demand.table.take(report, now):
+        if self.demand.table.record(report, now):
             self.fleet.apply_observations(report.node_id, report.observations or [], now)
 
     def handle_probe_report(self, report: ProbeReport, now: float) -> None:
--- a/rooklug/controller/plan_publisher.py
+++ b/rooklug/controller/plan_publisher.py
@@ -70,7 +70,7 @@
             return []
         self._published, self._published_at = body, now
         self.publications += 1
-        decisions = self.decisions.take()
+        decisions = self.decisions.take_pending()
         effects = self.link.publish(topics.PLAN, topics.ROLE_PLACER, body, decisions, now)
         self._record_published_weights(step)
         return effects
--- a/rooklug/placement/fleet_state.py
+++ b/rooklug/placement/fleet_state.py
@@ -27,7 +27,7 @@
     sent_at: float = 0.0
 
 
-class FleetState:
+class FleetView:
     """Reports by replica id, loads in flight, and models withdrawn from service.
 
     A slot is identified by the id of its replica.
--- a/rooklug/placement/live_weights.py
+++ b/rooklug/placement/live_weights.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from rooklug.placement.fleet_state import FleetState
+from rooklug.placement.fleet_state import FleetView
 from rooklug.placement.orders import MoveGuards, PublishWeights
 from rooklug.placement.problem import PlacementPlan, RouteShare
 from rooklug.placement.published import servable_cells, within_homes
@@ -36,7 +36,7 @@
     ``sequence`` numbers the published weights, from 1.
     """
 
-    def __init__(self, fleet: FleetState, guards: MoveGuards) -> None:
+    def __init__(self, fleet: FleetView, guards: MoveGuards) -> None:
         self._fleet = fleet
         self._guards = guards
         self._planned: dict[str, tuple[RouteShare, ...]] = {}
--- a/rooklug/placement/moves.py
+++ b/rooklug/placement/moves.py
@@ -9,7 +9,7 @@
 """
 
 from rooklug.config.document import Model
-from rooklug.placement.fleet_state import EMPTY_PLAN, FleetState, Withdrawal
+from rooklug.placement.fleet_state import EMPTY_PLAN, FleetView, Withdrawal
 from rooklug.placement.live_weights import LiveWeights
 from rooklug.placement.load_tracking import LoadTracker
 from rooklug.placement.orders import (
@@ -39,7 +39,7 @@
         self._settings = settings
         self._guards = guards if guards is not None else MoveGuards()
         self._loads = LoadTracker(settings)
-        self._fleet = FleetState(models, self._loads)
+        self._fleet = FleetView(models, self._loads)
         self._weights = LiveWeights(self._fleet, self._guards)
         self._plan = EMPTY_PLAN
         self._cause = ""
--- a/rooklug_lab/placement/forecasts.py
+++ b/rooklug_lab/placement/forecasts.py
@@ -21,7 +21,7 @@
 import attrs
 
 from rooklug.controller.demand_forecast import DemandForecast as PlacersForecast
-from rooklug.controller.demand_forecast import on_grid, rose
+from rooklug.controller.demand_forecast import has_stepped_up, round_up_to_grid
 from rooklug.placement.forecast import DemandForecast, ForecastSettings
 from rooklug.placement.problem import DemandKey
 from rooklug_lab.placement.demand import demand_of_day
@@ -139,7 +139,7 @@
         exact = make(pace)
 
         def predict(history: list[Demand], window: int) -> Demand:
-            return {key: on_grid(load) for key, load in exact(history, window).items()}
+            return {key: round_up_to_grid(load) for key, load in exact(history, window).items()}
 
         return predict
 
@@ -218,7 +218,8 @@
         """Take a forecast; it counts at a review or when it steps up."""
         total = sum(planned.values())
         stepped = any(
-            rose(load, self._solved_for.get(key, 0.0), total) for key, load in planned.items()
+            has_stepped_up(load, self._solved_for.get(key, 0.0), total)
+            for key, load in planned.items()
         )
         if stepped or now - self._reviewed >= self._pace.review_s:
             self._solved_for, self._reviewed = planned, now
--- a/tests/test_controller_health.py
+++ b/tests/test_controller_health.py
@@ -105,34 +105,34 @@
         return self.table.totals(self.configuration)
 
     def test_newest_report_of_each_front_counts(self):
-        self.table.take(report("f1", 1, entry(100.0)), 0.0)
-        self.table.take(report("f1", 2, entry(50.0)), 1.0)
-        self.table.take(report("f2", 1, entry(30.0)), 1.0)
-        self.assertFalse(self.table.take(report("f1", 1, entry(999.0)), 1.5))
+        self.table.record(report("f1", 1, entry(100.0)), 0.0)
+        self.table.record(report("f1", 2, entry(50.0)), 1.0)
+        self.table.record(report("f2", 1, entry(30.0)), 1.0)
+        self.assertFalse(self.table.record(report("f1", 1, entry(999.0)), 1.5))
         self.assertEqual(self.totals(), {KEY: 80.0})
 
     def test_a_new_incarnation_of_a_front_replaces_its_report(self):
-        self.table.take(report("f1", 9, entry(100.0)), 0.0)
-        self.assertTrue(self.table.take(report("f1", 1, entry(5.0), incarnation="j"), 1.0))
+        self.table.record(report("f1", 9, entry(100.0)), 0.0)
+        self.assertTrue(self.table.record(report("f1", 1, entry(5.0), incarnation="j"), 1.0))
         self.assertEqual(self.totals(), {KEY: 5.0})
 
     def test_reports_expire(self):
-        self.table.take(report("f1", 1, entry(100.0)), 0.0)
+        self.table.record(report("f1", 1, entry(100.0)), 0.0)
         self.table.expire(6.0)
         self.assertEqual(self.totals(), {})
 
     def test_bad_entries_are_dropped_and_counted(self):
         bad = [entry(float("nan")), entry(-1.0), entry(float("inf")), entry(1e12)]
-        self.table.take(report("f1", 1, entry(10.0), *bad), 0.0)
+        self.table.record(report("f1", 1, entry(10.0), *bad), 0.0)
         self.assertEqual((self.totals(), self.table.bad_entries), ({KEY: 10.0}, 4))
 
     def test_entries_with_unknown_names_are_ignored(self):
         unknown = [entry(1.0, route="x"), entry(1.0, model="x"), entry(1.0, region="x")]
-        self.table.take(report("f1", 1, *unknown), 0.0)
+        self.table.record(report("f1", 1, *unknown), 0.0)
         self.assertEqual(self.totals(), {})
 
     def test_rejected_requests_are_not_counted_twice(self):
-        self.table.take(report("f1", 1, entry(100.0, refused=5.0)), 0.0)
+        self.table.record(report("f1", 1, entry(100.0, refused=5.0)), 0.0)
         self.assertEqual(self.totals(), {KEY: 100.0})
 
     def test_noise_does_not_inflate_the_planned_demand(self):
--- a/tests/test_hollow_demand_noise.py
+++ b/tests/test_hollow_demand_noise.py
@@ -6,7 +6,7 @@
 import attrs
 
 from rooklug.config.document_reader import read_configuration
-from rooklug.controller.demand_forecast import rose
+from rooklug.controller.demand_forecast import has_stepped_up
 from rooklug.controller.demand_watch import DemandWatch
 from rooklug.wire.generated.control.ttypes import DemandReport
 from rooklug_lab.hollow.demand import SyntheticDemand, route_table
@@ -53,7 +53,7 @@
             for region, demand in regions.items():
                 entries = demand.take_entries(1.0)
                 demand.take_observations()
-                watch.table.take(DemandReport(region, "1", second + 1, entries, []), second)
+                watch.table.record(DemandReport(region, "1", second + 1, entries, []), second)
             steps = watch.sample_if_due(configuration, solved_for, float(second))
             if steps and second >= WARM_UP_S:
                 asked.append(second - WARM_UP_S)
@@ -72,7 +72,7 @@
             self.assertTrue(any(second <= 4 for second in asked), (size, asked))
 
     def test_small_sites_notice_the_same_steps_as_before(self):
-        self.assertTrue(rose(100.0, 49.0, total=2000.0))
-        self.assertTrue(rose(400.0, 300.0, total=2000.0))
-        self.assertFalse(rose(100.0, 51.0, total=2000.0))
-        self.assertFalse(rose(400.0, 310.0, total=2000.0))
+        self.assertTrue(has_stepped_up(100.0, 49.0, total=2000.0))
+        self.assertTrue(has_stepped_up(400.0, 300.0, total=2000.0))
+        self.assertFalse(has_stepped_up(100.0, 51.0, total=2000.0))
+        self.assertFalse(has_stepped_up(400.0, 310.0, total=2000.0))
--- a/tests/test_hollow_plan_spacing.py
+++ b/tests/test_hollow_plan_spacing.py
@@ -33,7 +33,7 @@
     """Change the matrix each 0.1 s; return the times and the last version published."""
     link = Link()
     fleet = SimpleNamespace(replicas=dict.fromkeys(range(replicas)))
-    decisions = SimpleNamespace(has_pending=False, take=list)
+    decisions = SimpleNamespace(has_pending=False, take_pending=list)
     configuration = Configuration({}, {}, {})
     reader = SimpleNamespace(version=0)
     publisher = EmptyPlans(link, reader, fleet, decisions)
--- a/tests/test_hollow_step_cost.py
+++ b/tests/test_hollow_step_cost.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from rooklug.placement.fleet_state import FleetState, Withdrawal
+from rooklug.placement.fleet_state import FleetView, Withdrawal
 from rooklug.placement.load_tracking import LoadTracker
 from rooklug.placement.moves import MoveExecutor
 from rooklug.placement.orders import MoveSettings, SlotReport
@@ -73,7 +73,7 @@
     def test_serving_is_what_the_reports_say_without_the_withdrawn(self):
         random = Random(5)
         models = [f"m{number}" for number in range(4)]
-        fleet = FleetState({}, LoadTracker(MoveSettings()))
+        fleet = FleetView({}, LoadTracker(MoveSettings()))
         for _ in range(40):
             names = random.sample([f"r{number}" for number in range(12)], 9)
             fleet.observe({name: self.report(name, models, random) for name in names})
