--- a/rooklug/controller/demand_forecast.py
+++ b/rooklug/controller/demand_forecast.py
@@ -12,14 +12,19 @@
 from rooklug.placement.problem import DemandKey
 
 HORIZON_S = 10.0
+"""How far the trend is extrapolated."""
 LEVEL_TIME_CONSTANT_S = 4.0
 TREND_TIME_CONSTANT_S = 12.0
 DECAY_HALF_LIFE_S = 60.0
 MAX_GROWTH = 2.0
+"""Upper bound of an extrapolated level, as a multiple of the current level."""
 STEP_RATIO = 1.3
+"""A step exceeds the demand of the last solve by this factor and by both amounts below."""
 STEP_TOKENS_PER_S = 50.0
 STEP_SHARE_OF_TOTAL = 0.002
+"""Minimum step as a share of the planned demand of all keys."""
 GRID_RATIO = 1.15
+"""Ratio between neighbouring values of planned demand."""
 NEGLIGIBLE_TOKENS_PER_S = 0.5
 
 
@@ -77,10 +82,10 @@
 
         Values are rounded up to a coarse grid, so that small fluctuations don't change the plan.
         """
-        return {key: on_grid(forecast.peak) for key, forecast in self._by_key.items()}
+        return {key: round_up_to_grid(forecast.peak) for key, forecast in self._by_key.items()}
 
 
-def rose(planned: float, solved_for: float, total: float) -> bool:
+def has_stepped_up(planned: float, solved_for: float, total: float) -> bool:
     """Return whether a key's demand has risen enough to solve before the next periodic solve.
 
     ``total`` is the planned demand of all keys, in tokens/s. With hundreds of small keys, some
@@ -91,7 +96,7 @@
     return planned > solved_for * STEP_RATIO and planned > solved_for + least
 
 
-def on_grid(value: float) -> float:
+def round_up_to_grid(value: float) -> float:
     """Round ``value`` up to the next power of ``GRID_RATIO``; negligible values become 0."""
     if value <= NEGLIGIBLE_TOKENS_PER_S:
         return 0.0
