--- a/rooklug/runtime/__init__.py
+++ b/rooklug/runtime/__init__.py
@@ -1,6 +1,6 @@
-"""The daemon's runtime: executes effects and delivers events over real sockets, disk and time.
+"""The daemon's runtime: executes effects and delivers events, using sockets, disk and clock.
 
-Begin with ``host.py``, which drives one reducer; ``process.py`` runs a host until it stops. The
-simulator (``rooklug_lab.sim``) takes this package's place in tests. May import ``engine``,
-``model``, ``storage`` and ``wire``.
+The entry point is ``host.py``, which drives one reducer; ``process.py`` runs a host until it
+stops. The simulator (``rooklug_lab.sim``) replaces this package in simulated runs. May import
+``engine``, ``model``, ``storage`` and ``wire``.
 """
--- a/rooklug/runtime/compute_pool.py
+++ b/rooklug/runtime/compute_pool.py
@@ -1,4 +1,4 @@
-"""Threads for the ``Compute`` effect: pure functions outside the event loop."""
+"""Thread pool for the ``Compute`` effect: runs pure functions off the event loop."""
 
 import asyncio
 from collections.abc import Callable
@@ -11,7 +11,7 @@
 
 
 class ComputePool:
-    """Runs functions and delivers their results; threads are made at first use."""
+    """Runs functions on threads, created at first use, and delivers the results as events."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, deliver: Callable[[Event], None]) -> None:
         self._loop = loop
@@ -19,14 +19,14 @@
         self._executor: ThreadPoolExecutor | None = None
 
     def start(self, effect: Compute) -> None:
-        """Run the effect's function; ``Computed`` follows with its result or its error."""
+        """Run the effect's function; delivers ``Computed`` with the result or the error text."""
         if self._executor is None:
             self._executor = ThreadPoolExecutor(_THREADS, "compute")
         future = self._loop.run_in_executor(self._executor, effect.function, effect.argument)
         future.add_done_callback(lambda done: self._on_done(effect.ticket, done))
 
     def close(self) -> None:
-        """Cancel what hasn't begun; what runs is left to end by itself."""
+        """Cancel the functions that haven't started; running ones are not waited for."""
         if self._executor is not None:
             self._executor.shutdown(wait=False, cancel_futures=True)
 
--- a/rooklug/runtime/disk.py
+++ b/rooklug/runtime/disk.py
@@ -1,4 +1,4 @@
-"""The disk thread: executes writes in order, one sync for all queued ones (group commit)."""
+"""The disk thread: executes writes in order, with one sync for all queued writes (group commit)."""
 
 import asyncio
 import queue
@@ -17,15 +17,16 @@
 
 
 @attrs.frozen(eq=False)
-class _Job:
+class _WriteJob:
     effect: WriteRecords | RewriteFile
-    submitted: float
+    submitted_at: float
 
 
 class Disk:
-    """Executes ``WriteRecords`` and ``RewriteFile``; the event loop never waits for it.
+    """Executes ``WriteRecords`` and ``RewriteFile`` on a thread, so the event loop never blocks.
 
-    ``memory_only``: writes are acknowledged at once and nothing is stored.
+    With ``memory_only``, writes are acknowledged immediately and nothing is stored. With neither
+    a folder nor ``memory_only``, each write fails.
     """
 
     def __init__(
@@ -40,32 +41,32 @@
         self._loop = loop
         self._folder = folder
         self._deliver = deliver
-        self._jobs: queue.SimpleQueue[_Job | None] = queue.SimpleQueue()
+        self._jobs: queue.SimpleQueue[_WriteJob | None] = queue.SimpleQueue()
         self._closed: asyncio.Future = loop.create_future()
         self._thread = threading.Thread(target=self._run, args=(folder,), name="disk", daemon=True)
         if folder is not None:
             self._thread.start()
 
     def submit(self, effect: WriteRecords | RewriteFile) -> None:
-        """Queue a write."""
+        """Queue a write; delivers ``WriteFinished`` once it is synced, else ``WriteFailed``."""
         if self._memory_only:
             self._deliver(WriteFinished(effect.ticket, 0.0))
             return
         if self._folder is None:
             self._deliver(WriteFailed(effect.ticket, _NO_FOLDER))
             return
-        self._jobs.put(_Job(effect, time.monotonic()))
+        self._jobs.put(_WriteJob(effect, time.monotonic()))
 
     def close(self) -> None:
-        """Finish what is queued in the background, then close the folder."""
+        """Let the disk thread finish the queued writes and close the folder; returns at once."""
         if self._folder is None:
             self._closed.set_result(None)
         else:
             self._jobs.put(None)
 
-    async def closed(self, limit_s: float) -> bool:
-        """Wait up to ``limit_s`` seconds for the folder to close; return whether it did."""
-        done, _ = await asyncio.wait([self._closed], timeout=limit_s)
+    async def wait_closed(self, timeout_s: float) -> bool:
+        """Wait up to ``timeout_s`` seconds for the folder to close; return whether it did."""
+        done, _ = await asyncio.wait([self._closed], timeout=timeout_s)
         return bool(done)
 
     def _run(self, folder: DataFolder) -> None:
@@ -77,15 +78,18 @@
                 self._call_in_loop(self._closed.set_result, None)
                 return
 
-    def _queued_jobs(self) -> list[_Job | None]:
+    def _queued_jobs(self) -> list[_WriteJob | None]:
         jobs = [self._jobs.get()]
         while not self._jobs.empty():
             jobs.append(self._jobs.get())
         return jobs
 
-    def _execute(self, folder: DataFolder, jobs: list[_Job]) -> None:
-        """Append all, each file synced once; a rewrite first syncs its file's appends."""
-        appended: dict[str, list[_Job]] = {}
+    def _execute(self, folder: DataFolder, jobs: list[_WriteJob]) -> None:
+        """Execute the jobs in order and sync each appended file once, at the end.
+
+        A rewrite first syncs the earlier appends to its file, so that they are reported in order.
+        """
+        appended: dict[str, list[_WriteJob]] = {}
         for job in jobs:
             file = job.effect.file
             if isinstance(job.effect, RewriteFile):
@@ -96,7 +100,7 @@
         for file, file_jobs in appended.items():
             self._sync(folder, file, file_jobs)
 
-    def _append(self, folder: DataFolder, job: _Job) -> bool:
+    def _append(self, folder: DataFolder, job: _WriteJob) -> bool:
         try:
             folder.append(job.effect.file, job.effect.records)
         except OSError as problem:
@@ -104,7 +108,7 @@
             return False
         return True
 
-    def _rewrite(self, folder: DataFolder, job: _Job) -> None:
+    def _rewrite(self, folder: DataFolder, job: _WriteJob) -> None:
         try:
             folder.rewrite(job.effect.file, job.effect.records)
         except OSError as problem:
@@ -112,7 +116,7 @@
             return
         self._report_finished(job)
 
-    def _sync(self, folder: DataFolder, file: str, jobs: list[_Job]) -> None:
+    def _sync(self, folder: DataFolder, file: str, jobs: list[_WriteJob]) -> None:
         if not jobs:
             return
         try:
@@ -124,8 +128,8 @@
         for job in jobs:
             self._report_finished(job)
 
-    def _report_finished(self, job: _Job) -> None:
-        elapsed_s = time.monotonic() - job.submitted
+    def _report_finished(self, job: _WriteJob) -> None:
+        elapsed_s = time.monotonic() - job.submitted_at
         self._report(WriteFinished(job.effect.ticket, elapsed_s))
 
     def _report(self, event: Event) -> None:
@@ -134,5 +138,5 @@
     def _call_in_loop(self, callback: Callable[[Any], None], argument: Any) -> None:
         try:
             self._loop.call_soon_threadsafe(callback, argument)
-        except RuntimeError:  # the loop is closed: the process is ending, nobody waits for it
+        except RuntimeError:  # the event loop is closed: no one is left to receive the report
             return
--- a/rooklug/runtime/event_queue.py
+++ b/rooklug/runtime/event_queue.py
@@ -9,8 +9,8 @@
 from rooklug.engine.effects import Effect
 from rooklug.engine.events import Event
 
-_EVENTS_PER_TURN = 64
-"""After so many events the loop runs its other tasks."""
+_EVENTS_PER_BATCH = 64
+"""Events handled in a row before control returns to the event loop's other tasks."""
 
 
 @attrs.frozen(eq=False)
@@ -21,7 +21,7 @@
 
 
 class EventQueue:
-    """Calls ``handle(event)`` for each event, until it is closed."""
+    """Calls ``handle(event)`` for each delivered event, one at a time, until it is closed."""
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, handle: Callable[[Event], list[Effect]]
@@ -29,7 +29,7 @@
         self._loop = loop
         self._handle = handle
         self._pending: deque[_QueuedEvent] = deque()
-        self._turn_scheduled = False
+        self._batch_scheduled = False
         self._closed = False
 
     def deliver(
@@ -40,34 +40,35 @@
     ) -> None:
         """Queue an event.
 
-        ``is_wanted`` is asked when its turn comes; an unwanted event is dropped. ``handled``
-        gets the effects that it caused, none when it was dropped.
+        ``is_wanted`` is called just before the event would be handled; if it returns False, the
+        event is dropped. ``handled`` is resolved with the effects of the event, with an empty
+        list if it was dropped.
         """
         self._pending.append(_QueuedEvent(event, is_wanted, handled))
-        self._schedule_turn()
+        self._schedule_batch()
 
     def close(self) -> None:
-        """Drop the pending events and all later ones."""
+        """Drop the pending events and every event delivered later."""
         self._closed = True
         while self._pending:
             _resolve(self._pending.popleft(), [])
 
-    def _schedule_turn(self) -> None:
-        if not self._turn_scheduled:
-            self._turn_scheduled = True
-            self._loop.call_soon(self._take_turn)
+    def _schedule_batch(self) -> None:
+        if not self._batch_scheduled:
+            self._batch_scheduled = True
+            self._loop.call_soon(self._handle_batch)
 
-    def _take_turn(self) -> None:
-        self._turn_scheduled = False
-        for _ in range(_EVENTS_PER_TURN):
+    def _handle_batch(self) -> None:
+        self._batch_scheduled = False
+        for _ in range(_EVENTS_PER_BATCH):
             if not self._pending:
                 return
             queued = self._pending.popleft()
-            _resolve(queued, self._effects_of(queued))
+            _resolve(queued, self._handle_if_wanted(queued))
         if self._pending:
-            self._schedule_turn()
+            self._schedule_batch()
 
-    def _effects_of(self, queued: _QueuedEvent) -> list[Effect]:
+    def _handle_if_wanted(self, queued: _QueuedEvent) -> list[Effect]:
         if self._closed or not (queued.is_wanted is None or queued.is_wanted()):
             return []
         return self._handle(queued.event)
--- a/rooklug/runtime/host.py
+++ b/rooklug/runtime/host.py
@@ -1,7 +1,7 @@
-"""Drives one reducer over real sockets, disk and time.
+"""Drives one reducer using sockets, disk and the system clock.
 
-A host delivers events to its reducer one at a time and executes the effects in order. Many
-hosts may live in one process: no state is kept in modules.
+A host delivers events to its reducer one at a time and executes the effects in order. Several
+hosts can run in one process, so no state is kept at module level.
 """
 
 import asyncio
@@ -37,14 +37,14 @@
 DEFAULT_STOP_GRACE_S = 30.0
 
 _FIRST_ARRIVAL_ID = 1 << 40
-"""Ids of arriving requests start here, apart from the ids that a reducer issues itself."""
-_DISK_CLOSE_LIMIT_S = 5.0
-_FLUSH_LIMIT_S = 2.0
+"""First id of incoming requests, far above the ids that a reducer issues itself (from 1)."""
+_DISK_CLOSE_TIMEOUT_S = 5.0
+_FLUSH_TIMEOUT_S = 2.0
 _LISTEN_BACKLOG = 1024
 
 
 class DataFolderRefusedError(Exception):
-    """The data folder is foreign, in use or unusable; ``error`` says which."""
+    """The data folder belongs to another node, is in use or is unusable; see ``error``."""
 
     def __init__(self, error: FolderError) -> None:
         super().__init__(error.message)
@@ -54,22 +54,22 @@
 class Host:
     """Runs one reducer: ``await start()``, then ``await stopped()`` returns the exit code.
 
-    An exception of the reducer is a broken invariant: it is logged, and the exit code is
-    ``EXIT_BROKEN_INVARIANT``.
+    An exception raised by the reducer or while its effects are executed counts as a broken
+    invariant: it is logged, and the host stops with ``EXIT_BROKEN_INVARIANT``.
 
     Parameters
     ----------
     listen_internal, listen_http
-        Addresses "ip:port" to listen on; "" for none, port 0 for any free one.
+        Addresses "ip:port" to listen on; "" to not listen, port 0 for any free port.
     listeners
-        Further HTTP addresses, by the name that their requests carry.
+        Additional HTTP addresses to listen on, by the listener name set on their requests.
     bind_ip
-        Source address of outgoing connections, "" for any.
+        Source IP of outgoing connections, "" for any.
     data_folder, memory_only
-        Where records are stored. Without a folder a write fails, unless ``memory_only``: then
-        it is acknowledged, and the state lasts as long as the process.
+        Where records are stored. Without a folder each write fails, except with
+        ``memory_only``: then it is acknowledged, and the state is lost with the process.
     stop_grace_s
-        How long after ``request_stop`` a reducer that doesn't stop is stopped.
+        Seconds from ``request_stop`` until a reducer that hasn't stopped is stopped.
     """
 
     def __init__(
@@ -105,18 +105,18 @@
 
     @property
     def channel(self) -> ChannelMetrics:
-        """The bytes on this host's internal channel."""
+        """Byte counters of this host's internal channel, both directions."""
         return self._metrics.channel
 
     async def start(self) -> None:
-        """Open the data folder and the ports, then deliver ``Started``.
+        """Listen on the ports, open the data folder, then deliver ``Started``.
 
         Raises
         ------
         DataFolderRefusedError
-            The data folder is not this node's to use.
+            The data folder belongs to another node, is in use or is unusable.
         OSError
-            A port is in use, or an address is not this machine's.
+            A port is in use, or an address does not belong to this machine.
         """
         self._loop = asyncio.get_running_loop()
         self._queue = EventQueue(self._loop, self._handle)
@@ -135,22 +135,25 @@
         self._deliver(ev.Started(contents.records, contents.disk_identity, contents.problem))
 
     def request_stop(self) -> None:
-        """Deliver ``StopRequested`` once; a reducer that never stops is stopped after the grace."""
+        """Deliver ``StopRequested``; repeated calls are ignored.
+
+        A reducer that hasn't stopped ``stop_grace_s`` seconds later is stopped by the host.
+        """
         if not self._running or self._stop_requested:
             return
         self._stop_requested = True
         self._deliver(ev.StopRequested())
-        self._loop.call_later(self._stop_grace_s, self._on_grace_over)
+        self._loop.call_later(self._stop_grace_s, self._on_stop_grace_expired)
 
     async def stopped(self) -> int:
-        """Wait for the end; return the exit code."""
+        """Wait until the host has stopped and closed its resources; return the exit code."""
         code = await asyncio.shield(self._exit_code)
         if self._closing is not None:
             await self._closing
         return code
 
     def kill(self) -> None:
-        """End at once, as a crash would: nothing more is delivered or executed."""
+        """Stop immediately, as a crash would: nothing more is delivered or executed."""
         self._stop(EXIT_OK)
 
     def _build_drivers(self) -> None:
@@ -163,20 +166,23 @@
             self._loop, self._node_id, self._bind_ip, self._deliver, write_log, channel
         )
         self._rpc_server = RpcServer(self._node_id, arrival_ids, self._deliver, write_log, channel)
-        self._http_client = HttpClient(self._loop, self._bind_ip, self._deliver_of_call, write_log)
+        self._http_client = HttpClient(
+            self._loop, self._bind_ip, self._deliver_http_call_event, write_log
+        )
         self._http_port = HttpPort(
             arrival_ids, self.reducer.head_first_paths, self._deliver, self._render_metrics
         )
 
     # Events ---------------------------------------------------------------
 
-    def _deliver_of_call(
+    def _deliver_http_call_event(
         self, event: ev.Event, is_wanted: Callable[[], bool]
     ) -> Awaitable[None] | None:
-        """Deliver an HTTP call's event.
+        """Deliver an event of an outgoing HTTP call.
 
-        The awaitable of a chunk ends once the streams that it was passed on to can take more:
-        a slow caller slows its replica down, instead of filling this process's memory.
+        For a body chunk, the awaitable returned is done once every response stream that the chunk
+        was forwarded to can accept more data. This backpressure makes a slow caller slow down its
+        replica's stream instead of filling this process's memory.
         """
         if not isinstance(event, ev.HttpBodyChunk):
             self._deliver(event, is_wanted)
@@ -186,7 +192,7 @@
         return self._wait_until_writable(handled)
 
     async def _wait_until_writable(self, handled: asyncio.Future) -> None:
-        for request_id in _streams_written(await handled):
+        for request_id in _written_stream_ids(await handled):
             writable = self._http_port.writable(request_id)
             if writable is not None:
                 await writable
@@ -200,7 +206,7 @@
             effects = self.reducer.handle(event, self._loop.time())
             for effect in effects:
                 self._execute(effect)
-        except Exception:  # whatever it is, this process's state can't be trusted any more
+        except Exception:  # of any type: the reducer's state can no longer be trusted
             self._on_broken_invariant(event)
             return []
         return effects
@@ -236,13 +242,13 @@
     def _stop_process(self, effect: fx.StopProcess) -> None:
         fields = {"reason": effect.reason, "exit_code": effect.exit_code}
         self.log.write("info", "stopping", fields)
-        self._stop(effect.exit_code, _FLUSH_LIMIT_S)
+        self._stop(effect.exit_code, _FLUSH_TIMEOUT_S)
 
     def _render_metrics(self) -> bytes:
         samples = [*self.reducer.metrics(self._loop.time()), *self._metrics.samples()]
         return render_metrics(samples)
 
-    # Start and end --------------------------------------------------------
+    # Start and stop -------------------------------------------------------
 
     def _listen(self) -> None:
         try:
@@ -265,12 +271,12 @@
         self._disk = Disk(self._loop, folder, self._deliver)
         return contents
 
-    def _on_grace_over(self) -> None:
+    def _on_stop_grace_expired(self) -> None:
         if self._running:
-            self.log.write("warning", "stopped at the end of the grace period", {})
+            self.log.write("warning", "grace period over; stopping the reducer now", {})
             self._stop(EXIT_OK)
 
-    def _stop(self, exit_code: int, flush_limit_s: float = 0.0) -> None:
+    def _stop(self, exit_code: int, flush_timeout_s: float = 0.0) -> None:
         if not self._running:
             return
         self._running = False
@@ -280,16 +286,18 @@
         self._disk.close()
         self._compute_pool.close()
         self._queue.close()
-        self._closing = self._loop.create_task(self._close(flush_limit_s))
+        self._closing = self._loop.create_task(self._close(flush_timeout_s))
         self._exit_code.set_result(exit_code)
 
-    async def _close(self, flush_limit_s: float) -> None:
+    async def _close(self, flush_timeout_s: float) -> None:
         self._http_port.stop()
-        await self._http_port.flush(flush_limit_s)
+        await self._http_port.flush(flush_timeout_s)
         await self._close_ports()
-        if not await self._disk.closed(_DISK_CLOSE_LIMIT_S):
-            fields = {"limit_s": _DISK_CLOSE_LIMIT_S}
-            self.log.write("error", "the disk did not finish in time", fields)
+        if not await self._disk.wait_closed(_DISK_CLOSE_TIMEOUT_S):
+            fields = {"limit_s": _DISK_CLOSE_TIMEOUT_S}
+            self.log.write(
+                "error", "disk writes unfinished at the limit; not waiting longer", fields
+            )
 
     async def _close_ports(self) -> None:
         self._rpc_server.stop()
@@ -299,7 +307,7 @@
 
 
 def _listen_on(server: TCPServer, address: str) -> str:
-    """Bind ``server`` to "ip:port"; return the address bound, "" without one."""
+    """Bind ``server`` to "ip:port"; return the address bound, or "" if ``address`` is ""."""
     if not address:
         return ""
     ip, port = split_address(address)
@@ -308,5 +316,5 @@
     return bound_address(sockets)
 
 
-def _streams_written(effects: list[fx.Effect]) -> tuple[int, ...]:
+def _written_stream_ids(effects: list[fx.Effect]) -> tuple[int, ...]:
     return tuple(effect.request_id for effect in effects if isinstance(effect, fx.HttpStreamChunk))
--- a/rooklug/runtime/http_client.py
+++ b/rooklug/runtime/http_client.py
@@ -1,4 +1,4 @@
-"""Outgoing HTTP calls over pooled connections."""
+"""HTTP/1.1 client: executes outgoing calls over pooled connections."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -16,34 +16,38 @@
 from rooklug.runtime.tasks import BackgroundTasks, LogWriter
 
 MAX_ANSWER_BYTES = 16 * 1024 * 1024
-_UNBOUNDED = 1 << 62
+_UNBOUNDED_BYTES = 1 << 62
 _MAX_HEADER_BYTES = 64 * 1024
-_READ_BYTES = 64 * 1024
+_READ_CHUNK_BYTES = 64 * 1024
 _NO_BODY_STATUSES = (204, 304)
 HTTP_OK = 200
 _HEAD_METHOD = HTTPMethod.HEAD.value
 
 Deliver = Callable[[ev.Event, Callable[[], bool]], Awaitable[None] | None]
-"""Delivers an event about a call unless the call was cancelled meanwhile; the awaitable, if
-any, ends once the receiver can take more."""
+"""Delivers an event of a call if its second argument returns True when the event's turn comes
+(False: the call was cancelled). The awaitable, if any, is done once the receiver accepts more."""
 
 
 class _ClientConnection(HTTP1Connection):
-    """Hands on the bytes of an answer without a length as they come."""
+    """Passes on the body of a response without a length as it arrives; tornado buffers it all."""
 
     async def _read_body_until_close(self, delegate: httputil.HTTPMessageDelegate) -> None:
         while True:
             try:
-                chunk = await self.stream.read_bytes(_READ_BYTES, partial=True)
+                chunk = await self.stream.read_bytes(_READ_CHUNK_BYTES, partial=True)
             except StreamClosedError:
-                return  # the call looks at the stream's error: a reset is not an end
+                return  # finish() checks stream.error: after a reset the body is incomplete
             taken = delegate.data_received(chunk)
             if taken is not None:
                 await taken
 
 
 class _ClientCall(httputil.HTTPMessageDelegate):
-    """One call: sends the request, delivers the answer's events, exactly one end."""
+    """One call: sends the request and delivers the events of the response.
+
+    Unless it is cancelled, the call ends with exactly one ``HttpAnswered``,
+    ``HttpResponseCompleted`` or ``HttpFailed``.
+    """
 
     def __init__(self, client: "HttpClient", effect: HttpCall) -> None:
         self.effect = effect
@@ -56,8 +60,8 @@
         self._status = 0
         self._headers: dict[str, str] = {}
         self._body: list[bytes] = []
-        self._complete = False
-        self._keep = False
+        self._response_complete = False
+        self._keep_alive = False
         self._timers = [client.loop.call_later(effect.deadline_s, self._fail, "deadline")]
         if effect.first_byte_deadline_s > 0:
             self._timers.append(
@@ -67,36 +71,36 @@
             )
 
     async def run(self) -> None:
-        """Make the call."""
+        """Execute the call, from connecting to the end of the response; failures become events."""
         try:
             await self._attempt()
         except ConnectError as problem:
-            self._end(self._failure(str(problem)))
-        except Exception as problem:  # a fault of this program: the call must still end once
+            self._end_with(self._failure(str(problem)))
+        except Exception as problem:  # a bug: the call must still end with one event
             self._fail(f"fault: {problem!r}")
             raise
 
     def cancel(self) -> None:
-        """Close the connection; nothing more is delivered."""
+        """Close the connection; no further event is delivered."""
         self._cancelled = True
-        self._finish()
-        self._drop()
+        self._mark_finished()
+        self._close_connection()
 
-    # What the connection reports -----------------------------------------
+    # Callbacks of the connection -----------------------------------------
 
     def headers_received(
         self,
         start_line: httputil.RequestStartLine | httputil.ResponseStartLine,
         headers: httputil.HTTPHeaders,
     ) -> Awaitable[None] | None:
-        """Take the answer's head."""
+        """Record status and headers; informational (1xx) responses are ignored."""
         start_line = cast(httputil.ResponseStartLine, start_line)
         if start_line.code < HTTP_OK:
             return None
         self._send_state = ev.SendState.RESPONDING
         self._status = start_line.code
         self._headers = {name.lower(): value for name, value in headers.items()}
-        self._keep = (
+        self._keep_alive = (
             start_line.version == "HTTP/1.1"
             and self._headers.get("connection", "").lower() != "close"
         )
@@ -106,41 +110,45 @@
         return self._deliver(ev.HttpResponseStarted(call_id, self._status, self._headers))
 
     def data_received(self, chunk: bytes) -> Awaitable[None] | None:
-        """Take bytes of the answer's body."""
+        """Deliver a chunk of a streaming response, or buffer it until the response is complete."""
         if self.effect.streaming:
             return self._deliver(ev.HttpBodyChunk(self.effect.call_id, chunk))
         self._body.append(chunk)
         return None
 
     def finish(self) -> None:
-        """The message is over; one without a length is complete if its connection was closed."""
+        """End the call if the response is complete.
+
+        A response without a length is complete only if the server closed the connection without
+        an error.
+        """
         framed = (
             "content-length" in self._headers
             or "transfer-encoding" in self._headers
             or self._status in _NO_BODY_STATUSES
             or self.effect.method == _HEAD_METHOD
         )
-        self._keep = self._keep and framed
+        self._keep_alive = self._keep_alive and framed
         stream = self._connected_stream
-        self._complete = framed or (stream.closed() and stream.error is None)
-        if not self._complete:
+        self._response_complete = framed or (stream.closed() and stream.error is None)
+        if not self._response_complete:
             return
-        self._end(self._success())
-        if stream.writing():  # answered before the request was sent completely
+        self._end_with(self._success())
+        if stream.writing():  # the response is complete before the request was fully sent
             stream.close()
 
     def on_connection_close(self) -> None:
-        """The connection ended within the message."""
+        """Do nothing: ``_end_exchange`` fails the call if its response is incomplete."""
 
     # ---------------------------------------------------------------------
 
     async def _attempt(self) -> None:
         effect = self.effect
-        stream = await self._client.pool.take(effect.address, effect.connect_deadline_s)
+        stream = await self._client.pool.acquire(effect.address, effect.connect_deadline_s)
         self._stream = stream
         if self._is_too_late():
-            self._client.pool.give_back(effect.address, stream)
-            self._end(self._failure("too late to be sent"))
+            self._client.pool.release(effect.address, stream)
+            self._end_with(self._failure("too late to be sent"))
             return
         try:
             await self._exchange(stream)
@@ -150,7 +158,7 @@
 
     async def _exchange(self, stream: ClientStream) -> None:
         effect = self.effect
-        bound = _UNBOUNDED if effect.streaming else MAX_ANSWER_BYTES
+        bound = _UNBOUNDED_BYTES if effect.streaming else MAX_ANSWER_BYTES
         parameters = HTTP1ConnectionParameters(
             max_header_size=_MAX_HEADER_BYTES, max_body_size=bound
         )
@@ -169,13 +177,13 @@
         await connection.read_response(self)
 
     def _end_exchange(self) -> None:
-        if not self._complete:
-            self._fail("the connection ended before the answer did")
-        elif self._keep and not self._cancelled:
+        if not self._response_complete:
+            self._fail("the connection ended before the answer was complete")
+        elif self._keep_alive and not self._cancelled:
             idle_s = keep_alive_s(self._headers.get("keep-alive", ""))
-            self._client.pool.give_back(self.effect.address, self._connected_stream, idle_s)
+            self._client.pool.release(self.effect.address, self._connected_stream, idle_s)
         else:
-            self._drop()
+            self._close_connection()
 
     @property
     def _connected_stream(self) -> ClientStream:
@@ -201,22 +209,22 @@
             self._fail(reason)
 
     def _fail(self, reason: str) -> None:
-        self._end(self._failure(reason))
-        self._drop()
+        self._end_with(self._failure(reason))
+        self._close_connection()
 
-    def _end(self, event: ev.Event) -> None:
+    def _end_with(self, event: ev.Event) -> None:
         if self._finished:
             return
-        self._finish()
+        self._mark_finished()
         self._deliver(event)
 
-    def _finish(self) -> None:
+    def _mark_finished(self) -> None:
         self._finished = True
         for timer in self._timers:
             timer.cancel()
         self._client.calls.pop(self.effect.call_id, None)
 
-    def _drop(self) -> None:
+    def _close_connection(self) -> None:
         if self._stream is not None:
             self._stream.close()
         elif self.task is not None:
@@ -227,7 +235,7 @@
 
 
 class HttpClient:
-    """Executes ``HttpCall`` and ``CancelHttpCall``."""
+    """Executes ``HttpCall`` and ``CancelHttpCall``; each call runs as a task of its own."""
 
     def __init__(
         self,
@@ -243,13 +251,13 @@
         self._tasks = BackgroundTasks(loop, log)
 
     def start(self, effect: HttpCall) -> None:
-        """Begin a call."""
+        """Start a call; its events carry the effect's ``call_id``."""
         call = _ClientCall(self, effect)
         self.calls[effect.call_id] = call
         call.task = self._tasks.start(call.run())
 
     def cancel(self, call_id: int) -> None:
-        """Close a call's connection; unknown ids are ignored."""
+        """Cancel a call and close its connection; unknown ids are ignored."""
         call = self.calls.get(call_id)
         if call is not None:
             call.cancel()
--- a/rooklug/runtime/http_exchange.py
+++ b/rooklug/runtime/http_exchange.py
@@ -1,4 +1,4 @@
-"""One HTTP request at the server and its answer."""
+"""One HTTP exchange at the server: a request and its response."""
 
 import asyncio
 import json
@@ -22,20 +22,21 @@
 
 METRICS_PATH = "/metrics"
 _DISCARDED_BODY_BYTES = 64 * 1024
-_DISCARD_BODY_S = 2.0
+_DISCARD_BODY_TIMEOUT_S = 2.0
 _LINGER_S = 1.0
-_HIGH_WATER_BYTES = 256 * 1024
-"""With more unsent bytes than this, whoever feeds a stream should wait (backpressure)."""
+_HIGH_WATERMARK_BYTES = 256 * 1024
+"""Above this many unsent bytes, the producer of a stream should wait (backpressure)."""
 _MAX_UNSENT_BYTES = 16 * 1024 * 1024
-"""With more unsent bytes than this, the caller's connection is closed."""
+"""Above this many unsent bytes, the caller's connection is closed to bound memory."""
 
 
 @attrs.define(eq=False)
 class OpenExchanges:
-    """What the exchanges of one HTTP port share.
+    """State that the exchanges of one HTTP port share.
 
-    ``by_request_id``: exchanges that aren't answered yet; ``finishing``: answered, but not all
-    bytes written; ``lingering``: answered before the request was read, to be closed late.
+    ``by_request_id`` holds the exchanges without a complete response; ``finishing`` those whose
+    response is complete but not fully written; ``lingering`` those answered before the request
+    was read, whose connection is closed a little later.
     """
 
     identifiers: Iterator[int]
@@ -48,10 +49,10 @@
 
 
 class HttpExchange(httputil.HTTPMessageDelegate):
-    """Reads a request, delivers its events, and writes what the reducer answers.
+    """Reads a request, delivers its events and writes the reducer's response.
 
-    ``unsent_bytes`` of a streamed answer wait for the caller; ``written`` is done once the
-    whole answer has been written.
+    ``unsent_bytes`` of a streamed response are buffered until the caller reads them. ``written``
+    is done once the complete response has been written; it is None before its last part is sent.
     """
 
     def __init__(
@@ -63,12 +64,12 @@
         self._exchanges = exchanges
         self._connection = connection
         self._request_id = 0
-        self._start: httputil.RequestStartLine  # both are set by headers_received
+        self._start_line: httputil.RequestStartLine  # both are set by headers_received
         self._headers: httputil.HTTPHeaders
         self._body: list[bytes] = []
         self._body_bytes = 0
         self._head_first = False
-        self._body_wanted: asyncio.Future | None = None
+        self._body_requested: asyncio.Future | None = None
         self._read_finished = False
         self._answered = False
         self._discarding = False
@@ -78,42 +79,42 @@
         self._ending = False
         self._writable_waiters: list[asyncio.Future] = []
 
-    # What the connection reports -----------------------------------------
+    # Callbacks of the connection -----------------------------------------
 
     def headers_received(
         self,
         start_line: httputil.RequestStartLine | httputil.ResponseStartLine,
         headers: httputil.HTTPHeaders,
     ) -> Awaitable[None] | None:
-        """Take the head; a withheld body is not read until this future is done."""
-        self._start = cast(httputil.RequestStartLine, start_line)
+        """Handle the head of a request; the body is not read before the returned future is done."""
+        self._start_line = cast(httputil.RequestStartLine, start_line)
         self._headers = headers
         self._request_id = next(self._exchanges.identifiers)
         self._exchanges.by_request_id[self._request_id] = self
         if self._announced_length() > MAX_REQUEST_BODY_BYTES:
-            self._body_wanted = asyncio.get_running_loop().create_future()
-            self._refuse_large_body()
-            return self._body_wanted
-        path = self._start.path.partition("?")[0]
+            self._body_requested = asyncio.get_running_loop().create_future()
+            self._reject_large_body()
+            return self._body_requested
+        path = self._start_line.path.partition("?")[0]
         if self._listener or not path.startswith(self._exchanges.head_first_paths):
             return None
         self._head_first = True
-        self._body_wanted = asyncio.get_running_loop().create_future()
-        self._exchanges.deliver(self._arrived(b"", body_withheld=True))
-        return self._body_wanted
+        self._body_requested = asyncio.get_running_loop().create_future()
+        self._exchanges.deliver(self._arrival_event(b"", body_withheld=True))
+        return self._body_requested
 
     def data_received(self, chunk: bytes) -> None:
-        """Take some bytes of the body."""
+        """Buffer a chunk of the body; one that exceeds the limit is answered with 413."""
         if self._discarding or self._answered:
             return
         self._body_bytes += len(chunk)
         if self._body_bytes > MAX_REQUEST_BODY_BYTES:
-            self._refuse_large_body()
+            self._reject_large_body()
             return
         self._body.append(chunk)
 
     def finish(self) -> None:
-        """The request is complete."""
+        """Deliver the complete request; ``/metrics`` on the main listener is answered here."""
         self._read_finished = True
         if self._discarding:
             self._connection.finish()
@@ -125,28 +126,28 @@
         self._body.clear()
         if self._head_first:
             self._exchanges.deliver(HttpRequestBody(self._request_id, body))
-        elif not self._listener and self._start.path.partition("?")[0] == METRICS_PATH:
+        elif not self._listener and self._start_line.path.partition("?")[0] == METRICS_PATH:
             self.respond(HTTP_OK, {"content-type": CONTENT_TYPE}, self._exchanges.render_metrics())
         else:
-            self._exchanges.deliver(self._arrived(body, body_withheld=False))
+            self._exchanges.deliver(self._arrival_event(body, body_withheld=False))
 
     def on_connection_close(self) -> None:
-        """The connection ended; deliver that unless the answer was complete."""
+        """Deliver ``HttpRequestClosed`` unless the request was already answered."""
         self._exchanges.finishing.discard(self)
         if not self._close_exchange() or self._answered:
             return
         self._answered = True
         self._exchanges.deliver(HttpRequestClosed(self._request_id))
 
-    # What the reducer asks for --------------------------------------------
+    # Effects of the reducer -----------------------------------------------
 
     def read_body(self) -> None:
-        """Read on."""
-        if self._body_wanted is not None and not self._body_wanted.done():
-            self._body_wanted.set_result(None)
+        """Resume reading a request whose body was withheld."""
+        if self._body_requested is not None and not self._body_requested.done():
+            self._body_requested.set_result(None)
 
     def respond(self, status: int, headers: dict[str, str], body: bytes) -> None:
-        """Send a complete answer."""
+        """Send a complete response; ignored if the request was already answered."""
         if self._answered:
             return
         self._answered = True
@@ -162,11 +163,11 @@
             self._answer_and_linger(status, lines, body)
 
     def start_stream(self, status: int, headers: dict[str, str]) -> None:
-        """Send the head of a chunked answer."""
+        """Send status and headers of a chunked response."""
         self._write_head(status, _header_lines(headers, "application/x-ndjson"), None)
 
     def send_chunk(self, data: bytes) -> None:
-        """Send one chunk, after those before it."""
+        """Queue one chunk; the connection is closed if too many bytes are unsent."""
         if not data or self._ending:
             return
         self._unsent.append(data)
@@ -178,21 +179,21 @@
         self._write_unsent()
 
     def end_stream(self) -> None:
-        """Send the final chunk after the others."""
+        """Send the final chunk once the queued ones have been written."""
         self._ending = True
         self._finish_with(asyncio.get_running_loop().create_future())
         self._write_unsent()
 
     def writable(self) -> asyncio.Future | None:
-        """Return None while the caller keeps up, else a future that ends once it does again."""
-        if self.unsent_bytes <= _HIGH_WATER_BYTES:
+        """Return None, or with too many unsent bytes a future that is done once they are fewer."""
+        if self.unsent_bytes <= _HIGH_WATERMARK_BYTES:
             return None
         waiter = asyncio.get_running_loop().create_future()
         self._writable_waiters.append(waiter)
         return waiter
 
     def abort(self) -> None:
-        """Close the connection without the final chunk."""
+        """Close the connection at once; a streamed response stays without its final chunk."""
         self._answered = True
         self._exchanges.lingering.discard(self)
         self._unsent.clear()
@@ -209,18 +210,18 @@
     def _is_chunked(self) -> bool:
         return "transfer-encoding" in self._headers
 
-    def _arrived(self, body: bytes, *, body_withheld: bool) -> HttpRequestArrived:
-        path, _, query = self._start.path.partition("?")
+    def _arrival_event(self, body: bytes, *, body_withheld: bool) -> HttpRequestArrived:
+        path, _, query = self._start_line.path.partition("?")
         return HttpRequestArrived(
             request_id=self._request_id,
-            method=self._start.method,
+            method=self._start_line.method,
             path=path,
             query=dict(parse_qsl(query, keep_blank_values=True)),
             headers={name.lower(): value for name, value in self._headers.items()},
             body=body,
             body_withheld=body_withheld,
             remote_address=str(self._connection.context),
-            target=self._start.path,
+            target=self._start_line.path,
             listener=self._listener,
         )
 
@@ -228,7 +229,7 @@
         self, status: int, headers: httputil.HTTPHeaders, body: bytes | None
     ) -> asyncio.Future:
         line = httputil.ResponseStartLine("HTTP/1.1", status, responses.get(status, "Unknown"))
-        if self._start.method == "HEAD":
+        if self._start_line.method == "HEAD":
             body = None
         written = self._connection.write_headers(line, headers, body)
         if self._answered:
@@ -236,7 +237,7 @@
         return written
 
     def _finish_with(self, written: asyncio.Future) -> None:
-        """Remember the future that is done when the complete answer has been written."""
+        """Set ``written`` to the future that is done once the complete response is written."""
         self.written = written
         if not written.done():
             self._exchanges.finishing.add(self)
@@ -251,17 +252,17 @@
                 continue
             self._writing = True
             self._writing_bytes = len(data)
-            written.add_done_callback(self._written)
+            written.add_done_callback(self._on_written)
         if self._ending and not self._unsent and not self._writing and not self._answered:
             self._answered = True
             self._close_exchange()
             self._connection.finish()
 
-    def _written(self, _written: asyncio.Future) -> None:
+    def _on_written(self, _written: asyncio.Future) -> None:
         self._writing = False
         self.unsent_bytes -= self._writing_bytes
         self._write_unsent()
-        if self.unsent_bytes <= _HIGH_WATER_BYTES:
+        if self.unsent_bytes <= _HIGH_WATERMARK_BYTES:
             self._release_waiters()
 
     def _release_waiters(self) -> None:
@@ -277,27 +278,31 @@
             self.written.set_result(None)
         return self._exchanges.by_request_id.pop(self._request_id, None) is not None
 
-    def _refuse_large_body(self) -> None:
+    def _reject_large_body(self) -> None:
         message = f"the body is larger than {MAX_REQUEST_BODY_BYTES} bytes"
         error = {"error": {"code": "too_large", "message": message}}
         self.respond(HTTP_TOO_LARGE, {}, json.dumps(error).encode())
 
     def _discard_body(self, status: int, headers: httputil.HTTPHeaders, body: bytes) -> None:
-        """Answer, and read and drop a small body, so that the connection can be kept."""
+        """Respond, then read and discard a small body, so that the connection can be reused."""
         self._discarding = True
-        self._connection.set_body_timeout(_DISCARD_BODY_S)
+        self._connection.set_body_timeout(_DISCARD_BODY_TIMEOUT_S)
         self._write_head(status, headers, body)
         self.read_body()
 
     def _answer_and_linger(self, status: int, headers: httputil.HTTPHeaders, body: bytes) -> None:
-        """Answer, then close late: closing on unread bytes could destroy the answer."""
+        """Respond, then close the connection after ``_LINGER_S``.
+
+        Closing a socket with unread bytes sends a reset, which can discard the response before
+        the caller has read it.
+        """
         headers["connection"] = "close"
         written = self._write_head(status, headers, body)
-        written.add_done_callback(self._end_writing)
+        written.add_done_callback(self._shut_down_writing)
         self._exchanges.lingering.add(self)
         asyncio.get_running_loop().call_later(_LINGER_S, self.abort)
 
-    def _end_writing(self, _written: asyncio.Future) -> None:
+    def _shut_down_writing(self, _written: asyncio.Future) -> None:
         stream = self._connection.stream
         if not stream.closed():
             stream.socket.shutdown(socket.SHUT_WR)
--- a/rooklug/runtime/http_pool.py
+++ b/rooklug/runtime/http_pool.py
@@ -1,4 +1,4 @@
-"""Pooled client connections, one list an address."""
+"""Pool of idle keep-alive client connections, by address."""
 
 import asyncio
 import socket
@@ -11,27 +11,31 @@
 
 _PEEK = socket.MSG_PEEK
 _DEFAULT_IDLE_S = 2.0
-_LONGEST_IDLE_S = 120.0
+_MAX_IDLE_S = 120.0
 _KEEP_ALIVE_MARGIN_S = 1.0
-"""A server counts the idle time from its own send, so the client stops using it earlier."""
-_SWEEP_S = 2.0
+"""The server starts its idle timer when it sends, before the client receives; the margin keeps the
+client from reusing a connection that the server is closing."""
+_SWEEP_INTERVAL_S = 2.0
 _MAX_IDLE_CONNECTIONS = 64
 
 
 def keep_alive_s(keep_alive: str) -> float:
-    """Return how long a connection may stay idle, by the answer's ``Keep-Alive`` (RFC 2068)."""
+    """Return for how many seconds a connection may stay idle.
+
+    ``keep_alive`` is the value of the response's ``Keep-Alive`` header (RFC 2068), "" if absent.
+    """
     for parameter in keep_alive.split(","):
         name, _, value = parameter.strip().partition("=")
         if name.lower() == "timeout" and value.isascii() and value.isdigit():
-            return min(max(float(value) - _KEEP_ALIVE_MARGIN_S, 0.0), _LONGEST_IDLE_S)
+            return min(max(float(value) - _KEEP_ALIVE_MARGIN_S, 0.0), _MAX_IDLE_S)
     return _DEFAULT_IDLE_S
 
 
 class ClientStream(IOStream):
-    """A client's connection that knows whether it can take another request."""
+    """A client connection with a check for reuse."""
 
     def is_reusable(self) -> bool:
-        """Return whether the connection is open and has no unread byte."""
+        """Return whether the connection is open, without unread bytes or unfinished writes."""
         if self.closed() or self._read_buffer_size or self.writing():
             return False
         try:
@@ -40,19 +44,19 @@
             return True
         except OSError:
             return False
-        return False  # a byte nobody asked for, or the end
+        return False  # an unexpected byte, or the server has closed the connection
 
 
 @attrs.frozen(eq=False)
 class _IdleConnection:
-    """A connection that may be used again until monotonic time ``until``."""
+    """A connection that may be reused until monotonic time ``until`` (seconds)."""
 
     until: float
     stream: ClientStream
 
 
 class ConnectionPool:
-    """Hands out connections; only ones that ended a whole exchange come back."""
+    """Hands out connections; only those whose last exchange was complete are returned to it."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, bind_ip: str) -> None:
         self.connections_made = 0
@@ -61,13 +65,13 @@
         self._idle: dict[str, list[_IdleConnection]] = defaultdict(list)
         self._sweeper: asyncio.TimerHandle | None = None
 
-    async def take(self, address: str, connect_deadline_s: float) -> ClientStream:
-        """Return a pooled connection or a new one.
+    async def acquire(self, address: str, connect_deadline_s: float) -> ClientStream:
+        """Return a reusable idle connection, or connect within ``connect_deadline_s``.
 
         Raises
         ------
         ConnectError
-            Refused, unreachable or not in time.
+            The connection was refused or timed out, or the server is unreachable.
         """
         idle = self._idle[address]
         while idle:
@@ -78,20 +82,18 @@
         self.connections_made += 1
         return await connect_stream(address, self._bind_ip, connect_deadline_s, ClientStream)
 
-    def give_back(
-        self, address: str, stream: ClientStream, idle_s: float = _DEFAULT_IDLE_S
-    ) -> None:
-        """Pool a connection after a complete exchange, for ``idle_s`` seconds at most."""
+    def release(self, address: str, stream: ClientStream, idle_s: float = _DEFAULT_IDLE_S) -> None:
+        """Return a connection to the pool after a complete exchange, for at most ``idle_s``."""
         idle = self._idle[address]
         if len(idle) >= _MAX_IDLE_CONNECTIONS or not stream.is_reusable():
             stream.close()
             return
         idle.append(_IdleConnection(self._loop.time() + idle_s, stream))
         if self._sweeper is None:
-            self._sweeper = self._loop.call_later(_SWEEP_S, self._sweep)
+            self._sweeper = self._loop.call_later(_SWEEP_INTERVAL_S, self._close_expired)
 
     def close(self) -> None:
-        """Close all pooled connections."""
+        """Close all idle connections; those in use are closed by their calls."""
         if self._sweeper is not None:
             self._sweeper.cancel()
         for idle in self._idle.values():
@@ -99,7 +101,7 @@
                 connection.stream.close()
         self._idle.clear()
 
-    def _sweep(self) -> None:
+    def _close_expired(self) -> None:
         self._sweeper = None
         now = self._loop.time()
         for address, idle in list(self._idle.items()):
@@ -109,4 +111,4 @@
             if not idle:
                 del self._idle[address]
         if self._idle:
-            self._sweeper = self._loop.call_later(_SWEEP_S, self._sweep)
+            self._sweeper = self._loop.call_later(_SWEEP_INTERVAL_S, self._close_expired)
--- a/rooklug/runtime/http_server.py
+++ b/rooklug/runtime/http_server.py
@@ -1,4 +1,4 @@
-"""The HTTP port: delivers requests as events, and executes the answers' effects."""
+"""The HTTP server: delivers requests as events and executes the effects that answer them."""
 
 import asyncio
 from collections.abc import Callable, Iterator
@@ -13,8 +13,8 @@
 from rooklug.model.constants import MAX_REQUEST_BODY_BYTES
 from rooklug.runtime.http_exchange import HttpExchange, OpenExchanges
 
-_IDLE_CONNECTION_S = 120.0
-_BODY_LIMIT_S = 60.0
+_IDLE_CONNECTION_TIMEOUT_S = 120.0
+_BODY_TIMEOUT_S = 60.0
 _MAX_HEADER_BYTES = 64 * 1024
 
 
@@ -30,7 +30,7 @@
 
 
 class HttpPort(httputil.HTTPServerConnectionDelegate):
-    """Accepts connections, and keeps the exchanges that are not answered yet."""
+    """Accepts connections on the main and the named listeners and tracks their exchanges."""
 
     def __init__(
         self,
@@ -40,58 +40,58 @@
         render_metrics: Callable[[], bytes],
     ) -> None:
         self.exchanges = OpenExchanges(identifiers, head_first_paths, deliver, render_metrics)
-        self._named: list[HTTPServer] = []
-        self.server = _server(self)
+        self._named_servers: list[HTTPServer] = []
+        self.server = _make_server(self)
 
     def listener(self, name: str) -> HTTPServer:
-        """Return a server whose requests carry ``name``; the caller binds its sockets."""
-        server = _server(_NamedListener(self.exchanges, name))
-        self._named.append(server)
+        """Return a new server whose requests have ``listener`` ``name``; the caller binds it."""
+        server = _make_server(_NamedListener(self.exchanges, name))
+        self._named_servers.append(server)
         return server
 
     def start_request(
         self, server_conn: object, request_conn: httputil.HTTPConnection
     ) -> httputil.HTTPMessageDelegate:
-        """Begin an exchange."""
+        """Start an exchange for a request to the main listener."""
         return HttpExchange(self.exchanges, cast(HTTP1Connection, request_conn))
 
     def on_close(self, server_conn: object) -> None:
-        """A connection ended; its exchange has its own callback."""
+        """Do nothing: the exchange itself is called back when its connection closes."""
 
     def execute(self, effect: ServerEffect) -> None:
-        """Execute an answer's effect; those of a closed exchange are ignored."""
+        """Execute an effect on its exchange; ignored if the exchange is already closed."""
         exchange = self.exchanges.by_request_id.get(effect.request_id)
         if exchange is not None:
             _ACTION_BY_EFFECT[type(effect)](exchange, effect)
 
     def writable(self, request_id: int) -> asyncio.Future | None:
-        """Return None, or what to await before more is fed to a streamed answer."""
+        """Return None, or a future to await before sending more of a streamed response."""
         exchange = self.exchanges.by_request_id.get(request_id)
         return exchange.writable() if exchange is not None else None
 
     def stop(self) -> None:
-        """Take no new connections."""
-        for server in (self.server, *self._named):
+        """Stop accepting connections; open ones continue."""
+        for server in (self.server, *self._named_servers):
             server.stop()
 
-    async def flush(self, limit_s: float) -> None:
-        """Wait until whole answers have been written, at most ``limit_s``."""
+    async def flush(self, timeout_s: float) -> None:
+        """Wait up to ``timeout_s`` seconds until the complete responses have been written."""
         written = [exchange.written for exchange in self.exchanges.finishing]
         waiting = [future for future in written if future is not None]
         if waiting:
-            await asyncio.wait(waiting, timeout=limit_s)
+            await asyncio.wait(waiting, timeout=timeout_s)
 
     async def close(self) -> None:
-        """Close every connection."""
+        """Abort the open exchanges and close every connection."""
         unfinished = [*self.exchanges.by_request_id.values(), *self.exchanges.lingering]
         for exchange in unfinished:
             exchange.abort()
-        for server in (self.server, *self._named):
+        for server in (self.server, *self._named_servers):
             await server.close_all_connections()
 
 
 class _NamedListener(httputil.HTTPServerConnectionDelegate):
-    """Begins the exchanges of one named listener."""
+    """Starts the exchanges of one named listener."""
 
     def __init__(self, exchanges: OpenExchanges, name: str) -> None:
         self._exchanges = exchanges
@@ -100,21 +100,21 @@
     def start_request(
         self, server_conn: object, request_conn: httputil.HTTPConnection
     ) -> httputil.HTTPMessageDelegate:
-        """Begin an exchange."""
+        """Start an exchange whose request carries the listener's name."""
         return HttpExchange(self._exchanges, cast(HTTP1Connection, request_conn), self._name)
 
     def on_close(self, server_conn: object) -> None:
-        """A connection ended; its exchange has its own callback."""
+        """Do nothing: the exchange itself is called back when its connection closes."""
 
 
-def _server(delegate: httputil.HTTPServerConnectionDelegate) -> HTTPServer:
+def _make_server(delegate: httputil.HTTPServerConnectionDelegate) -> HTTPServer:
     return HTTPServer(
         delegate,
-        idle_connection_timeout=_IDLE_CONNECTION_S,
+        idle_connection_timeout=_IDLE_CONNECTION_TIMEOUT_S,
         max_header_size=_MAX_HEADER_BYTES,
-        # The exchange refuses larger bodies itself, with a typed error.
+        # Above the exchange's own limit, so that the exchange can answer with a typed error.
         max_body_size=4 * MAX_REQUEST_BODY_BYTES,
-        body_timeout=_BODY_LIMIT_S,
+        body_timeout=_BODY_TIMEOUT_S,
     )
 
 
@@ -131,4 +131,4 @@
     fx.HttpStreamAbort: lambda exchange, effect: exchange.abort(),
 }
 SERVER_EFFECTS = tuple(_ACTION_BY_EFFECT)
-"""The effects that an HTTP port executes."""
+"""The effect types that an HTTP port executes."""
--- a/rooklug/runtime/log.py
+++ b/rooklug/runtime/log.py
@@ -1,4 +1,4 @@
-"""The log: one JSON object a line, through the standard library's logging."""
+"""Structured log: one JSON object per line, written through the standard ``logging``."""
 
 import json
 import logging
@@ -19,7 +19,7 @@
 
 @attrs.frozen
 class LogEntry:
-    """What one line says besides its time and level."""
+    """The content of one log line besides its time and level."""
 
     node_id: str
     message: str
@@ -27,10 +27,13 @@
 
 
 class JsonLinesFormatter(logging.Formatter):
-    """Writes a record whose message is a ``LogEntry``: ts (UTC), level, node, message, fields."""
+    """Formats a record whose message is a ``LogEntry``: ts (UTC), level, node, message, fields.
+
+    A field named like one of the first four is left out.
+    """
 
     def format(self, record: logging.LogRecord) -> str:
-        """Return one line without its end."""
+        """Return one JSON line without the newline."""
         entry = cast(LogEntry, record.msg)
         line = {
             "ts": datetime.fromtimestamp(record.created, UTC).isoformat(timespec="milliseconds"),
@@ -44,7 +47,7 @@
 
 
 class NodeLog:
-    """One node's log; several nodes of a process may share a stream."""
+    """The log of one node; several nodes in one process may share a stream."""
 
     def __init__(self, node_id: str, level: str = "info", stream: TextIO | None = None) -> None:
         self._node_id = node_id
@@ -55,7 +58,7 @@
         self._logger.addHandler(handler)
 
     def write(self, level: str, message: str, fields: dict[str, Any] | None = None) -> None:
-        """Write one line; an unknown level counts as "error"."""
+        """Write one line; an unknown level is logged as "error"."""
         number = LEVELS.get(level, logging.ERROR)
         if not self._logger.isEnabledFor(number):
             return
@@ -63,14 +66,14 @@
 
 
 class LibraryLogHandler(logging.Handler):
-    """Carries what libraries say through the standard logging into a node's log."""
+    """Forwards warnings and errors that libraries log through ``logging`` to a node's log."""
 
     def __init__(self, node_log: NodeLog) -> None:
         super().__init__(logging.WARNING)
         self._node_log = node_log
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write the record as one line."""
+        """Write the record as one line, with the logger's name and any traceback."""
         fields = {"logger": record.name}
         if record.exc_info:
             fields["traceback"] = logging.Formatter().formatException(record.exc_info)
--- a/rooklug/runtime/metrics.py
+++ b/rooklug/runtime/metrics.py
@@ -1,4 +1,4 @@
-"""``GET /metrics``: a reducer's samples in the Prometheus text format."""
+"""Rendering of metric samples for ``GET /metrics`` in the Prometheus text format."""
 
 from collections.abc import Iterable
 
@@ -9,22 +9,22 @@
 
 
 def render_metrics(samples: Iterable[MetricSample]) -> bytes:
-    """Return the text of all samples, one family a name."""
+    """Return the exposition text; samples with the same name form one metric family."""
     from prometheus_client.exposition import (
-        generate_latest,  # imported at the first request, it takes memory
+        generate_latest,  # imported at the first request: it takes memory
     )
 
-    return generate_latest(_Collected(samples))
+    return generate_latest(_SampleCollector(samples))
 
 
-class _Collected:
-    """What prometheus_client takes for a registry."""
+class _SampleCollector:
+    """A collector of given samples in the form that prometheus_client expects of a registry."""
 
     def __init__(self, samples: Iterable[MetricSample]) -> None:
         self._samples = samples
 
     def collect(self) -> Iterable:
-        """Return metric families."""
+        """Group the samples into metric families."""
         from prometheus_client.metrics_core import Metric
 
         families: dict[str, Metric] = {}
--- a/rooklug/runtime/process.py
+++ b/rooklug/runtime/process.py
@@ -1,4 +1,4 @@
-"""A daemon's process: one host, stopped by SIGTERM or SIGINT."""
+"""Entry point of a daemon process: runs one host until SIGTERM, SIGINT or its own stop."""
 
 import asyncio
 import errno
@@ -23,10 +23,10 @@
     try:
         await host.start()
     except DataFolderRefusedError as refusal:
-        host.log.write("critical", "data folder refused", {"reason": str(refusal)})
+        host.log.write("critical", "data folder refused; exiting", {"reason": str(refusal)})
         return EXIT_DATA_FOLDER
     except OSError as problem:
-        host.log.write("critical", "can't listen", {"reason": str(problem)})
+        host.log.write("critical", "listen failed; exiting", {"reason": str(problem)})
         return EXIT_PORT_IN_USE if problem.errno == errno.EADDRINUSE else EXIT_FAILURE
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
--- a/rooklug/runtime/process_metrics.py
+++ b/rooklug/runtime/process_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of the process itself: processor time, memory, bytes of the internal channel."""
+"""Metrics of the process: events handled, internal channel bytes, processor time, memory."""
 
 import os
 import resource
@@ -13,13 +13,13 @@
 
 @attrs.define
 class ProcessMetrics:
-    """Counters of one host, and the process's processor time and memory."""
+    """Counters of one host, sampled together with the process's CPU time and memory."""
 
     events_handled: int = 0
     channel: ChannelMetrics = attrs.field(factory=ChannelMetrics)
 
     def samples(self) -> list[MetricSample]:
-        """Return the samples of this moment."""
+        """Return the current samples; CPU time and memory are read from the operating system."""
         usage = resource.getrusage(resource.RUSAGE_SELF)
         processor_s = usage.ru_utime + usage.ru_stime
         return [
@@ -38,7 +38,7 @@
 
 
 def resident_bytes() -> int:
-    """Return the resident memory of this process."""
+    """Return the resident set size of this process, in bytes."""
     with open(_STATUS_FILE) as status:
         pages = int(status.read().split()[1])
     return pages * os.sysconf("SC_PAGE_SIZE")
--- a/rooklug/runtime/rpc_client.py
+++ b/rooklug/runtime/rpc_client.py
@@ -1,4 +1,4 @@
-"""Outgoing thrift calls: one connection a peer, answers matched by id."""
+"""RPC client: outgoing thrift calls over one connection per peer, answers matched by call id."""
 
 import asyncio
 from collections.abc import Callable
@@ -19,7 +19,7 @@
 class _PendingCall:
     effect: Call
     data: bytes
-    deadline: asyncio.TimerHandle = attrs.field(init=False)
+    deadline_timer: asyncio.TimerHandle = attrs.field(init=False)
     written_at: float | None = None
     finished: bool = False
 
@@ -27,8 +27,9 @@
 class _Peer:
     """The connection to one address, with the calls that wait for an answer on it.
 
-    A peer is retired when a call went unanswered and nothing was received since it was
-    written: its path may drop packets silently. New calls then use a new connection.
+    A peer is retired when a call times out and nothing has been received since the call was
+    written: the network path may be dropping packets silently. New calls then use a new
+    connection, while the retired one stays open for the answers still pending.
     """
 
     def __init__(self, client: "RpcClient", address: str) -> None:
@@ -40,31 +41,33 @@
         self._connecting = client.tasks.start(self._connect())
 
     def submit(self, call: _PendingCall) -> None:
-        """Send the call now, or once connected."""
+        """Send the call now, or as soon as the connection is established."""
         self.pending[call.effect.call_id] = call
         if self._connection is not None:
             self._send(self._connection, call)
 
     def close(self, reason: str) -> None:
-        """Close the connection, or give up connecting."""
+        """Close the connection, or cancel the connection attempt."""
         self._connecting.cancel()
         if self._connection is not None:
-            self._connection.close_for(reason)
+            self._connection.close(reason)
 
     async def _connect(self) -> None:
-        deadlines = self._client.connect_timeouts
+        timeouts = self._client.connect_timeouts
         try:
-            deadline_s = deadlines.next(self.address)
-            stream: IOStream = await connect_stream(self.address, self._client.bind_ip, deadline_s)
+            timeout_s = timeouts.next_timeout_s(self.address)
+            stream: IOStream = await connect_stream(self.address, self._client.bind_ip, timeout_s)
         except ConnectError as problem:
-            deadlines.failed(self.address)
+            timeouts.record_failure(self.address)
             self._client.peer_closed(self, str(problem))
             return
-        except Exception as problem:  # a fault of this program must not make the peer unreachable
+        except Exception as problem:  # a bug here must not leave the peer unreachable for good
             self._client.peer_closed(self, f"fault while connecting: {problem!r}")
             raise
-        deadlines.connected(self.address)
-        connection = FramedConnection(stream, self._message, self._closed, self._client.figures)
+        timeouts.record_success(self.address)
+        connection = FramedConnection(
+            stream, self._on_message, self._on_closed, self._client.channel_metrics
+        )
         self._connection = connection
         connection.start()
         for call in list(self.pending.values()):
@@ -79,22 +82,22 @@
         self.pending.pop(call.effect.call_id, None)
         return False
 
-    def _message(self, connection: FramedConnection, message: Message) -> None:
+    def _on_message(self, connection: FramedConnection, message: Message) -> None:
         self.last_received = self._client.loop.time()
         if not message.is_answer:
-            connection.close_for("garbage frame: a request from the answering side")
+            connection.close("garbage frame: a request from the answering side")
             return
         call = self.pending.pop(message.call_id, None)
         if call is not None:
             self._client.finish(call, CallAnswered(message.call_id, message.body))
         self._client.close_if_retired(self)
 
-    def _closed(self, _connection: FramedConnection, reason: str) -> None:
+    def _on_closed(self, _connection: FramedConnection, reason: str) -> None:
         self._client.peer_closed(self, reason)
 
 
 class RpcClient:
-    """Executes ``Call``; ends each in exactly one ``CallAnswered`` or ``CallFailed``."""
+    """Executes ``Call``; each ends with exactly one ``CallAnswered`` or ``CallFailed``."""
 
     def __init__(
         self,
@@ -103,9 +106,9 @@
         bind_ip: str,
         deliver: Callable[[Event], None],
         log: LogWriter,
-        figures: ChannelMetrics,
+        channel_metrics: ChannelMetrics,
     ) -> None:
-        self.figures = figures
+        self.channel_metrics = channel_metrics
         self.loop = loop
         self.bind_ip = bind_ip
         self.tasks = BackgroundTasks(loop, log)
@@ -117,7 +120,7 @@
         self._retired: set[_Peer] = set()
 
     def start(self, effect: Call) -> None:
-        """Begin a call."""
+        """Start a call; a request that is too large to send fails immediately."""
         frame = encode_frame(
             Message(effect.call_id, is_answer=False, sender=self._node_id, body=effect.request)
         )
@@ -128,16 +131,19 @@
         peer = self._peers.get(effect.address)
         if peer is None:
             peer = self._peers[effect.address] = _Peer(self, effect.address)
-        call.deadline = self.loop.call_later(effect.deadline_s, self._expire, peer, call)
+        call.deadline_timer = self.loop.call_later(effect.deadline_s, self._expire, peer, call)
         peer.submit(call)
 
     def close(self) -> None:
-        """Close every connection."""
+        """Close every connection; the calls pending on them fail."""
         for peer in [*self._peers.values(), *self._retired]:
             peer.close("this process stops")
 
     def may_write(self, call: _PendingCall) -> bool:
-        """Return, right before the send, whether the call may still be sent."""
+        """Return whether the call may still be sent; called right before its first byte is written.
+
+        A call that has ended may not; one past its ``not_after`` fails here.
+        """
         if call.finished:
             return False
         now = self.loop.time()
@@ -150,26 +156,30 @@
         return True
 
     def finish(self, call: _PendingCall, event: CallAnswered | CallFailed) -> None:
-        """Deliver the one event that ends the call."""
+        """Deliver the event that ends the call; ignored if the call has already ended."""
         if call.finished:
             return
         call.finished = True
-        call.deadline.cancel()
+        call.deadline_timer.cancel()
         self._deliver(event)
 
     def peer_closed(self, peer: _Peer, reason: str) -> None:
-        """Fail what waited on a connection that has ended."""
+        """Fail the calls pending on a connection that has closed, and forget the peer."""
         self._retired.discard(peer)
         if self._peers.get(peer.address) is peer:
             del self._peers[peer.address]
         if reason.startswith("garbage"):
-            self._log("warning", "connection closed", {"peer": peer.address, "reason": reason})
+            self._log(
+                "warning",
+                "malformed frame received; connection closed",
+                {"peer": peer.address, "reason": reason},
+            )
         for call in list(peer.pending.values()):
             self._fail(call, reason)
         peer.pending.clear()
 
     def close_if_retired(self, peer: _Peer) -> None:
-        """Close a retired connection once nothing waits on it."""
+        """Close a retired connection once no call is pending on it."""
         if peer in self._retired and not peer.pending:
             peer.close("no answer in time")
 
--- a/rooklug/runtime/rpc_server.py
+++ b/rooklug/runtime/rpc_server.py
@@ -1,4 +1,4 @@
-"""The internal port: thrift requests of peers, and the answers to them."""
+"""RPC server on the internal port: receives thrift requests of peers and sends the answers."""
 
 from collections.abc import Callable, Iterator
 
@@ -15,7 +15,7 @@
 
 @attrs.frozen(eq=False)
 class _UnansweredCall:
-    """Where an answer goes, and the id by which the caller knows its call."""
+    """The connection to answer on, and the call id that the caller assigned."""
 
     connection: FramedConnection
     caller_id: int
@@ -24,7 +24,7 @@
 class RpcServer(TCPServer):
     """Delivers ``CallArrived`` and executes ``Answer``.
 
-    Garbage closes its connection and is logged; nothing else is affected.
+    A malformed frame closes its connection and is logged; other connections are not affected.
     """
 
     def __init__(
@@ -33,11 +33,11 @@
         identifiers: Iterator[int],
         deliver: Callable[[Event], None],
         log: LogWriter,
-        figures: ChannelMetrics,
+        metrics: ChannelMetrics,
     ) -> None:
         super().__init__()
         self._node_id = node_id
-        self._figures = figures
+        self._channel_metrics = metrics
         self._identifiers = identifiers
         self._deliver = deliver
         self._log = log
@@ -45,13 +45,15 @@
         self._connections: dict[FramedConnection, str] = {}
 
     def handle_stream(self, stream: IOStream, address: tuple) -> None:
-        """Serve a new connection."""
-        connection = FramedConnection(stream, self._message, self._closed, self._figures)
+        """Start reading frames from a new connection."""
+        connection = FramedConnection(
+            stream, self._on_message, self._on_closed, self._channel_metrics
+        )
         self._connections[connection] = f"{address[0]}:{address[1]}"
         connection.start()
 
     def answer(self, effect: Answer) -> None:
-        """Send an answer; dropped when the caller's connection is gone."""
+        """Send an answer; dropped if the caller's connection has closed."""
         call = self._unanswered.pop(effect.call_id, None)
         if call is None:
             return
@@ -59,27 +61,31 @@
             Message(call.caller_id, is_answer=True, sender=self._node_id, body=effect.answer)
         )
         if frame.is_error():
-            self._log("error", "answer not sent", {"reason": frame.error.message})
+            self._log("error", "answer can't be encoded; dropped", {"reason": frame.error.message})
             return
         call.connection.send(OutgoingFrame(frame.ok, lambda: True))
 
     def close_connections(self) -> None:
-        """Close every connection."""
+        """Close every connection; calls not answered yet fail at their callers."""
         for connection in list(self._connections):
-            connection.close_for("this process stops")
+            connection.close("this process stops")
 
-    def _message(self, connection: FramedConnection, message: Message) -> None:
+    def _on_message(self, connection: FramedConnection, message: Message) -> None:
         if message.is_answer:
-            connection.close_for("garbage frame: an answer from the calling side")
+            connection.close("garbage frame: an answer from the calling side")
             return
         call_id = next(self._identifiers)
         self._unanswered[call_id] = _UnansweredCall(connection, message.call_id)
         self._deliver(CallArrived(call_id, message.sender, message.body))
 
-    def _closed(self, connection: FramedConnection, reason: str) -> None:
+    def _on_closed(self, connection: FramedConnection, reason: str) -> None:
         peer = self._connections.pop(connection)
         if reason.startswith("garbage"):
-            self._log("warning", "connection closed", {"peer": peer, "reason": reason})
+            self._log(
+                "warning",
+                "malformed frame received; connection closed",
+                {"peer": peer, "reason": reason},
+            )
         self._unanswered = {
             call_id: call
             for call_id, call in self._unanswered.items()
--- a/rooklug/runtime/tasks.py
+++ b/rooklug/runtime/tasks.py
@@ -1,4 +1,4 @@
-"""Background tasks: referenced until they are done, their exceptions logged."""
+"""Background asyncio tasks whose exceptions are logged."""
 
 import asyncio
 import traceback
@@ -9,9 +9,9 @@
 
 
 class BackgroundTasks:
-    """Starts tasks and keeps a reference to each, so that none is collected while it runs.
+    """Starts tasks and keeps a reference to each: asyncio itself holds only weak references.
 
-    An exception that ends a task is a fault of this program: it is logged with its traceback.
+    An exception that ends a task is a bug and is logged with its traceback.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, log: LogWriter) -> None:
@@ -20,7 +20,7 @@
         self._tasks: set[asyncio.Task] = set()
 
     def start(self, coroutine: Coroutine) -> asyncio.Task:
-        """Run a coroutine as a task."""
+        """Run a coroutine as a task; cancel the returned task to stop it."""
         task = self._loop.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._on_done)
@@ -31,4 +31,4 @@
         if task.cancelled() or task.exception() is None:
             return
         fields = {"traceback": "".join(traceback.format_exception(task.exception()))}
-        self._log("error", "fault in a task of the runtime", fields)
+        self._log("error", "unhandled exception in a runtime task", fields)
--- a/rooklug/runtime/timers.py
+++ b/rooklug/runtime/timers.py
@@ -10,7 +10,7 @@
 
 @attrs.define(eq=False)
 class _Timer:
-    """One start of a named timer; a replaced or cancelled one never fires."""
+    """One start of a named timer; it never fires once it is replaced or cancelled."""
 
     name: str
     handle: asyncio.TimerHandle = attrs.field(init=False)
@@ -19,8 +19,9 @@
 class Timers:
     """Calls ``on_due(name, is_current)`` for each due timer.
 
-    ``is_current()`` is asked when the event's turn comes, and takes the timer: a timer that
-    was cancelled or replaced while its event waited in the queue does not fire.
+    The receiver calls ``is_current()`` once, right before it handles the timer's event: it removes
+    the timer and returns True, or returns False if the timer was cancelled or replaced while its
+    event was queued. Such a timer does not fire.
     """
 
     def __init__(
@@ -33,10 +34,10 @@
         self._timers: dict[str, _Timer] = {}
 
     def start(self, effect: StartTimer) -> None:
-        """Set a timer, replacing one of the same name."""
+        """Start a timer, replacing a pending one of the same name; a negative delay counts as 0."""
         self._cancel(effect.name)
         timer = _Timer(effect.name)
-        timer.handle = self._loop.call_later(max(effect.delay_s, 0.0), self._due, timer)
+        timer.handle = self._loop.call_later(max(effect.delay_s, 0.0), self._fire, timer)
         self._timers[effect.name] = timer
 
     def cancel(self, effect: CancelTimer) -> None:
@@ -53,10 +54,10 @@
         if timer is not None:
             timer.handle.cancel()
 
-    def _due(self, timer: _Timer) -> None:
-        self._on_due(timer.name, lambda: self._take(timer))
+    def _fire(self, timer: _Timer) -> None:
+        self._on_due(timer.name, lambda: self._remove_if_current(timer))
 
-    def _take(self, timer: _Timer) -> bool:
+    def _remove_if_current(self, timer: _Timer) -> bool:
         if self._timers.get(timer.name) is not timer:
             return False
         del self._timers[timer.name]
--- a/rooklug/wire/__init__.py
+++ b/rooklug/wire/__init__.py
@@ -1,6 +1,7 @@
 """The internal protocol: thrift structs in length-prefixed frames.
 
-Begin with ``frames.py``. ``generated`` holds the structs made from ``idl/`` by
-``scripts/generate``. The name of a struct travels in each frame, so structs keep their names and
-field numbers. May import nothing else of rooklug.
+The entry point is ``frames.py``; ``codec.py`` encodes single structs, also for stored data.
+``generated`` holds the structs that ``scripts/generate`` makes from ``idl/``. Each frame carries
+the name of its struct, so struct names and field numbers must not change. May not import any
+other package of rooklug.
 """
--- a/rooklug/wire/channel.py
+++ b/rooklug/wire/channel.py
@@ -1,4 +1,4 @@
-"""One framed connection of the internal protocol over a tornado IOStream."""
+"""Framed connections of the internal protocol over a tornado IOStream."""
 
 import asyncio
 from collections import deque
@@ -12,7 +12,10 @@
 
 @attrs.frozen(eq=False)
 class OutgoingFrame:
-    """Bytes of a frame; ``may_write`` is called right before its first byte is written."""
+    """An encoded frame to send.
+
+    ``may_write`` is called right before the first byte is written; False drops the frame.
+    """
 
     data: bytes
     may_write: Callable[[], bool]
@@ -20,17 +23,17 @@
 
 @attrs.define(eq=False)
 class ChannelMetrics:
-    """Bytes of frames, summed over all connections that share the object."""
+    """Byte counters of frames, summed over all connections that share this object."""
 
     sent_bytes: int = 0
     received_bytes: int = 0
 
 
 class FramedConnection:
-    """Reads messages and writes frames in order, one frame in the stream's buffer at a time.
+    """Reads messages and writes frames in order, with at most one frame in the stream's buffer.
 
-    ``on_message(connection, message)`` may call ``close_for``. ``on_closed(connection,
-    reason)`` is called exactly once.
+    ``on_message(connection, message)`` is called for each message and may call ``close``.
+    ``on_closed(connection, reason)`` is called exactly once, when reading ends.
     """
 
     def __init__(
@@ -50,18 +53,18 @@
         self._reader: asyncio.Task | None = None
 
     def start(self) -> None:
-        """Begin to read."""
+        """Start the task that reads messages."""
         self._stream.set_nodelay(True)
         self._reader = asyncio.get_running_loop().create_task(self._read())
 
     def send(self, frame: OutgoingFrame) -> None:
-        """Write the frame once those before it are in the kernel's buffer."""
+        """Queue a frame; it is written once the previous ones have been passed to the kernel."""
         self._queued.append(frame)
         if not self._writing:
             self._write_queued()
 
-    def close_for(self, reason: str) -> None:
-        """Close; ``reason`` is what ``on_closed`` gets."""
+    def close(self, reason: str) -> None:
+        """Close the connection; the first ``reason`` given is passed to ``on_closed``."""
         self._close_reason = self._close_reason or reason
         self._stream.close()
 
@@ -74,17 +77,17 @@
             written = self._stream.write(frame.data)
             if not written.done():
                 self._writing = True
-                written.add_done_callback(self._write_done)
+                written.add_done_callback(self._on_write_done)
                 return
 
-    def _write_done(self, written: asyncio.Future) -> None:
+    def _on_write_done(self, written: asyncio.Future) -> None:
         self._writing = False
         if not written.cancelled() and written.exception() is None:
             self._write_queued()
 
     async def _read(self) -> None:
         try:
-            while await self._read_one():
+            while await self._read_message():
                 pass
         except StreamClosedError:
             pass
@@ -93,21 +96,19 @@
             self._queued.clear()
             self._on_closed(self, self._close_reason or "connection closed by the peer")
 
-    async def _read_one(self) -> bool:
+    async def _read_message(self) -> bool:
         header = await self._stream.read_bytes(LENGTH_BYTES)
         length = payload_length(header)
         if length.is_error():
-            return self._refuse(length.error.message)
+            return self._reject(length.error.message)
         payload = await self._stream.read_bytes(length.ok)
         self._metrics.received_bytes += LENGTH_BYTES + len(payload)
         message = decode_payload(payload)
         if message.is_error():
-            return self._refuse(message.error.message)
+            return self._reject(message.error.message)
         self._on_message(self, message.ok)
-        return (
-            not self._close_reason
-        )  # frames that a closed connection still has buffered are dropped
+        return not self._close_reason  # drops frames still buffered after close()
 
-    def _refuse(self, reason: str) -> bool:
-        self.close_for(f"garbage frame: {reason}")
+    def _reject(self, reason: str) -> bool:
+        self.close(f"garbage frame: {reason}")
         return False
--- a/rooklug/wire/codec.py
+++ b/rooklug/wire/codec.py
@@ -9,16 +9,16 @@
 
 
 class ThriftStruct(Protocol):
-    """What every generated struct can do."""
+    """The interface of every generated struct."""
 
     def read(self, iprot: Any) -> None:
-        """Fill the struct from a protocol."""
+        """Read the fields from a thrift protocol; unknown fields are skipped."""
 
     def write(self, oprot: Any) -> None:
-        """Write the struct to a protocol."""
+        """Write the fields that are set to a thrift protocol."""
 
     def validate(self) -> None:
-        """Raise when a required field is unset."""
+        """Raise ``TProtocolException`` if a required field is unset."""
 
 
 Struct = TypeVar("Struct", bound=ThriftStruct)
@@ -26,7 +26,7 @@
 
 @attrs.frozen
 class WireError:
-    """Bytes that are not a struct of the expected type."""
+    """A struct that can't be encoded within bounds, or bytes that can't be decoded."""
 
     message: str
 
@@ -37,7 +37,7 @@
     Raises
     ------
     TProtocolException
-        A required field is unset: a fault of this program, never of the input.
+        A required field is unset: a bug of this program, never caused by input.
     """
     struct.validate()
     buffer = TMemoryBuffer()
@@ -46,13 +46,13 @@
 
 
 def decode(struct_type: type[Struct], data: bytes) -> Result[Struct, WireError]:
-    """Read a struct; any malformed input, or input left over, is a ``WireError``."""
+    """Decode a struct; malformed input and trailing bytes are returned as a ``WireError``."""
     buffer = TMemoryBuffer(data)
     struct = struct_type()
     try:
         struct.read(TCompactProtocolAccelerated(buffer, fallback=True))
         struct.validate()
-    except Exception as problem:  # the library raises many types on garbage
+    except Exception as problem:  # the library raises many types on malformed input
         return Error(WireError(f"{struct_type.__name__}: {type(problem).__name__}: {problem}"))
     if buffer._buffer.read(1):
         return Error(WireError(f"{struct_type.__name__}: bytes left over"))
--- a/rooklug/wire/frames.py
+++ b/rooklug/wire/frames.py
@@ -11,14 +11,18 @@
 from rooklug.wire.registry import struct_classes
 
 MAX_FRAME_BYTES = 16 * 1024 * 1024
-"""Bound of an envelope's size, without the length before it."""
+"""Maximum size of an encoded envelope, without the length prefix."""
 LENGTH_BYTES = 4
 _LENGTH = struct.Struct(">I")
 
 
 @attrs.frozen
 class Message:
-    """One decoded frame: ``body`` is a thrift struct."""
+    """One decoded frame.
+
+    ``call_id`` is assigned by the caller and repeated in the answer; ``sender`` is the sending
+    node's id; ``body`` is a thrift struct.
+    """
 
     call_id: int
     is_answer: bool
@@ -27,7 +31,7 @@
 
 
 def encode_frame(message: Message) -> Result[bytes, WireError]:
-    """Return the frame's bytes, or an error when it would exceed ``MAX_FRAME_BYTES``."""
+    """Return the encoded frame, or an error if its envelope exceeds ``MAX_FRAME_BYTES``."""
     envelope = Envelope(
         call_id=message.call_id,
         is_answer=message.is_answer,
@@ -42,7 +46,7 @@
 
 
 def payload_length(header: bytes) -> Result[int, WireError]:
-    """Read a frame's length; one above ``MAX_FRAME_BYTES`` is an error."""
+    """Decode the length prefix; a length above ``MAX_FRAME_BYTES`` is an error."""
     (length,) = _LENGTH.unpack(header)
     if length > MAX_FRAME_BYTES:
         return Error(WireError(f"frame of {length} bytes is too large"))
@@ -50,7 +54,7 @@
 
 
 def decode_payload(payload: bytes) -> Result[Message, WireError]:
-    """Read the envelope and its body; anything malformed or of an unknown type is an error."""
+    """Decode an envelope and its body; a malformed one or an unknown type is an error."""
     return decode(Envelope, payload).bind(_decode_body)
 
 
--- a/rooklug/wire/packing.py
+++ b/rooklug/wire/packing.py
@@ -1,7 +1,8 @@
-"""Compression of bodies that go to every node: they are long and repeat the same names.
+"""Compression of bodies sent to every node: they are long and repeat the same names.
 
-A packed body begins with the byte of a zlib stream (RFC 1950), which no compact struct with
-a first field begins with; short bodies stay as they are. Readers take both.
+A packed body is a zlib stream. Its first byte (RFC 1950) can't be the first byte of a thrift
+compact struct whose first field is set, so ``decode_packed`` tells packed bodies from plain ones.
+Short bodies are sent uncompressed.
 """
 
 import zlib
@@ -12,23 +13,23 @@
 from rooklug.wire.frames import MAX_FRAME_BYTES
 
 PACK_ABOVE_BYTES = 1024
-_LEVEL = 6
+_ZLIB_LEVEL = 6
 _ZLIB_FIRST_BYTE = 0x78
 
 
 def encode_packed(struct: ThriftStruct) -> bytes:
-    """Return the encoding of a struct, compressed if it is long."""
+    """Return the encoded struct, compressed if it is longer than ``PACK_ABOVE_BYTES``."""
     data = encode(struct)
-    return data if len(data) <= PACK_ABOVE_BYTES else zlib.compress(data, _LEVEL)
+    return data if len(data) <= PACK_ABOVE_BYTES else zlib.compress(data, _ZLIB_LEVEL)
 
 
 def decode_packed(struct_type: type[Struct], data: bytes) -> Result[Struct, WireError]:
-    """Read a struct made by ``encode_packed`` or ``encode``; garbage is a ``WireError``."""
-    return _unpacked(data).bind(lambda unpacked: decode(struct_type, unpacked))
+    """Decode the result of ``encode_packed`` or ``encode``; malformed is a ``WireError``."""
+    return _decompressed(data).bind(lambda unpacked: decode(struct_type, unpacked))
 
 
-def _unpacked(data: bytes) -> Result[bytes, WireError]:
-    """Return the plain bytes; never more than a frame may hold."""
+def _decompressed(data: bytes) -> Result[bytes, WireError]:
+    """Return the uncompressed bytes, at most ``MAX_FRAME_BYTES`` (guards against zip bombs)."""
     if data[:1] != bytes([_ZLIB_FIRST_BYTE]):
         return Ok(data)
     reader = zlib.decompressobj()
--- a/rooklug/wire/registry.py
+++ b/rooklug/wire/registry.py
@@ -1,4 +1,4 @@
-"""Thrift struct classes by name, found in the generated packages."""
+"""Registry of the generated thrift struct classes by name."""
 
 import importlib
 import inspect
@@ -9,17 +9,17 @@
 
 
 class DuplicateStructError(Exception):
-    """Two thrift structs have one name; frames identify a struct by its name alone."""
+    """Two thrift structs share a name; frames identify a struct by its name alone."""
 
 
 @cache
 def struct_classes() -> dict[str, type]:
-    """Return every generated struct class by its name.
+    """Return every generated struct class by its name; imports the packages on first use.
 
     Raises
     ------
     DuplicateStructError
-        Two definitions use one name: a fault of the IDL files.
+        Two IDL files define a struct of the same name.
     """
     classes: dict[str, type] = {}
     for package in pkgutil.iter_modules(generated.__path__, generated.__name__ + "."):
@@ -28,6 +28,8 @@
             if struct_class.__module__ != module.__name__:
                 continue
             if name in classes:
-                raise DuplicateStructError(f"two thrift structs are named {name}")
+                raise DuplicateStructError(
+                    f"struct names must be unique: two in idl/ are named {name}"
+                )
             classes[name] = struct_class
     return classes
--- a/tests/test_runtime_connect_timeouts.py
+++ b/tests/test_runtime_connect_timeouts.py
@@ -1,3 +1,5 @@
+"""Connect timeouts: the growth after failures, and a peer that never accepts."""
+
 import asyncio
 import socket
 import time
@@ -11,28 +13,28 @@
 )
 
 
-class Deadlines(unittest.TestCase):
-    def test_a_first_try_ends_before_the_kernel_sends_again(self):
-        self.assertLess(ConnectTimeouts().next("a:1"), 0.5)
+class ConnectTimeoutsTest(unittest.TestCase):
+    def test_first_attempt_times_out_before_the_kernel_retransmits(self):
+        self.assertLess(ConnectTimeouts().next_timeout_s("a:1"), 0.5)
 
-    def test_each_failed_try_gives_the_next_one_more_time(self):
-        deadlines = ConnectTimeouts()
+    def test_each_failure_extends_the_next_timeout_up_to_the_maximum(self):
+        timeouts = ConnectTimeouts()
         seen = []
         for _ in range(6):
-            seen.append(deadlines.next("a:1"))
-            deadlines.failed("a:1")
+            seen.append(timeouts.next_timeout_s("a:1"))
+            timeouts.record_failure("a:1")
         self.assertEqual(seen, sorted(seen))
         self.assertEqual(seen[-1], MAX_TIMEOUT_S)
-        self.assertEqual(deadlines.next("b:1"), FIRST_TIMEOUT_S)
+        self.assertEqual(timeouts.next_timeout_s("b:1"), FIRST_TIMEOUT_S)
 
-    def test_a_connection_begins_anew(self):
-        deadlines = ConnectTimeouts()
-        deadlines.failed("a:1")
-        deadlines.connected("a:1")
-        self.assertEqual(deadlines.next("a:1"), FIRST_TIMEOUT_S)
+    def test_success_resets_the_timeout(self):
+        timeouts = ConnectTimeouts()
+        timeouts.record_failure("a:1")
+        timeouts.record_success("a:1")
+        self.assertEqual(timeouts.next_timeout_s("a:1"), FIRST_TIMEOUT_S)
 
-    def test_a_peer_that_does_not_answer_is_given_up_in_time(self):
-        """A listener with a full queue takes no more connections, as if packets were lost."""
+    def test_connecting_to_an_unresponsive_peer_times_out(self):
+        """A listener with a full backlog drops new connections, as if their packets were lost."""
         with socket.socket() as listener, socket.socket() as first, socket.socket() as second:
             listener.bind(("127.0.0.1", 0))
             listener.listen(0)
