--- a/rooklug/engine/__init__.py
+++ b/rooklug/engine/__init__.py
@@ -1,6 +1,6 @@
-"""The contract of every role: events in, effects out, without I/O.
+"""The interface between a role and its runtime: reducers turn events into effects, without I/O.
 
-Begin with ``reducer.py``, then ``events.py`` and ``effects.py``; ``component.py`` and
-``composite.py`` build a role of components. Daemons and the simulator run the same reducers.
-May import nothing else of rooklug.
+The entry point is ``reducer.py``, with ``events.py`` and ``effects.py``; ``component.py`` and
+``composite.py`` assemble a role from components. Daemons and the simulator run the same reducers.
+May not import any other package of rooklug.
 """
--- a/rooklug/engine/component.py
+++ b/rooklug/engine/component.py
@@ -1,4 +1,4 @@
-"""What a role is made of: components with one job each, and the events between them."""
+"""Components, of which roles are assembled, and the internal events between them."""
 
 from collections.abc import Iterable
 from typing import Protocol
@@ -12,43 +12,43 @@
 
 @attrs.frozen
 class InternalEvent(ev.Event):
-    """Base of the events that components of one process send each other."""
+    """Base class of events between components of one process; they never leave the process."""
 
 
 @attrs.frozen
 class EmitEvent(fx.Effect):
     """Deliver ``event`` to every component that subscribes to its type.
 
-    The composite reducer carries it out; a runtime never sees it.
+    The composite reducer executes this effect itself and does not pass it on to the runtime.
     """
 
     event: InternalEvent
 
 
 class Component(Protocol):
-    """One job inside a role, with its own state and timers.
+    """A part of a role with one responsibility, its own state and its own timers.
 
-    Every component gets ``Started`` and ``StopRequested``, and the results of the calls,
-    writes, computations and timers that it began itself.
+    Every component receives ``Started`` and ``StopRequested``, and the results of the calls,
+    writes, computations and timers that it started itself.
 
     Attributes
     ----------
     name
-        Unique in the process.
+        Unique in the process; it prefixes the names of the component's timers.
     http_prefixes
-        HTTP paths that it serves on the main listener.
+        Prefixes of the HTTP paths that it serves on the main listener; the longest match wins.
     http_listeners
-        Named listeners whose every request it serves.
+        Names of the listeners whose requests it serves, whatever their path.
     head_first_paths
-        Paths among them whose requests are announced from the head alone.
+        Path prefixes whose requests are delivered before the body is read.
     call_types
-        Thrift requests that it answers; one component a type.
+        Types of the thrift requests that it answers; each type belongs to one component.
     subscribes_to
         Types of internal events that it receives, subclasses included.
     """
 
     @property
-    def name(self) -> str: ...  # noqa: D102 - the attributes are described above
+    def name(self) -> str: ...  # noqa: D102 - described in the class docstring
 
     @property
     def http_prefixes(self) -> tuple[str, ...]: ...  # noqa: D102
@@ -66,16 +66,16 @@
     def subscribes_to(self) -> tuple[type, ...]: ...  # noqa: D102
 
     def handle(self, event: ev.Event, now: float) -> list[fx.Effect]:
-        """Take one event at monotonic time ``now`` (seconds), return effects in order."""
+        """Handle one event at monotonic time ``now`` (seconds); return the effects in order."""
         ...
 
     def metrics(self, now: float) -> Iterable[MetricSample]:
-        """Return the metric samples of this moment."""
+        """Return the current metric samples."""
         ...
 
 
 class BaseComponent:
-    """A component that serves nothing; subclasses override what they need."""
+    """A component without endpoints and subscriptions; subclasses override what they need."""
 
     name = ""
     http_prefixes: tuple[str, ...] = ()
--- a/rooklug/engine/effects.py
+++ b/rooklug/engine/effects.py
@@ -1,4 +1,4 @@
-"""Everything a reducer can ask for. Effects are data; a runtime obeys them in order."""
+"""All effects that a reducer can return. They are plain data; a runtime executes them in order."""
 
 from collections.abc import Callable
 from typing import Any
@@ -8,12 +8,12 @@
 
 @attrs.frozen
 class Effect:
-    """Base of all effects."""
+    """Base class of all effects."""
 
 
 @attrs.frozen
 class StartTimer(Effect):
-    """Fire ``TimerFired(name)`` after ``delay_s``; replaces a pending timer of that name."""
+    """Deliver ``TimerFired(name)`` after ``delay_s``; replaces a pending timer of that name."""
 
     name: str
     delay_s: float
@@ -21,7 +21,7 @@
 
 @attrs.frozen
 class CancelTimer(Effect):
-    """Forget a pending timer; unknown names are ignored."""
+    """Cancel a pending timer; unknown names are ignored."""
 
     name: str
 
@@ -30,9 +30,10 @@
 class Call(Effect):
     """Send a thrift request to ``address`` ("ip:port").
 
-    Ends in exactly one ``CallAnswered`` or ``CallFailed`` with this id (unique a process).
-    ``not_after``: monotonic time of this process after which it must not be sent any more
-    (checked right before the send: an owner frozen past its lease sends nothing).
+    Ends with exactly one ``CallAnswered`` or ``CallFailed`` with this ``call_id``, which is unique
+    in the process. The call is not sent after monotonic time ``not_after`` of this process. This is
+    checked right before the send, so that a process that was frozen until its lease had expired
+    sends nothing.
     """
 
     call_id: int
@@ -44,7 +45,7 @@
 
 @attrs.frozen
 class Answer(Effect):
-    """Answer a ``CallArrived``."""
+    """Send the answer to a ``CallArrived``; dropped if the caller's connection has closed."""
 
     call_id: int
     answer: Any
@@ -52,9 +53,9 @@
 
 @attrs.frozen
 class WriteRecords(Effect):
-    """Append ``records`` to ``file`` and sync; then ``WriteFinished(ticket)``.
+    """Append ``records`` to ``file`` and sync it; ends with ``WriteFinished`` or ``WriteFailed``.
 
-    Writes to one file are carried out in order; those that wait are synced together.
+    Writes to one file are executed in order; queued ones are synced together.
     """
 
     ticket: int
@@ -64,7 +65,10 @@
 
 @attrs.frozen
 class RewriteFile(Effect):
-    """Replace the whole of ``file`` by ``records``, atomically, and sync."""
+    """Atomically replace the content of ``file`` with ``records`` and sync it.
+
+    Ends with ``WriteFinished`` or ``WriteFailed``, as ``WriteRecords`` does.
+    """
 
     ticket: int
     file: str
@@ -73,7 +77,7 @@
 
 @attrs.frozen
 class Compute(Effect):
-    """Run a pure function outside the event loop; then ``Computed(ticket, result)``."""
+    """Run a pure function off the event loop; ends with ``Computed``."""
 
     ticket: int
     function: Callable[[Any], Any]
@@ -82,14 +86,14 @@
 
 @attrs.frozen
 class ReadRequestBody(Effect):
-    """Read on a request whose body was withheld."""
+    """Read the body of a request that was delivered with ``body_withheld``."""
 
     request_id: int
 
 
 @attrs.frozen
 class HttpRespond(Effect):
-    """Answer an ``HttpRequestArrived`` with a complete response."""
+    """Send a complete response to an ``HttpRequestArrived``."""
 
     request_id: int
     status: int
@@ -99,7 +103,7 @@
 
 @attrs.frozen
 class HttpStreamStart(Effect):
-    """Begin a chunked response."""
+    """Start a chunked response to an ``HttpRequestArrived``."""
 
     request_id: int
     status: int
@@ -108,7 +112,7 @@
 
 @attrs.frozen
 class HttpStreamChunk(Effect):
-    """Send one chunk of a streamed response."""
+    """Send one chunk of a response begun with ``HttpStreamStart``."""
 
     request_id: int
     data: bytes
@@ -116,14 +120,14 @@
 
 @attrs.frozen
 class HttpStreamEnd(Effect):
-    """End a chunked response properly."""
+    """Complete a chunked response with its final chunk."""
 
     request_id: int
 
 
 @attrs.frozen
 class HttpStreamAbort(Effect):
-    """Close the caller's connection without the final chunk: visibly broken."""
+    """Close the connection without the final chunk: the caller sees an incomplete response."""
 
     request_id: int
 
@@ -132,11 +136,11 @@
 class HttpCall(Effect):
     """Make an HTTP request to ``address`` ("ip:port").
 
-    Not streaming: one ``HttpAnswered`` or ``HttpFailed``. Streaming: ``HttpResponseStarted``,
-    chunks, then ``HttpResponseCompleted``; or ``HttpFailed`` at any point.
-    ``connect_deadline_s`` bounds the connection; ``deadline_s`` the whole call;
-    ``first_byte_deadline_s`` the wait for the head (0: no bound of its own).
-    ``not_after`` as in ``Call``.
+    Without ``streaming`` it ends with one ``HttpAnswered`` or ``HttpFailed``. With it, the events
+    are ``HttpResponseStarted``, chunks, then ``HttpResponseCompleted``; or ``HttpFailed`` at any
+    point. ``connect_deadline_s`` limits the time to connect, ``first_byte_deadline_s`` the time
+    until the response's head (0: no separate limit), ``deadline_s`` the whole call.
+    ``not_after`` is the same as in ``Call``.
     """
 
     call_id: int
@@ -154,14 +158,14 @@
 
 @attrs.frozen
 class CancelHttpCall(Effect):
-    """Close the connection of an ``HttpCall``; no event about it follows."""
+    """Cancel an ``HttpCall`` and close its connection; no further event of it is delivered."""
 
     call_id: int
 
 
 @attrs.frozen
 class Log(Effect):
-    """One JSON line in the log. ``fields`` are JSON values; ``change`` ids go there."""
+    """Write one JSON line to the log; ``fields`` holds JSON values and is merged into the line."""
 
     level: str
     message: str
@@ -170,7 +174,7 @@
 
 @attrs.frozen
 class StopProcess(Effect):
-    """End this process with ``exit_code`` (a broken invariant, or a graceful stop)."""
+    """Stop this process with ``exit_code``; ``reason`` is logged."""
 
     exit_code: int
     reason: str
--- a/rooklug/engine/events.py
+++ b/rooklug/engine/events.py
@@ -1,8 +1,8 @@
-"""Everything that can happen to a reducer.
+"""All events that a runtime delivers to a reducer, one at a time.
 
-A runtime (the daemon's or the simulator's) delivers exactly these events, one at a
-time. Roles never define events of their own for the outside world, so that every
-role runs unchanged under both runtimes. Times are seconds of a monotonic clock.
+The daemon's runtime and the simulator deliver exactly these events, so every role runs unchanged
+under both. Roles define further events only for their own components (``InternalEvent``). Times
+are seconds of a monotonic clock.
 """
 
 from enum import Enum
@@ -13,15 +13,16 @@
 
 @attrs.frozen
 class Event:
-    """Base of all events."""
+    """Base class of all events."""
 
 
 @attrs.frozen
 class Started(Event):
-    """The first event of a process. ``records`` is what its disk held, by file.
+    """The first event of a process.
 
-    ``disk_identity`` names the data folder ("" without a disk); ``disk_problem`` is a
-    sentence when the folder was blank, foreign or damaged, else "".
+    ``records`` holds the records stored in the data folder, by file. ``disk_identity`` identifies
+    the data folder ("" without one). ``disk_problem`` describes a newly created or damaged folder,
+    "" if there is no problem.
     """
 
     records: dict[str, tuple[bytes, ...]] = attrs.field(factory=dict)
@@ -31,19 +32,19 @@
 
 @attrs.frozen
 class StopRequested(Event):
-    """SIGTERM: finish gracefully, then emit ``StopProcess``."""
+    """The process received SIGTERM: stop gracefully, then return ``StopProcess``."""
 
 
 @attrs.frozen
 class TimerFired(Event):
-    """The timer ``name`` set by ``StartTimer`` is due."""
+    """The timer ``name`` that ``StartTimer`` started is due."""
 
     name: str
 
 
 @attrs.frozen
 class CallArrived(Event):
-    """A peer's thrift request; answer it once with ``Answer(call_id, ...)``."""
+    """A thrift request of node ``sender``; answer it once with ``Answer(call_id, ...)``."""
 
     call_id: int
     sender: str
@@ -52,7 +53,7 @@
 
 @attrs.frozen
 class CallAnswered(Event):
-    """The answer to this reducer's own ``Call`` with that id."""
+    """The answer to the reducer's ``Call`` with this ``call_id``."""
 
     call_id: int
     answer: Any
@@ -60,9 +61,9 @@
 
 @attrs.frozen
 class CallFailed(Event):
-    """A ``Call`` ended without an answer: deadline, refused or broken connection.
+    """A ``Call`` ended without an answer: deadline exceeded, connection refused or broken.
 
-    ``maybe_delivered`` is False only if certainly not one byte was written.
+    ``maybe_delivered`` is False only if it is certain that no byte of the request was written.
     """
 
     call_id: int
@@ -72,7 +73,7 @@
 
 @attrs.frozen
 class WriteFinished(Event):
-    """All of a ``WriteRecords`` or ``RewriteFile`` is synced to disk."""
+    """A ``WriteRecords`` or ``RewriteFile`` is synced, ``elapsed_s`` after it was queued."""
 
     ticket: int
     elapsed_s: float
@@ -80,7 +81,7 @@
 
 @attrs.frozen
 class WriteFailed(Event):
-    """A write failed; the disk's content is as if it may or may not have happened."""
+    """A write failed; its records may or may not be on disk."""
 
     ticket: int
     reason: str
@@ -88,7 +89,7 @@
 
 @attrs.frozen
 class Computed(Event):
-    """The result of a ``Compute`` effect, or the exception's text."""
+    """The result of a ``Compute``; if the function raised, ``error`` describes the exception."""
 
     ticket: int
     result: Any
@@ -97,13 +98,13 @@
 
 @attrs.frozen
 class HttpRequestArrived(Event):
-    """An HTTP request, whole unless ``body_withheld``.
+    """An HTTP request, complete unless ``body_withheld``.
 
-    ``headers`` have lower-case names. A path in the role's ``head_first_paths`` is
-    announced from the head alone (``body_withheld`` True, ``body`` empty): the reducer
-    answers from the head, or asks for the rest with ``ReadRequestBody`` and then gets
-    ``HttpRequestBody``. ``target`` is the request target as the caller wrote it, and
-    ``listener`` the name of the listening address ("" for the main one).
+    ``headers`` has lower-case names. A request whose path starts with one of the reducer's
+    ``head_first_paths`` is delivered before its body is read (``body_withheld`` True, ``body``
+    empty): the reducer either responds to the head, or returns ``ReadRequestBody`` and then
+    receives ``HttpRequestBody``. ``target`` is the request target as sent by the caller;
+    ``listener`` is the name of the listening address ("" for the main one).
     """
 
     request_id: int
@@ -120,7 +121,7 @@
 
 @attrs.frozen
 class HttpRequestBody(Event):
-    """The rest of a request whose body was withheld."""
+    """The body of a request that was delivered with ``body_withheld``."""
 
     request_id: int
     body: bytes
@@ -128,14 +129,14 @@
 
 @attrs.frozen
 class HttpRequestClosed(Event):
-    """The caller's connection ended before the answer was complete."""
+    """The caller's connection closed before the response was complete."""
 
     request_id: int
 
 
 @attrs.frozen
 class HttpAnswered(Event):
-    """The complete answer to a non-streaming ``HttpCall``."""
+    """The complete response to a non-streaming ``HttpCall``; header names are lower-case."""
 
     call_id: int
     status: int
@@ -145,7 +146,7 @@
 
 @attrs.frozen
 class HttpResponseStarted(Event):
-    """Status and headers of a streaming ``HttpCall``."""
+    """Status and headers of the response to a streaming ``HttpCall``."""
 
     call_id: int
     status: int
@@ -154,7 +155,7 @@
 
 @attrs.frozen
 class HttpBodyChunk(Event):
-    """Bytes of a streaming answer, as they came (not cut at lines)."""
+    """Bytes of a streaming response as received, not split at line boundaries."""
 
     call_id: int
     data: bytes
@@ -162,13 +163,13 @@
 
 @attrs.frozen
 class HttpResponseCompleted(Event):
-    """A streaming answer ended properly (its final chunk came)."""
+    """A streaming response was received completely."""
 
     call_id: int
 
 
 class SendState(Enum):
-    """How far a failed HTTP call had got."""
+    """How much of an HTTP call had been sent or received when it failed."""
 
     NOT_SENT = "not one byte was written"
     MAYBE_SENT = "some or all may have been written"
@@ -177,7 +178,7 @@
 
 @attrs.frozen
 class HttpFailed(Event):
-    """An ``HttpCall`` ended without a complete answer."""
+    """An ``HttpCall`` ended without a complete response."""
 
     call_id: int
     reason: str
--- a/rooklug/engine/reducer.py
+++ b/rooklug/engine/reducer.py
@@ -1,4 +1,4 @@
-"""The contract between a role and the runtime that drives it."""
+"""The reducer: the interface between a role and the runtime that drives it."""
 
 from collections.abc import Callable, Iterable
 from itertools import count
@@ -13,7 +13,7 @@
 
 @attrs.frozen
 class MetricSample:
-    """One sample for ``GET /metrics``. ``kind`` is "counter" or "gauge"."""
+    """One sample for ``GET /metrics``; ``kind`` is "counter" or "gauge"."""
 
     name: str
     value: float
@@ -23,39 +23,41 @@
 
 
 class Reducer(Protocol):
-    """A role: pure state that takes an event and returns effects.
+    """A role as a deterministic state machine: handles events and returns effects.
 
-    It reads no clock, opens nothing, draws randomness only from the generator it was
-    given. ``head_first_paths`` are HTTP path prefixes announced from the head alone.
+    It reads no clock, does no I/O and takes random numbers only from the generator it was given.
+    Requests to paths that start with one of ``head_first_paths`` are delivered before their body
+    is read.
     """
 
     head_first_paths: tuple[str, ...]
 
     def handle(self, event: Event, now: float) -> list[Effect]:
-        """Take one event at monotonic time ``now`` (seconds), return effects in order."""
+        """Handle one event at monotonic time ``now`` (seconds); return the effects in order."""
         ...
 
     def metrics(self, now: float) -> Iterable[MetricSample]:
-        """Return the metric samples of this moment; called from the same task as ``handle``."""
+        """Return the current metric samples; called on the same thread as ``handle``."""
         ...
 
 
 @attrs.define
 class Identifiers:
-    """Issues call ids and tickets, unique in one process and shared by its components."""
+    """Issues call ids and tickets that are unique in one process, across its components."""
 
     _counter: count = attrs.field(factory=lambda: count(1))
 
     def next(self) -> int:
-        """Return a new identifier."""
+        """Return the next identifier, counted from 1."""
         return next(self._counter)
 
 
 @attrs.define
 class ProcessContext:
-    """What every reducer of a process is built with.
+    """Identity and shared services of a process, passed to all its components.
 
-    ``wall_clock_ms`` (milliseconds since 1970) is for display only: no decision rests on it.
+    ``incarnation`` differs between two runs of the same node. ``wall_clock_ms`` returns
+    milliseconds since 1970; it is for display only and no decision may depend on it.
     """
 
     node_id: str
--- a/rooklug/model/__init__.py
+++ b/rooklug/model/__init__.py
@@ -1,4 +1,4 @@
-"""Values that several packages share: settings, topics, versions, internal events, constants.
+"""Definitions shared by several packages: settings, topics, versions, internal events, constants.
 
 May import ``engine`` and the generated structs of ``wire``.
 """
--- a/rooklug/model/internal_events.py
+++ b/rooklug/model/internal_events.py
@@ -1,4 +1,4 @@
-"""Internal events that components of several packages send each other."""
+"""Internal events exchanged between components of different packages."""
 
 from typing import Any
 
@@ -16,14 +16,14 @@
 
 @attrs.frozen
 class PrimaryStarted(InternalEvent):
-    """This core has become the primary of ``epoch`` and has committed its whole log."""
+    """This core has become the primary of ``epoch`` and has committed the log it started with."""
 
     epoch: int
 
 
 @attrs.frozen
 class PrimaryLeaseExtended(InternalEvent):
-    """This primary's lease lasts until monotonic time ``until``, in seconds of its own clock."""
+    """The primary's lease is valid until monotonic time ``until``, in seconds of this process."""
 
     epoch: int
     until: float
@@ -31,14 +31,17 @@
 
 @attrs.frozen
 class PrimaryStopped(InternalEvent):
-    """This core has lost or given up its leadership."""
+    """This core has lost its leadership or stepped down; ``reason`` says why."""
 
     reason: str
 
 
 @attrs.frozen
 class PrimaryKnown(InternalEvent):
-    """The primary's internal address as far as this core knows, "" while unknown."""
+    """This core has learnt of another primary or a new epoch.
+
+    ``address`` is the primary's internal address, "" while it is unknown.
+    """
 
     epoch: int
     address: str
@@ -46,7 +49,7 @@
 
 @attrs.frozen
 class ConfigurationCommitted(InternalEvent):
-    """A configuration is committed; ``version`` is (epoch of commit, version)."""
+    """A configuration has been committed; ``version`` is (epoch of the commit, its version)."""
 
     version: VersionMark
     body: ConfigurationBody
@@ -54,7 +57,7 @@
 
 @attrs.frozen
 class ZonesCommitted(InternalEvent):
-    """The set of drained zones has changed; ``version`` is (epoch, sequence)."""
+    """A change of the drained zones has been committed; ``version`` is (epoch, sequence)."""
 
     version: VersionMark
     body: ZonesBody
@@ -62,10 +65,10 @@
 
 @attrs.frozen
 class TopicOffered(InternalEvent):
-    """A component of the primary itself publishes a topic; ``body`` is a thrift struct.
+    """A component in the primary's own process publishes a topic; ``body`` is a thrift struct.
 
-    ``sequence`` grows with each publication of the component in this process. The primary's
-    lease makes the component the only publisher, so no role grant is needed.
+    ``sequence`` increases with each publication of the component in this process. The primary's
+    lease guarantees that the component is the only publisher, so it needs no role grant.
     """
 
     topic: str
@@ -76,21 +79,21 @@
 
 @attrs.frozen
 class CoresChanged(InternalEvent):
-    """The internal addresses of the cores that vote, once they have changed."""
+    """The internal addresses of the voting cores have changed."""
 
     addresses: tuple[str, ...]
 
 
 @attrs.frozen
 class CoreStatusChanged(InternalEvent):
-    """This core's replication status, for ``ctl status``."""
+    """This core's replication status, shown by ``ctl status``, has changed."""
 
     status: CoreStatus
 
 
 @attrs.frozen
 class TopicChanged(InternalEvent):
-    """This node has received a newer body of a topic; ``body`` is the decoded thrift struct."""
+    """This node has received a newer version of a topic; ``body`` is the decoded thrift struct."""
 
     topic: str
     version: VersionMark
@@ -99,6 +102,9 @@
 
 @attrs.frozen
 class GrantsChanged(InternalEvent):
-    """The roles granted to this node have changed; check ``CoreLink.grant`` before acting."""
+    """The roles granted to this node have changed.
+
+    A grant may have expired since: check ``CoreLink.grant`` before acting on it.
+    """
 
     grants: tuple[RoleGrant, ...]
--- a/rooklug/model/settings.py
+++ b/rooklug/model/settings.py
@@ -1,15 +1,18 @@
-"""Settings of one process: where it is, whom it asks. Read from TOML and flags by rooklug.cli."""
+"""Settings of one process: its location and addresses; ``rooklug.cli`` reads them from TOML and
+flags.
+"""
 
 import attrs
 
 
 @attrs.frozen
 class NodeSettings:
-    """Settings that every role has. Addresses are "ip:port".
+    """Settings common to all roles; addresses are "ip:port".
 
-    ``listen_*`` is where it binds; ``internal_address``/``http_address`` is where others
-    reach it (the same unless a relay stands before it). ``bind_ip`` is the source address
-    of outgoing connections. ``seeds`` are internal addresses of cores.
+    The process binds to ``listen_internal`` and ``listen_http``. Others reach it at
+    ``internal_address`` and ``http_address``, which differ from these only behind a relay.
+    ``bind_ip`` is the source IP of outgoing connections. ``seeds`` are internal addresses of cores,
+    from which the node finds the primary.
     """
 
     node_id: str
@@ -29,13 +32,13 @@
 
 @attrs.frozen
 class CoreSettings:
-    """A core's own settings.
+    """Settings of a core.
 
-    ``members``: the cores that form the first view, by id and internal address (a later core
-    finds the others through them). ``first_start``: whether a first view may be formed at all.
-    ``min_in_sync_replicas``: number of disks that must have a change before it is acknowledged.
-    ``exits_on_failed_write``: a supervisor starts the process again, so that a disk that was
-    full for a while doesn't cost the core for good.
+    ``members`` are the cores that form the first view, as internal address by id; a core that is
+    added later finds the others through them. ``first_start`` says whether a first view may be
+    formed at all. ``min_in_sync_replicas`` is the number of disks that must have stored a change
+    before it is acknowledged. With ``exits_on_failed_write`` the process exits after a failed
+    write, so that a supervisor restarts it and the core recovers from a disk that was full.
     """
 
     node: NodeSettings
--- a/rooklug/model/topics.py
+++ b/rooklug/model/topics.py
@@ -1,4 +1,4 @@
-"""Names of the topics that are distributed by long poll, and of the roles that publish them."""
+"""Names of the topics distributed by long poll, and of the roles that the cores grant to nodes."""
 
 CONFIGURATION = "configuration"
 ZONES = "zones"
@@ -17,4 +17,4 @@
 CLAIM_SHARDS = 16
 
 PUBLISHERS = {REPLICAS: ROLE_PLATFORM_WATCHER, PLAN: ROLE_PLACER}
-"""The role that may publish a topic; the primary itself publishes the others."""
+"""The role whose holder may publish a topic; the primary itself publishes the others."""
--- a/rooklug/model/versions.py
+++ b/rooklug/model/versions.py
@@ -1,9 +1,9 @@
-"""Comparison of versions and fencing tokens, which are both (epoch, counter)."""
+"""Comparison of versions and fencing tokens; both are pairs (epoch, counter)."""
 
 from rooklug.wire.generated.control.ttypes import VersionMark
 
 ZERO_VERSION = VersionMark(epoch=0, counter=0)
-"""Older than every real version: nothing is there yet."""
+"""Older than every published version: stands for "nothing received yet"."""
 
 
 def version_key(version: VersionMark) -> tuple[int, int]:
@@ -12,5 +12,5 @@
 
 
 def is_newer(candidate: VersionMark, current: VersionMark) -> bool:
-    """Return whether ``candidate`` may replace ``current``."""
+    """Return whether ``candidate`` is strictly newer than ``current`` and may replace it."""
     return version_key(candidate) > version_key(current)
--- a/tests/runtime_support.py
+++ b/tests/runtime_support.py
@@ -1,4 +1,4 @@
-"""Hosts for tests: reducers made of a function, on free ports, waited for by condition."""
+"""Hosts for tests: reducers built from a function, on free ports, and waits for their events."""
 
 import asyncio
 import io
@@ -13,7 +13,7 @@
 
 
 class FunctionReducer:
-    """Keeps every event and answers with ``respond(event) -> list of effects``."""
+    """Records every event and returns the effects of ``respond(event)``."""
 
     def __init__(self, respond: Callable | None = None, head_first: tuple[str, ...] = ()) -> None:
         self.head_first_paths = head_first
@@ -24,8 +24,8 @@
 
     def handle(self, event: ev.Event, now: float) -> list[fx.Effect]:
         self.events.append(event)
-        for wanted, future in self._waiters:
-            if not future.done() and wanted(event):
+        for matches, future in self._waiters:
+            if not future.done() and matches(event):
                 future.set_result(event)
         return self.respond(event)
 
@@ -33,18 +33,18 @@
         return []
 
     async def wait_for(self, event_type: type, **fields: object) -> ev.Event:
-        """Return the first event of that type and those field values, now or later."""
+        """Return the first event of that type with those field values; wait for it if needed."""
 
-        def wanted(event: ev.Event) -> bool:
+        def matches(event: ev.Event) -> bool:
             if not isinstance(event, event_type):
                 return False
             return all(getattr(event, name) == value for name, value in fields.items())
 
         for event in self.events:
-            if wanted(event):
+            if matches(event):
                 return event
         future = asyncio.get_running_loop().create_future()
-        self._waiters.append((wanted, future))
+        self._waiters.append((matches, future))
         return await asyncio.wait_for(future, TEST_LIMIT_S)
 
     def of_type(self, event_type: type) -> list[ev.Event]:
@@ -52,7 +52,7 @@
 
 
 class HostCase:
-    """Mixin for ``IsolatedAsyncioTestCase``: starts hosts and ends them with the test."""
+    """Mixin for ``IsolatedAsyncioTestCase``: starts hosts and stops them after the test."""
 
     async def start_host(self, reducer: FunctionReducer, **options: object) -> Host:
         settings = {"listen_internal": LOCAL, "listen_http": LOCAL, "node_id": "node"}
@@ -60,22 +60,22 @@
         host = Host(reducer, **{**settings, "log_stream": log, **options})
         host.log_text = log
         await host.start()
-        self.addAsyncCleanup(self._end, host)
+        self.addAsyncCleanup(self._stop_host, host)
         return host
 
-    async def _end(self, host: Host) -> None:
+    async def _stop_host(self, host: Host) -> None:
         host.kill()
         await host.stopped()
 
 
 def execute(host: Host, *effects: fx.Effect) -> None:
-    """Let a host carry out effects, as if its reducer had returned them."""
+    """Execute effects at a host, as if its reducer had returned them."""
     for effect in effects:
         host._execute(effect)
 
 
 async def raw_exchange(address: str, data: bytes) -> bytes:
-    """Send bytes to a port; return all that comes back until its end."""
+    """Send bytes to a port; return all bytes received until the server closes."""
     ip, port = address.split(":")
     reader, writer = await asyncio.open_connection(ip, int(port))
     writer.write(data)
--- a/tests/test_channel.py
+++ b/tests/test_channel.py
@@ -1,4 +1,4 @@
-"""The internal port under garbage, and the framing under every cut."""
+"""The internal port: malformed and truncated frames, and connection failures."""
 
 import asyncio
 import struct
@@ -33,7 +33,7 @@
 class FramesTest(unittest.TestCase):
     @settings(derandomize=True, deadline=None)
     @given(st.integers(0, 2**63 - 1), st.booleans(), st.text(max_size=20))
-    def test_round_trip(self, call_id: int, is_answer: bool, sender: str) -> None:
+    def test_message_round_trip(self, call_id: int, is_answer: bool, sender: str) -> None:
         message = Message(call_id, is_answer, sender, VersionMark(1, 2))
         frame = encode_frame(message).ok
         self.assertEqual(payload_length(frame[:LENGTH_BYTES]).ok, len(frame) - LENGTH_BYTES)
@@ -41,10 +41,10 @@
 
     @settings(derandomize=True, deadline=None)
     @given(st.binary(max_size=200))
-    def test_garbage_is_a_value(self, data: bytes) -> None:
+    def test_random_bytes_are_an_error_value(self, data: bytes) -> None:
         self.assertTrue(decode_payload(data).is_error())
 
-    def test_every_cut_is_an_error(self) -> None:
+    def test_every_truncation_is_an_error(self) -> None:
         payload = encode_frame(Message(1, False, "n", VersionMark(1, 2))).ok[LENGTH_BYTES:]
         for length in range(len(payload)):
             self.assertTrue(decode_payload(payload[:length]).is_error())
@@ -53,13 +53,13 @@
         payload = encode(Envelope(1, False, "NoSuchThing", "n", b""))
         self.assertIn("NoSuchThing", decode_payload(payload).error.message)
 
-    def test_too_large_frame_is_not_made(self) -> None:
+    def test_too_large_frame_is_not_encoded(self) -> None:
         body = ConfigurationBody(1, "", b"x" * MAX_FRAME_BYTES)
         self.assertIn("too large", encode_frame(Message(1, False, "n", body)).error.message)
 
 
 class ClosingStream(IOStream):
-    """Is closed by the peer before anybody looks at the new connection."""
+    """A stream that closes as soon as it is connected, as if the peer had closed it."""
 
     async def connect(self, address: tuple) -> None:
         await super().connect(address)
@@ -67,12 +67,12 @@
 
 
 class ConnectTest(HostCase, unittest.IsolatedAsyncioTestCase):
-    async def test_a_connection_closed_at_once_is_a_failure(self) -> None:
+    async def test_connection_closed_on_connect_raises_connect_error(self) -> None:
         host = await self.start_host(FunctionReducer())
         with self.assertRaises(ConnectError):
             await connect_stream(host.internal_address, "", 5.0, ClosingStream)
 
-    async def test_no_fault_of_connecting_leaves_a_peer_unreachable_for_ever(self) -> None:
+    async def test_unexpected_exception_while_connecting_does_not_block_later_calls(self) -> None:
         server = FunctionReducer(
             lambda event: (
                 [fx.Answer(event.call_id, VersionMark(1, 1))]
@@ -92,12 +92,12 @@
         await caller.wait_for(ev.CallAnswered, call_id=2)
 
 
-class GarbageTest(HostCase, unittest.IsolatedAsyncioTestCase):
+class MalformedFrameTest(HostCase, unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         self.server = FunctionReducer(self._answer)
         self.host = await self.start_host(self.server)
 
-    async def test_garbage_closes_its_connection_and_nothing_else(self) -> None:
+    async def test_malformed_frame_closes_only_its_connection(self) -> None:
         good = encode_frame(Message(1, False, "n", ReadStatusRequest())).ok
         garbage = {
             "http": b"GET / HTTP/1.1\r\n\r\n",
@@ -113,13 +113,13 @@
                 self.assertEqual(await raw_exchange(self.host.internal_address, data + good), b"")
         self.assertEqual(self.host.log_text.getvalue().count("garbage"), len(garbage))
         self.assertEqual(self.server.of_type(ev.CallArrived), [])
-        await self._call_is_answered()
+        await self._assert_call_is_answered()
 
-    async def test_a_call_to_a_port_that_speaks_garbage_fails(self) -> None:
-        def speak_garbage(_: object, writer: asyncio.StreamWriter) -> None:
+    async def test_call_answered_with_a_malformed_frame_fails(self) -> None:
+        def send_malformed_frame(_: object, writer: asyncio.StreamWriter) -> None:
             writer.write(struct.pack(">I", 3) + b"???")
 
-        server = await asyncio.start_server(speak_garbage, "127.0.0.1", 0)
+        server = await asyncio.start_server(send_malformed_frame, "127.0.0.1", 0)
         self.addCleanup(server.close)
         caller = FunctionReducer()
         host = await self.start_host(caller)
@@ -128,7 +128,7 @@
         failed = await caller.wait_for(ev.CallFailed, call_id=1)
         self.assertTrue(failed.maybe_delivered)
 
-    async def test_too_large_request_is_certainly_not_delivered(self) -> None:
+    async def test_too_large_request_fails_as_not_delivered(self) -> None:
         caller = FunctionReducer()
         host = await self.start_host(caller)
         body = ConfigurationBody(1, "", b"x" * MAX_FRAME_BYTES)
@@ -136,7 +136,7 @@
         failed = await caller.wait_for(ev.CallFailed, call_id=1)
         self.assertFalse(failed.maybe_delivered)
 
-    async def test_a_silent_connection_is_not_used_for_new_calls(self) -> None:
+    async def test_connection_without_answers_is_not_used_for_new_calls(self) -> None:
         self.server.respond = lambda event: []
         caller = FunctionReducer()
         host = await self.start_host(caller)
@@ -147,7 +147,7 @@
         execute(host, fx.Call(2, self.host.internal_address, ReadStatusRequest(), 5.0))
         await caller.wait_for(ev.CallAnswered, call_id=2)
 
-    async def _call_is_answered(self) -> None:
+    async def _assert_call_is_answered(self) -> None:
         caller = FunctionReducer()
         host = await self.start_host(caller)
         execute(host, fx.Call(1, self.host.internal_address, ReadStatusRequest(), 5.0))
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -1,4 +1,4 @@
-"""The codec against its oracle: what is written is read back; garbage is an error value."""
+"""The thrift codec: encoded structs decode to the same value; malformed input is an error value."""
 
 import unittest
 
@@ -14,18 +14,18 @@
 class CodecTest(unittest.TestCase):
     @settings(derandomize=True, deadline=None)
     @given(INTEGERS, INTEGERS)
-    def test_mark_round_trip(self, epoch: int, counter: int) -> None:
+    def test_version_mark_round_trip(self, epoch: int, counter: int) -> None:
         mark = VersionMark(epoch=epoch, counter=counter)
         self.assertEqual(decode(VersionMark, encode(mark)).ok, mark)
 
     @settings(derandomize=True, deadline=None)
     @given(st.binary(max_size=200))
-    def test_garbage_is_a_value(self, data: bytes) -> None:
+    def test_random_bytes_are_decoded_or_an_error_value(self, data: bytes) -> None:
         result = decode(ConfigurationBody, data)
         self.assertTrue(result.is_ok() or result.error.message)
 
-    def test_bytes_left_over_are_refused(self) -> None:
+    def test_trailing_bytes_are_rejected(self) -> None:
         self.assertTrue(decode(VersionMark, encode(VersionMark(1, 2)) + b"\0").is_error())
 
-    def test_truncated_is_refused(self) -> None:
+    def test_truncated_struct_is_rejected(self) -> None:
         self.assertTrue(decode(VersionMark, encode(VersionMark(1, 2))[:-1]).is_error())
--- a/tests/test_runtime_host.py
+++ b/tests/test_runtime_host.py
@@ -1,4 +1,4 @@
-"""The host's basics: timers, calls, compute, disk, stop, broken invariants."""
+"""The host's effects: timers, RPC calls, compute, disk writes, stop; and reducer exceptions."""
 
 import tempfile
 import unittest
@@ -24,7 +24,7 @@
         await reducer.wait_for(ev.TimerFired, name="c")
         self.assertEqual([event.name for event in reducer.of_type(ev.TimerFired)], ["a", "c"])
 
-    async def test_timer_cancelled_while_its_event_waits_does_not_fire(self) -> None:
+    async def test_timer_cancelled_while_its_event_is_queued_does_not_fire(self) -> None:
         reducer = FunctionReducer(
             lambda event: [fx.CancelTimer("b")] if event == ev.TimerFired("a") else []
         )
@@ -50,18 +50,18 @@
             self.assertEqual(answered.answer, VersionMark(4, 2))
         self.assertEqual({event.sender for event in server.of_type(ev.CallArrived)}, {"caller"})
 
-    async def test_refused_call_was_certainly_not_delivered(self) -> None:
-        gone = await self.start_host(FunctionReducer())
-        address = gone.internal_address
-        gone.kill()
-        await gone.stopped()
+    async def test_call_to_a_closed_port_fails_as_not_delivered(self) -> None:
+        stopped_host = await self.start_host(FunctionReducer())
+        address = stopped_host.internal_address
+        stopped_host.kill()
+        await stopped_host.stopped()
         caller = FunctionReducer()
         host = await self.start_host(caller)
         execute(host, self._call(1, address))
         failed = await caller.wait_for(ev.CallFailed, call_id=1)
         self.assertFalse(failed.maybe_delivered)
 
-    async def test_unanswered_call_may_have_been_delivered(self) -> None:
+    async def test_call_that_times_out_fails_as_maybe_delivered(self) -> None:
         server_host = await self.start_host(FunctionReducer())
         caller = FunctionReducer()
         host = await self.start_host(caller)
@@ -69,7 +69,7 @@
         failed = await caller.wait_for(ev.CallFailed, call_id=1)
         self.assertTrue(failed.maybe_delivered)
 
-    async def test_call_past_its_time_is_not_sent(self) -> None:
+    async def test_call_past_not_after_is_not_sent(self) -> None:
         server = FunctionReducer()
         server_host = await self.start_host(server)
         caller = FunctionReducer()
@@ -83,14 +83,14 @@
         self.assertFalse(failed.maybe_delivered)
         self.assertEqual(len(server.of_type(ev.CallArrived)), 1)
 
-    async def test_compute_gives_its_result_or_error(self) -> None:
+    async def test_compute_delivers_the_result_or_the_error(self) -> None:
         reducer = FunctionReducer()
         host = await self.start_host(reducer)
         execute(host, fx.Compute(1, sum, (1, 2)), fx.Compute(2, int, "x"))
         self.assertEqual((await reducer.wait_for(ev.Computed, ticket=1)).result, 3)
         self.assertIn("ValueError", (await reducer.wait_for(ev.Computed, ticket=2)).error)
 
-    async def test_records_are_there_after_a_restart(self) -> None:
+    async def test_records_survive_a_restart(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             reducer = FunctionReducer()
             host = await self.start_host(reducer, data_folder=folder)
@@ -101,25 +101,25 @@
             identity = reducer.of_type(ev.Started)[0].disk_identity
             host.kill()
             await host.stopped()
-            again = FunctionReducer()
-            await self.start_host(again, data_folder=folder)
-            started = await again.wait_for(ev.Started)
+            restarted = FunctionReducer()
+            await self.start_host(restarted, data_folder=folder)
+            started = await restarted.wait_for(ev.Started)
             self.assertEqual(started.records["log"], (b"\0", b"\1", b"\2", b"\3", b"\4"))
             self.assertEqual(started.records["state"], (b"x", b"y"))
             self.assertEqual((started.disk_identity, started.disk_problem), (identity, ""))
 
-    async def test_write_without_a_folder_fails(self) -> None:
+    async def test_write_without_a_data_folder_fails(self) -> None:
         reducer = FunctionReducer()
         host = await self.start_host(reducer)
         execute(host, fx.WriteRecords(1, "log", (b"",)))
         await reducer.wait_for(ev.WriteFailed, ticket=1)
 
-    async def test_exception_is_a_broken_invariant(self) -> None:
+    async def test_reducer_exception_stops_the_host_as_a_broken_invariant(self) -> None:
         host = await self.start_host(FunctionReducer(lambda event: 1 / 0))
         self.assertEqual(await host.stopped(), 70)
         self.assertIn("ZeroDivisionError", host.log_text.getvalue())
 
-    async def test_stop_is_asked_for_and_obeyed(self) -> None:
+    async def test_stop_request_ends_with_the_reducers_exit_code(self) -> None:
         reducer = FunctionReducer(
             lambda event: (
                 [fx.StopProcess(3, "asked")] if isinstance(event, ev.StopRequested) else []
@@ -133,15 +133,15 @@
         return fx.Call(call_id, address, ReadStatusRequest(), deadline_s)
 
 
-class WithoutDiskTest(HostCase, unittest.IsolatedAsyncioTestCase):
-    async def test_a_machine_without_a_disk_keeps_its_state_in_memory(self) -> None:
+class WithoutDataFolderTest(HostCase, unittest.IsolatedAsyncioTestCase):
+    async def test_memory_only_writes_are_acknowledged(self) -> None:
         reducer = FunctionReducer()
         host = await self.start_host(reducer, memory_only=True)
         execute(host, fx.WriteRecords(7, "file", (b"a",)), fx.RewriteFile(8, "file", (b"b",)))
         await reducer.wait_for(ev.WriteFinished, ticket=7)
         await reducer.wait_for(ev.WriteFinished, ticket=8)
 
-    async def test_a_process_that_should_have_a_folder_fails_without_one(self) -> None:
+    async def test_writes_fail_without_memory_only(self) -> None:
         reducer = FunctionReducer()
         host = await self.start_host(reducer)
         execute(host, fx.WriteRecords(7, "file", (b"a",)))
--- a/tests/test_runtime_http.py
+++ b/tests/test_runtime_http.py
@@ -1,4 +1,4 @@
-"""HTTP server and client of the host, against each other and against raw sockets."""
+"""The host's HTTP server and client, tested against each other and against raw sockets."""
 
 import asyncio
 import contextlib
@@ -23,7 +23,7 @@
 
 
 def serve(event: ev.Event) -> list[fx.Effect]:
-    """A small server: echo, a stream, a broken stream, answers from the head."""
+    """Respond as a test server: echo, a stream, an aborted stream, responses to the head."""
     if isinstance(event, ev.HttpRequestBody):
         return [fx.HttpRespond(event.request_id, 200, b"body:" + event.body)]
     if not isinstance(event, ev.HttpRequestArrived):
@@ -37,8 +37,8 @@
         return []
     if event.path.startswith("/stream"):
         last = fx.HttpStreamAbort if event.path == "/stream/broken" else fx.HttpStreamEnd
-        pieces = [fx.HttpStreamChunk(request_id, b"%d\n" % number) for number in range(3)]
-        return [fx.HttpStreamStart(request_id, 200), *pieces, last(request_id)]
+        chunks = [fx.HttpStreamChunk(request_id, b"%d\n" % number) for number in range(3)]
+        return [fx.HttpStreamStart(request_id, 200), *chunks, last(request_id)]
     return [fx.HttpRespond(request_id, 200, event.body, {"x-query": json.dumps(event.query)})]
 
 
@@ -56,13 +56,13 @@
 
 
 class HttpTest(HttpCase):
-    async def test_whole_answer(self) -> None:
+    async def test_complete_response(self) -> None:
         self.call(1, "/echo?a=b%20c&d=", b"hello")
         answer = await self.caller.wait_for(ev.HttpAnswered, call_id=1)
         self.assertEqual((answer.status, answer.body), (200, b"hello"))
         self.assertEqual(json.loads(answer.headers["x-query"]), {"a": "b c", "d": ""})
 
-    async def test_one_connection_serves_calls_that_follow_each_other(self) -> None:
+    async def test_consecutive_calls_reuse_one_connection(self) -> None:
         for number in range(5):
             self.call(number, "/echo")
             await self.caller.wait_for(ev.HttpAnswered, call_id=number)
@@ -70,25 +70,25 @@
         self.assertEqual(len(arrivals), 5)
         self.assertEqual(self.host._http_client.pool.connections_made, 1)
 
-    async def test_stream_ends_properly(self) -> None:
+    async def test_stream_is_received_completely(self) -> None:
         self.call(1, "/stream", streaming=True)
         await self.caller.wait_for(ev.HttpResponseCompleted, call_id=1)
-        self.assertEqual(self._pieces(), b"0\n1\n2\n")
+        self.assertEqual(self._received_body(), b"0\n1\n2\n")
 
-    async def test_broken_stream_is_no_end(self) -> None:
+    async def test_aborted_stream_is_a_failure(self) -> None:
         self.call(1, "/stream/broken", streaming=True)
         failed = await self.caller.wait_for(ev.HttpFailed, call_id=1)
         self.assertNotEqual(failed.send_state, SendState.NOT_SENT)
         self.assertEqual(self.caller.of_type(ev.HttpResponseCompleted), [])
 
-    async def test_answer_from_the_head_leaves_small_and_large_bodies_unread(self) -> None:
+    async def test_response_to_the_head_ignores_small_and_large_bodies(self) -> None:
         for number, size in enumerate((0, 10, 200_000, 7_000_000)):
             self.call(number, "/head/go", b"x" * size)
             answer = await self.caller.wait_for(ev.HttpAnswered, call_id=number)
             self.assertEqual((answer.status, answer.headers["location"][:7]), (307, "http://"))
         self.assertEqual(self.server.of_type(ev.HttpRequestBody), [])
 
-    async def test_withheld_body_is_read_when_asked_for(self) -> None:
+    async def test_withheld_body_is_read_on_request(self) -> None:
         self.call(1, "/head/read", b"x" * 100_000)
         answer = await self.caller.wait_for(ev.HttpAnswered, call_id=1)
         self.assertEqual(answer.body, b"body:" + b"x" * 100_000)
@@ -99,31 +99,31 @@
         self.assertEqual(answer.status, 413)
         self.assertEqual(json.loads(answer.body)["error"]["code"], "too_large")
 
-    async def test_refused_connection_is_not_sent(self) -> None:
+    async def test_call_to_a_closed_port_is_not_sent(self) -> None:
         self.server_host.kill()
         await self.server_host.stopped()
         self.call(1, "/echo")
         failed = await self.caller.wait_for(ev.HttpFailed, call_id=1)
         self.assertEqual(failed.send_state, SendState.NOT_SENT)
 
-    async def test_deadline_after_the_send_is_maybe_sent(self) -> None:
+    async def test_call_that_times_out_is_maybe_sent(self) -> None:
         self.call(1, "/never", deadline_s=0.05)
         failed = await self.caller.wait_for(ev.HttpFailed, call_id=1)
         self.assertEqual(failed.send_state, SendState.MAYBE_SENT)
         await self.server.wait_for(ev.HttpRequestClosed)
 
-    async def test_first_byte_deadline(self) -> None:
+    async def test_first_byte_deadline_fails_the_call(self) -> None:
         self.call(1, "/never", first_byte_deadline_s=0.05)
         failed = await self.caller.wait_for(ev.HttpFailed, call_id=1)
         self.assertEqual(failed.send_state, SendState.MAYBE_SENT)
 
-    async def test_call_past_its_time_is_not_sent(self) -> None:
+    async def test_call_past_not_after_is_not_sent(self) -> None:
         self.call(1, "/echo", not_after=self.host._loop.time())
         failed = await self.caller.wait_for(ev.HttpFailed, call_id=1)
         self.assertEqual(failed.send_state, SendState.NOT_SENT)
         self.assertEqual(self.server.of_type(ev.HttpRequestArrived), [])
 
-    async def test_cancelled_call_says_nothing_more_and_closes(self) -> None:
+    async def test_cancelled_call_closes_without_further_events(self) -> None:
         self.call(1, "/never")
         await self.server.wait_for(ev.HttpRequestArrived)
         execute(self.host, fx.CancelHttpCall(1))
@@ -135,32 +135,32 @@
         answer = await self.caller.wait_for(ev.HttpAnswered, call_id=1)
         self.assertIn(b"rooklug_events_total", answer.body)
 
-    def _pieces(self) -> bytes:
+    def _received_body(self) -> bytes:
         return b"".join(event.data for event in self.caller.of_type(ev.HttpBodyChunk))
 
 
 class RawCallerTest(HttpCase):
-    async def test_answer_from_the_head_comes_before_the_body(self) -> None:
+    async def test_response_to_the_head_does_not_wait_for_the_body(self) -> None:
         head = b"POST /head/go HTTP/1.1\r\nHost: x\r\nContent-Length: 5000000\r\n\r\n"
         answer = await raw_exchange(self.address, head)
         self.assertIn(b"307", answer.split(b"\r\n")[0])
         self.assertTrue(answer.endswith(b"{}"))
 
-    async def test_broken_stream_has_no_final_chunk(self) -> None:
+    async def test_aborted_stream_has_no_final_chunk(self) -> None:
         answer = await raw_exchange(self.address, b"GET /stream/broken HTTP/1.1\r\nHost: x\r\n\r\n")
         self.assertNotIn(b"\r\n0\r\n", answer)
 
-    async def test_garbage_gets_an_end_and_harms_nobody(self) -> None:
+    async def test_malformed_request_does_not_affect_other_connections(self) -> None:
         await raw_exchange(self.address, b"\x00\xff garbage\r\n\r\n")
         self.call(1, "/echo", b"still here")
         await self.caller.wait_for(ev.HttpAnswered, call_id=1)
 
 
 class SlowCallerTest(HttpCase):
-    """A caller that does not read: what feeds its stream must pause, not pile up."""
+    """A caller that does not read: the producer of its stream must pause instead of buffering."""
 
     async def open_stream(self, path: str) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        """Send a request over a connection that takes little; read nothing yet."""
+        """Send a request over a connection with small buffers, without reading the response."""
         ip, port = self.address.split(":")
         connection = socket.socket()
         connection.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 256 * 1024)
@@ -170,7 +170,7 @@
         self.addCleanup(writer.close)
         return reader, writer
 
-    async def test_what_feeds_a_stream_pauses_until_the_caller_reads(self) -> None:
+    async def test_producer_of_a_stream_pauses_until_the_caller_reads(self) -> None:
         piece = b"x" * 1024 * 1024
         source = FunctionReducer()
         source_host = await self.start_host(source)
@@ -207,7 +207,7 @@
             received += await asyncio.wait_for(reader.read(1 << 20), 20.0)
         self.assertEqual(received.partition(b"\r\n\r\n")[2].count(b"x"), 12 * len(piece))
 
-    async def test_a_caller_that_lets_too_much_wait_is_cut_off(self) -> None:
+    async def test_caller_with_too_many_unsent_bytes_is_disconnected(self) -> None:
         self.server.respond = lambda event: []
         await self.open_stream("/any")
         arrived = await self.server.wait_for(ev.HttpRequestArrived)
@@ -215,7 +215,7 @@
         execute(self.server_host, fx.HttpStreamStart(arrived.request_id, 200), *[piece] * 40)
         await self.server.wait_for(ev.HttpRequestClosed)
 
-    async def test_stopping_lets_a_whole_answer_out(self) -> None:
+    async def test_complete_response_is_flushed_before_stopping(self) -> None:
         self.server.respond = lambda event: []
         reader, _ = await self.open_stream("/any")
         arrived = await self.server.wait_for(ev.HttpRequestArrived)
@@ -228,10 +228,10 @@
 
 
 class RawServerTest(HttpCase):
-    """The client against servers that misbehave."""
+    """The client against misbehaving servers."""
 
     async def serve_bytes(self, *answers: bytes) -> str:
-        """Each request gets the next bytes; then the connection is kept open."""
+        """Start a server that responds to each request with the next of ``answers``."""
         waiting = list(answers)
 
         async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -245,7 +245,7 @@
         ip, port = server.sockets[0].getsockname()
         return f"{ip}:{port}"
 
-    async def test_early_answer_does_not_wait_for_the_request_to_be_sent(self) -> None:
+    async def test_early_response_does_not_wait_for_the_request_to_be_sent(self) -> None:
         finished = asyncio.Event()
         self.addCleanup(finished.set)
 
@@ -260,26 +260,26 @@
         self.call(1, "/", b"x" * 30_000_000, address=f"{ip}:{port}", deadline_s=2.0)
         await self.caller.wait_for(ev.HttpAnswered, call_id=1)
 
-    async def test_answer_cut_short_is_a_failure(self) -> None:
+    async def test_truncated_response_is_a_failure(self) -> None:
         address = await self.serve_bytes(b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc")
         self.call(1, "/", method="GET", address=address)
         failed = await self.caller.wait_for(ev.HttpFailed, call_id=1)
         self.assertEqual(failed.send_state, SendState.RESPONDING)
 
-    async def test_answer_without_a_length_is_whole_at_an_orderly_end(self) -> None:
+    async def test_response_without_a_length_is_complete_at_an_orderly_close(self) -> None:
         address = await self.serve_bytes(b"HTTP/1.1 200 OK\r\n\r\nabc")
         self.call(1, "/", method="GET", address=address)
         answered = await self.caller.wait_for(ev.HttpAnswered, call_id=1)
         self.assertEqual(answered.body, b"abc")
 
-    async def test_answer_without_a_length_that_is_reset_is_a_failure(self) -> None:
+    async def test_response_without_a_length_that_is_reset_is_a_failure(self) -> None:
         for call_id, streaming in ((1, False), (2, True)):
             address = await self.serve_and_reset(b"HTTP/1.1 200 OK\r\n\r\nabc", call_id)
             self.call(call_id, "/", method="GET", address=address, streaming=streaming)
             failed = await self.caller.wait_for(ev.HttpFailed, call_id=call_id)
             self.assertEqual(failed.send_state, SendState.RESPONDING)
 
-    async def test_pieces_of_an_answer_without_a_length_come_before_its_end(self) -> None:
+    async def test_response_without_a_length_is_streamed_as_it_arrives(self) -> None:
         finished = asyncio.Event()
 
         async def answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -290,8 +290,8 @@
 
         address = await self.serve(answer)
         self.call(1, "/", method="GET", address=address, streaming=True)
-        piece = await self.caller.wait_for(ev.HttpBodyChunk, call_id=1)
-        self.assertEqual(piece.data, b"abc")
+        chunk = await self.caller.wait_for(ev.HttpBodyChunk, call_id=1)
+        self.assertEqual(chunk.data, b"abc")
         finished.set()
         await self.caller.wait_for(ev.HttpResponseCompleted, call_id=1)
 
@@ -302,7 +302,7 @@
         return f"{ip}:{port}"
 
     async def serve_and_reset(self, data: bytes, call_id: int) -> str:
-        """Answer with ``data``; reset the connection once the client has its head."""
+        """Send ``data``; reset the connection once the client has read the response's head."""
 
         async def answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
@@ -318,16 +318,18 @@
 
         return await self.serve(answer)
 
-    async def test_bytes_after_an_answer_never_reach_the_next_call(self) -> None:
-        whole = b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n"
-        address = await self.serve_bytes(whole + b"a" + whole + b"z", whole + b"b")
+    async def test_bytes_after_a_response_never_reach_the_next_call(self) -> None:
+        one_byte_head = b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n"
+        address = await self.serve_bytes(
+            one_byte_head + b"a" + one_byte_head + b"z", one_byte_head + b"b"
+        )
         self.call(1, "/", method="GET", address=address)
         first = await self.caller.wait_for(ev.HttpAnswered, call_id=1)
         self.call(2, "/", method="GET", address=address)
         second = await self.caller.wait_for(ev.HttpAnswered, call_id=2)
         self.assertEqual((first.body, second.body), (b"a", b"b"))
 
-    async def test_garbage_answer_is_a_failure(self) -> None:
+    async def test_malformed_response_is_a_failure(self) -> None:
         address = await self.serve_bytes(b"garbage\r\n\r\n")
         self.call(1, "/", method="GET", address=address)
         failed = await self.caller.wait_for(ev.HttpFailed, call_id=1)
