--- a/rooklug/runtime/http_client.py
+++ b/rooklug/runtime/http_client.py
@@ -29,7 +29,7 @@
 
 
 class _ClientConnection(HTTP1Connection):
-    """Passes on the body of a response without a length as it arrives; tornado buffers it all."""
+    """Passes on the body of a response without a length as it arrives, without a size limit."""
 
     async def _read_body_until_close(self, delegate: httputil.HTTPMessageDelegate) -> None:
         while True:
@@ -66,7 +66,9 @@
         if effect.first_byte_deadline_s > 0:
             self._timers.append(
                 client.loop.call_later(
-                    effect.first_byte_deadline_s, self._fail_without_answer, "no answer in time"
+                    effect.first_byte_deadline_s,
+                    self._fail_without_answer,
+                    "no response within the first-byte deadline",
                 )
             )
 
@@ -77,7 +79,7 @@
         except ConnectError as problem:
             self._end_with(self._failure(str(problem)))
         except Exception as problem:  # a bug: the call must still end with one event
-            self._fail(f"fault: {problem!r}")
+            self._fail(f"internal error: {problem!r}")
             raise
 
     def cancel(self) -> None:
@@ -148,7 +150,7 @@
         self._stream = stream
         if self._is_too_late():
             self._client.pool.release(effect.address, stream)
-            self._end_with(self._failure("too late to be sent"))
+            self._end_with(self._failure("not sent: past its not_after time"))
             return
         try:
             await self._exchange(stream)
@@ -178,7 +180,7 @@
 
     def _end_exchange(self) -> None:
         if not self._response_complete:
-            self._fail("the connection ended before the answer was complete")
+            self._fail("connection closed before the response was complete")
         elif self._keep_alive and not self._cancelled:
             idle_s = keep_alive_s(self._headers.get("keep-alive", ""))
             self._client.pool.release(self.effect.address, self._connected_stream, idle_s)
@@ -188,7 +190,7 @@
     @property
     def _connected_stream(self) -> ClientStream:
         if self._stream is None:
-            raise ConnectError("the call has no connection")
+            raise ConnectError("the call is not connected yet")
         return self._stream
 
     def _failure(self, reason: str) -> ev.Event:
--- a/rooklug/runtime/http_exchange.py
+++ b/rooklug/runtime/http_exchange.py
@@ -185,7 +185,7 @@
         self._write_unsent()
 
     def writable(self) -> asyncio.Future | None:
-        """Return None, or with too many unsent bytes a future that is done once they are fewer."""
+        """Return None if more can be sent now, else a future that is done once it can."""
         if self.unsent_bytes <= _HIGH_WATERMARK_BYTES:
             return None
         waiter = asyncio.get_running_loop().create_future()
--- a/rooklug/runtime/rpc_client.py
+++ b/rooklug/runtime/rpc_client.py
@@ -62,7 +62,7 @@
             self._client.peer_closed(self, str(problem))
             return
         except Exception as problem:  # a bug here must not leave the peer unreachable for good
-            self._client.peer_closed(self, f"fault while connecting: {problem!r}")
+            self._client.peer_closed(self, f"internal error while connecting: {problem!r}")
             raise
         timeouts.record_success(self.address)
         connection = FramedConnection(
@@ -85,7 +85,7 @@
     def _on_message(self, connection: FramedConnection, message: Message) -> None:
         self.last_received = self._client.loop.time()
         if not message.is_answer:
-            connection.close("garbage frame: a request from the answering side")
+            connection.close("garbage frame: the server side sent a request")
             return
         call = self.pending.pop(message.call_id, None)
         if call is not None:
@@ -135,9 +135,9 @@
         peer.submit(call)
 
     def close(self) -> None:
-        """Close every connection; the calls pending on them fail."""
+        """Close every connection; called when the host stops."""
         for peer in [*self._peers.values(), *self._retired]:
-            peer.close("this process stops")
+            peer.close("this process is stopping")
 
     def may_write(self, call: _PendingCall) -> bool:
         """Return whether the call may still be sent; called right before its first byte is written.
@@ -149,7 +149,10 @@
         now = self.loop.time()
         if call.effect.not_after is not None and now > call.effect.not_after:
             self.finish(
-                call, CallFailed(call.effect.call_id, "too late to be sent", maybe_delivered=False)
+                call,
+                CallFailed(
+                    call.effect.call_id, "not sent: past its not_after time", maybe_delivered=False
+                ),
             )
             return False
         call.written_at = now
@@ -181,7 +184,7 @@
     def close_if_retired(self, peer: _Peer) -> None:
         """Close a retired connection once no call is pending on it."""
         if peer in self._retired and not peer.pending:
-            peer.close("no answer in time")
+            peer.close("retired: no answer within the deadline")
 
     def _expire(self, peer: _Peer, call: _PendingCall) -> None:
         self._fail(call, "deadline")
--- a/rooklug/runtime/rpc_server.py
+++ b/rooklug/runtime/rpc_server.py
@@ -68,11 +68,11 @@
     def close_connections(self) -> None:
         """Close every connection; calls not answered yet fail at their callers."""
         for connection in list(self._connections):
-            connection.close("this process stops")
+            connection.close("this process is stopping")
 
     def _on_message(self, connection: FramedConnection, message: Message) -> None:
         if message.is_answer:
-            connection.close("garbage frame: an answer from the calling side")
+            connection.close("garbage frame: the client side sent an answer")
             return
         call_id = next(self._identifiers)
         self._unanswered[call_id] = _UnansweredCall(connection, message.call_id)
