--- a/scripts/trace_behaviour.py
+++ b/scripts/trace_behaviour.py
@@ -27,6 +27,7 @@
     "HttpBodyPiece": "HttpBodyChunk",
     "HttpResponseEnded": "HttpResponseCompleted",
     "HttpStreamPiece": "HttpStreamChunk",
+    "PrimaryKnown": "PrimaryChanged",
     "RenewSoon": "RenewalRequested",
 }
 """Earlier class name to present one, for each class that a trace prints."""
@@ -64,10 +65,10 @@
     "publication rejected": "publication rejected by the primary; retrying",
     "serves under a configuration": "configuration applied",
     "solve failed": "solve failed; spreading the models evenly instead",
-    "the configuration can't be read": "configuration rejected; keeping the previous one",
-    "the list of replicas can't be read": "list of replicas unreadable; keeping the previous list",
     "stopped at the end of the grace period": "grace period over; stopping the reducer now",
+    "the configuration can't be read": "configuration rejected; keeping the previous one",
     "the disk did not finish in time": "disk writes unfinished at the limit; not waiting longer",
+    "the list of replicas can't be read": "list of replicas unreadable; keeping the previous list",
     "the witness votes again": "witness may vote again",
     "this core takes part no more": "stopped participating",
     "this disk begins a new life": "disk starts a new incarnation",
--- a/tests/core_cluster.py
+++ b/tests/core_cluster.py
@@ -58,7 +58,7 @@
         internal.PrimaryStarted,
         internal.PrimaryLeaseExtended,
         internal.PrimaryStopped,
-        internal.PrimaryKnown,
+        internal.PrimaryChanged,
         internal.ConfigurationCommitted,
         internal.ZonesCommitted,
         internal.CoreStatusChanged,
--- a/tests/membership_world.py
+++ b/tests/membership_world.py
@@ -324,7 +324,7 @@
             self.emit(self.primary, lease)
         elif self.time >= self._primary_lease_until:
             self._elect()
-        known = internal.PrimaryKnown(self.epoch, f"{self.primary}:1" if self.primary else "")
+        known = internal.PrimaryChanged(self.epoch, f"{self.primary}:1" if self.primary else "")
         for name in CORES:
             if self.is_reachable(name):
                 self.emit(name, known)
--- a/tests/test_core_replication.py
+++ b/tests/test_core_replication.py
@@ -47,7 +47,7 @@
         for core in cluster.cores.values():
             self.assertEqual(core.recorder.status.in_sync, list(CORE_IDS))
             self.assertEqual(
-                recorded_events(core, internal.PrimaryKnown)[-1].address, "127.0.0.1:7000"
+                recorded_events(core, internal.PrimaryChanged)[-1].address, "127.0.0.1:7000"
             )
 
     def test_two_blank_cores_form_no_view(self) -> None:
--- a/tests/test_membership_tables.py
+++ b/tests/test_membership_tables.py
@@ -83,11 +83,11 @@
         tracker = PrimaryTracker("own:1")
         tracker.start(internal.PrimaryStarted(5))
         tracker.extend(internal.PrimaryLeaseExtended(5, 10.0))
-        tracker.record_primary(internal.PrimaryKnown(8, "other:1"))
+        tracker.record_primary(internal.PrimaryChanged(8, "other:1"))
         self.assertEqual((tracker.epoch, tracker.address(9.0)), (5, "own:1"))
         self.assertEqual(tracker.address(10.0), "")
         tracker.stop()
-        tracker.record_primary(internal.PrimaryKnown(6, "older:1"))
+        tracker.record_primary(internal.PrimaryChanged(6, "older:1"))
         self.assertEqual(tracker.address(11.0), "other:1")
 
 
