--- a/rooklug/core/announcer.py
+++ b/rooklug/core/announcer.py
@@ -7,7 +7,7 @@
     ConfigurationCommitted,
     CoresChanged,
     CoreStatusChanged,
-    PrimaryKnown,
+    PrimaryChanged,
     ZonesCommitted,
 )
 from rooklug.model.versions import ZERO_VERSION, is_newer
@@ -54,7 +54,7 @@
         self.primary_epoch = epoch
         self.primary_id = core_id
         self.primary_address = address
-        self._outbox.emit(PrimaryKnown(epoch, address))
+        self._outbox.emit(PrimaryChanged(epoch, address))
 
     def cores(self, addresses: tuple[str, ...]) -> None:
         """Announce the internal addresses of the voting cores if they have changed."""
--- a/rooklug/distribution/lease_renewal.py
+++ b/rooklug/distribution/lease_renewal.py
@@ -19,7 +19,7 @@
 )
 from rooklug.engine import effects as fx
 from rooklug.engine.component import EmitEvent
-from rooklug.model.constants import LEASE_RENEWAL_S, ROLE_LEASE_S
+from rooklug.model.constants import NODE_LEASE_RENEWAL_S, ROLE_LEASE_S
 from rooklug.model.internal_events import GrantsChanged
 from rooklug.model.topics import CONFIGURATION
 from rooklug.wire.generated.control.ttypes import NodeRecord, RenewLeaseAnswer
@@ -122,7 +122,7 @@
         jitter = 1.0 - RENEWAL_JITTER * self.state.context.random.random()
         end = self.state.lease.next_expiry()
         if end is None:
-            return LEASE_RENEWAL_S * jitter
+            return NODE_LEASE_RENEWAL_S * jitter
         return min(ROLE_RENEWAL_S * jitter, max((end - now) / 2, RENEW_SOON_S))
 
     def release(self, now: float) -> list[fx.Effect]:
--- a/rooklug/gateway/operator_api.py
+++ b/rooklug/gateway/operator_api.py
@@ -22,7 +22,7 @@
     ReadConfiguration,
     SubmitConfiguration,
 )
-from rooklug.model.internal_events import PrimaryKnown, ZonesCommitted
+from rooklug.model.internal_events import PrimaryChanged, ZonesCommitted
 from rooklug.model.versions import ZERO_VERSION
 from rooklug.wire.generated.control.ttypes import (
     ReadConfigurationAnswer,
@@ -60,7 +60,7 @@
 
     name = "operators"
     http_listeners = (LISTENER,)
-    subscribes_to = (PrimaryKnown, ZonesCommitted)
+    subscribes_to = (PrimaryChanged, ZonesCommitted)
 
     def __init__(self, protocol: OperatorProtocol, context: ProcessContext) -> None:
         self._protocol = protocol
@@ -73,7 +73,7 @@
     def handle(self, event: ev.Event, now: float) -> list[fx.Effect]:
         """Handle an operator's call, the primary's answer, a retry timer or a disconnect."""
         match event:
-            case PrimaryKnown():
+            case PrimaryChanged():
                 self._primary = event.address
             case ZonesCommitted():
                 self._known_zones = event.version
--- a/rooklug/membership/lease_service.py
+++ b/rooklug/membership/lease_service.py
@@ -7,12 +7,12 @@
 from rooklug.membership.leases import RenewalOutcome, identity_of
 from rooklug.membership.membership_state import MembershipState
 from rooklug.membership.timing import MEMBERS_BATCH_S, TICK_S
-from rooklug.model.constants import LEASE_S
+from rooklug.model.constants import NODE_LEASE_S
 from rooklug.wire.generated.control.ttypes import RenewLeaseRequest
 
 PUBLISH_MEMBERS_TIMER = "publish-members"
 PUBLISH_PROVISIONAL_MEMBERS_TIMER = "publish-early-members"
-_LEASE_MS = int(LEASE_S * 1000)
+_LEASE_MS = int(NODE_LEASE_S * 1000)
 
 
 @attrs.define
--- a/rooklug/membership/membership_component.py
+++ b/rooklug/membership/membership_component.py
@@ -50,7 +50,7 @@
         internal.PrimaryStarted,
         internal.PrimaryLeaseExtended,
         internal.PrimaryStopped,
-        internal.PrimaryKnown,
+        internal.PrimaryChanged,
         internal.ConfigurationCommitted,
         internal.ZonesCommitted,
         internal.CoreStatusChanged,
@@ -73,7 +73,7 @@
             internal.PrimaryStarted: self._on_primary_started,
             internal.PrimaryLeaseExtended: self._on_primary_lease_extended,
             internal.PrimaryStopped: self._on_primary_stopped,
-            internal.PrimaryKnown: self._on_primary_known,
+            internal.PrimaryChanged: self._on_primary_changed,
             internal.ConfigurationCommitted: self._on_configuration_committed,
             internal.ZonesCommitted: self._on_zones_committed,
             internal.CoreStatusChanged: self._on_core_status_changed,
@@ -154,7 +154,7 @@
         timers = [fx.CancelTimer(_TICK_TIMER), fx.CancelTimer(PUBLISH_MEMBERS_TIMER)]
         return self.state.release_all(now) + timers
 
-    def _on_primary_known(self, event: internal.PrimaryKnown, _now: float) -> list[fx.Effect]:
+    def _on_primary_changed(self, event: internal.PrimaryChanged, _now: float) -> list[fx.Effect]:
         self.state.primary.record_primary(event)
         return []
 
--- a/rooklug/membership/primary_tracker.py
+++ b/rooklug/membership/primary_tracker.py
@@ -3,7 +3,7 @@
 import attrs
 
 from rooklug.model.internal_events import (
-    PrimaryKnown,
+    PrimaryChanged,
     PrimaryLeaseExtended,
     PrimaryStarted,
 )
@@ -13,7 +13,7 @@
 class PrimaryTracker:
     """Which core is the primary, as far as this core knows from replication's events.
 
-    ``epoch`` is the epoch of this core's latest term as the primary. A ``PrimaryKnown`` of
+    ``epoch`` is the epoch of this core's latest term as the primary. A ``PrimaryChanged`` of
     another core doesn't change it: nodes take the epoch of an answer as proof that it was given
     in that term. ``lease_expires_at`` is the monotonic time at which this core's own lease as
     the primary ends. ``known_epoch`` and ``known_address`` are those of the latest primary that
@@ -59,7 +59,7 @@
         if self.known_epoch < self.epoch:
             self.known_address = ""
 
-    def record_primary(self, event: PrimaryKnown) -> None:
+    def record_primary(self, event: PrimaryChanged) -> None:
         """Record the primary's address; a report of an older epoch is ignored."""
         if event.epoch < max(self.epoch, self.known_epoch):
             return
--- a/rooklug/membership/timing.py
+++ b/rooklug/membership/timing.py
@@ -4,7 +4,7 @@
 the core counts from the receipt, which is later, and adds a margin for clock drift.
 """
 
-from rooklug.model.constants import LEASE_S, ROLE_LEASE_S
+from rooklug.model.constants import NODE_LEASE_S, ROLE_LEASE_S
 
 MAX_CLOCK_DRIFT = 0.02
 """Largest relative difference between the clock rates of two machines that leases tolerate."""
@@ -33,7 +33,7 @@
     return duration_s * (1.0 + MAX_CLOCK_DRIFT)
 
 
-NODE_LEASE_EXPIRY_S = with_clock_drift_margin(LEASE_S)
+NODE_LEASE_EXPIRY_S = with_clock_drift_margin(NODE_LEASE_S)
 """Time from the receipt of a renewal until the node's lease expires at the primary."""
 
 ROLE_LEASE_EXPIRY_S = with_clock_drift_margin(ROLE_LEASE_S)
--- a/rooklug/model/constants.py
+++ b/rooklug/model/constants.py
@@ -1,8 +1,8 @@
 """Timing and size constants that several packages must agree on; the names end with the unit."""
 
-LEASE_S = 3.0
+NODE_LEASE_S = 3.0
 """Duration of a node's lease, counted by the node from when it sent the renewal."""
-LEASE_RENEWAL_S = 1.0
+NODE_LEASE_RENEWAL_S = 1.0
 """Interval of a node's lease renewals, before jitter; shorter while the node holds grants."""
 ROLE_LEASE_S = 3.0
 """Duration of a role grant, counted like a node's lease."""
--- a/rooklug/model/internal_events.py
+++ b/rooklug/model/internal_events.py
@@ -37,7 +37,7 @@
 
 
 @attrs.frozen
-class PrimaryKnown(InternalEvent):
+class PrimaryChanged(InternalEvent):
     """This core has learnt of another primary or a new epoch.
 
     ``address`` is the primary's internal address, "" while it is unknown.
--- a/scripts/trace_behaviour.py
+++ b/scripts/trace_behaviour.py
@@ -27,6 +27,7 @@
     "HttpBodyPiece": "HttpBodyChunk",
     "HttpResponseEnded": "HttpResponseCompleted",
     "HttpStreamPiece": "HttpStreamChunk",
+    "PrimaryKnown": "PrimaryChanged",
     "RenewSoon": "RenewalRequested",
 }
 """Earlier class name to present one, for each class that a trace prints."""
--- a/tests/core_cluster.py
+++ b/tests/core_cluster.py
@@ -55,7 +55,7 @@
         internal.PrimaryStarted,
         internal.PrimaryLeaseExtended,
         internal.PrimaryStopped,
-        internal.PrimaryKnown,
+        internal.PrimaryChanged,
         internal.ConfigurationCommitted,
         internal.ZonesCommitted,
         internal.CoreStatusChanged,
--- a/tests/membership_world.py
+++ b/tests/membership_world.py
@@ -304,7 +304,7 @@
             self.tell(self.primary, lease)
         elif self.time >= self._told_until:
             self._elect()
-        known = internal.PrimaryKnown(self.epoch, f"{self.primary}:1" if self.primary else "")
+        known = internal.PrimaryChanged(self.epoch, f"{self.primary}:1" if self.primary else "")
         for name in CORES:
             if self.is_up(name):
                 self.tell(name, known)
--- a/tests/test_core_replication.py
+++ b/tests/test_core_replication.py
@@ -44,7 +44,7 @@
         cluster.run(cluster.now + 2.0)
         for core in cluster.cores.values():
             self.assertEqual(core.recorder.status.in_sync, list(CORE_IDS))
-            self.assertEqual(noticed(core, internal.PrimaryKnown)[-1].address, "127.0.0.1:7000")
+            self.assertEqual(noticed(core, internal.PrimaryChanged)[-1].address, "127.0.0.1:7000")
 
     def test_two_blank_cores_form_nothing(self) -> None:
         cluster = Cluster(1)
--- a/tests/test_gateway_operator_api.py
+++ b/tests/test_gateway_operator_api.py
@@ -6,7 +6,7 @@
 from rooklug.engine import events as ev
 from rooklug.gateway.operator_api import LISTENER, GatewayOperatorApi
 from rooklug.model.internal_events import (
-    PrimaryKnown,
+    PrimaryChanged,
 )
 from rooklug.wire.generated.control.ttypes import (
     SubmitChangeAnswer,
@@ -18,7 +18,7 @@
     def setUp(self):
         self.now = 10.0
         self.component = GatewayOperatorApi(operator_protocol(), context())
-        self.component.handle(PrimaryKnown(1, PRIMARY), self.now)
+        self.component.handle(PrimaryChanged(1, PRIMARY), self.now)
 
     def ask(self, path: str) -> list[fx.Effect]:
         event = ev.HttpRequestArrived(1, "POST", path, {}, {}, b"", listener=LISTENER)
@@ -54,7 +54,7 @@
             self.assertEqual(effect.status, 503)
 
     def test_without_a_primary_the_answer_comes_within_a_second(self):
-        self.component.handle(PrimaryKnown(2, ""), self.now)
+        self.component.handle(PrimaryChanged(2, ""), self.now)
         (timer,) = self.ask("/zone")
         began = self.now
         while isinstance(timer, fx.StartTimer):
--- a/tests/test_membership_tables.py
+++ b/tests/test_membership_tables.py
@@ -80,11 +80,11 @@
         primacy = PrimaryTracker("own:1")
         primacy.start(internal.PrimaryStarted(5))
         primacy.extend(internal.PrimaryLeaseExtended(5, 10.0))
-        primacy.record_primary(internal.PrimaryKnown(8, "other:1"))
+        primacy.record_primary(internal.PrimaryChanged(8, "other:1"))
         self.assertEqual((primacy.epoch, primacy.address(9.0)), (5, "own:1"))
         self.assertEqual(primacy.address(10.0), "")
         primacy.stop()
-        primacy.record_primary(internal.PrimaryKnown(6, "older:1"))
+        primacy.record_primary(internal.PrimaryChanged(6, "older:1"))
         self.assertEqual(primacy.address(11.0), "other:1")
 
 
