--- a/scripts/trace_behaviour.py
+++ b/scripts/trace_behaviour.py
@@ -68,7 +68,6 @@
     "stopped at the end of the grace period": "grace period over; stopping the reducer now",
     "the configuration can't be read": "configuration rejected; keeping the previous one",
     "the disk did not finish in time": "disk writes unfinished at the limit; not waiting longer",
-    "the configuration can't be read": "configuration rejected; keeping the previous one",
     "the list of replicas can't be read": "list of replicas unreadable; keeping the previous list",
     "the witness votes again": "witness may vote again",
     "this core takes part no more": "stopped participating",
