--- a/rooklug/config/checking.py
+++ b/rooklug/config/checking.py
@@ -1,4 +1,4 @@
-"""Cross checks of a structured configuration: ranges, names, and names that must be known."""
+"""Validates a parsed configuration: numeric ranges, names, and references between sections."""
 
 import re
 from collections.abc import Iterable, Iterator
@@ -25,20 +25,20 @@
 
 @attrs.frozen
 class _Range:
-    """Bounds of a number; ``above`` excludes the lower one."""
+    """Allowed range of a number, bounds included; ``above`` excludes the lower bound."""
 
     lowest: float
     highest: float
     above: bool = False
 
     def allows(self, number: float) -> bool:
-        """Return whether ``number`` lies inside."""
+        """Return whether ``number`` is within the range."""
         if self.above and number <= self.lowest:
             return False
         return self.lowest <= number <= self.highest
 
     def __str__(self) -> str:
-        """Return the bounds as an operator reads them."""
+        """Return the range as the message of a ``Problem``."""
         lower = "above" if self.above else "at least"
         return f"must be {lower} {self.lowest:g} and at most {self.highest:g}"
 
@@ -82,7 +82,7 @@
 
 
 def check_configuration(configuration: Configuration) -> Problems:
-    """Return every fault that the types alone don't show, in the document's order."""
+    """Return all problems that the types don't rule out, grouped by section in document order."""
     problems = [
         *_check_regions(configuration.regions),
         *_check_models(configuration.models),
@@ -178,8 +178,8 @@
         if route.kind is RouteKind.MODEL:
             yield from _check_model_route(route, configuration.models, path)
         else:
-            yield from _check_once_route(route, path)
-        yield from _check_homes(route.home_regions, configuration.regions, path)
+            yield from _check_once_only_route(route, path)
+        yield from _check_home_regions(route.home_regions, configuration.regions, path)
         if len(route.tenant) > MAX_NAME_LENGTH:
             yield Problem(key_path(path, "tenant"), f"longer than {MAX_NAME_LENGTH} characters")
 
@@ -195,7 +195,7 @@
         yield Problem(key_path(path, "latency_class"), message)
 
 
-def _check_once_route(route: Route, path: str) -> Iterator[Problem]:
+def _check_once_only_route(route: Route, path: str) -> Iterator[Problem]:
     yield from _check_name(route.backend, key_path(path, "backend"))
     if route.model:
         yield Problem(key_path(path, "model"), "only model routes have a model")
@@ -203,7 +203,7 @@
         yield Problem(key_path(path, "latency_class"), "only model routes have a latency class")
 
 
-def _check_homes(
+def _check_home_regions(
     homes: tuple[str, ...], regions: dict[str, Region], path: str
 ) -> Iterator[Problem]:
     homes_path = key_path(path, "home_regions")
--- a/rooklug/config/document.py
+++ b/rooklug/config/document.py
@@ -1,7 +1,7 @@
-"""The operators' configuration document as types.
+"""The types of the operators' configuration document.
 
-The JSON document has these names as its keys, level by level. ``rooklug.config.document_reader``
-turns bytes into a ``Configuration`` or a list of problems with their paths.
+The field names are the keys of the JSON document. ``rooklug.config.document_reader``
+converts bytes to a ``Configuration`` or to a list of problems with their paths.
 """
 
 from enum import Enum
@@ -10,7 +10,7 @@
 
 
 class RoundTrip(Enum):
-    """Round-trip thresholds of a latency class (GSP's four categories)."""
+    """Maximum round trip of a latency class: the four categories of GSP."""
 
     REGIONAL = "regional"
     ZONAL = "zonal"
@@ -19,12 +19,12 @@
 
     @property
     def limit_ms(self) -> float:
-        """The largest round trip, in milliseconds, that a client may have to a replica."""
+        """The maximum round trip, in milliseconds, between a client and a replica."""
         return {"regional": 1.0, "zonal": 20.0, "continental": 70.0, "global": 200.0}[self.value]
 
 
 class RouteKind(Enum):
-    """What a route carries."""
+    """Whether a route's requests go to replicas of a model or at most once to a back end."""
 
     MODEL = "model"
     ONCE = "once"
@@ -32,11 +32,11 @@
 
 @attrs.frozen
 class RegionWeights:
-    """How much a region should serve, take over from others, and hold in reserve.
+    """How much of a region's capacity serves its own traffic, serves spillover, or stays free.
 
     ``serve`` scales the region's capacity for its own traffic (1.0: all of it), ``spill`` is
-    the share of its capacity that other regions' traffic may use (0..1), ``reserve`` the
-    share that the planner leaves free (0..1).
+    the share of its capacity that traffic of other regions may use (0..1), ``reserve`` the
+    share that the planner leaves free (0..0.95).
     """
 
     serve: float = 1.0
@@ -46,7 +46,7 @@
 
 @attrs.frozen
 class Region:
-    """One region: its zones, weights, and round trips (ms) to the other regions."""
+    """A region: its zones, its weights, and its round trip in ms to each other region."""
 
     zones: tuple[str, ...]
     weights: RegionWeights = RegionWeights()
@@ -55,10 +55,11 @@
 
 @attrs.frozen
 class ResourceNeed:
-    """What one replica of a model needs of a resource type, and what it then serves.
+    """What one replica of a model needs of a resource type, and the load it then sustains.
 
-    ``units`` of the resource a replica; ``tokens_per_s`` (prompt/8 + answer tokens) it
-    sustains; ``concurrency`` requests at once; ``load_s`` the usual time to load.
+    ``units`` is the amount of the resource per replica, ``tokens_per_s`` the sustained
+    throughput (prompt tokens / 8 + answer tokens), ``concurrency`` the number of concurrent
+    requests and ``load_s`` the expected time to load the model.
     """
 
     units: float
@@ -69,7 +70,7 @@
 
 @attrs.frozen
 class Model:
-    """A model's placement spec: no region names. A higher ``priority`` is evicted later."""
+    """Placement requirements of a model; models with a low ``priority`` are evicted first."""
 
     latency_classes: dict[str, RoundTrip]
     resources: dict[str, ResourceNeed]
@@ -78,10 +79,10 @@
 
 @attrs.frozen
 class Route:
-    """One kind of request.
+    """How one kind of request is served.
 
-    ``home_regions`` empty: any region. Else it is served, cached and carried only there.
-    Model routes name ``model`` and ``latency_class``; once-only routes name ``backend``.
+    Requests are served, cached and transported only in ``home_regions``; if it is empty, in any
+    region. Model routes set ``model`` and ``latency_class``; once-only routes set ``backend``.
     """
 
     kind: RouteKind
@@ -96,7 +97,7 @@
 
 @attrs.frozen
 class Limits:
-    """Limits a front applies. ``retry_share``: retries per first attempt, as a budget."""
+    """Limits that each front applies; ``retry_share`` is the ratio of retries to first attempts."""
 
     retry_share: float = 0.1
     queue_length: int = 64
@@ -106,14 +107,14 @@
 
 @attrs.frozen
 class SlowStart:
-    """Slow start: a share grows from ``first_share`` to 1 over ``duration_s``."""
+    """Slow start of a replica: its share grows from ``first_share`` to 1 over ``duration_s``."""
 
     first_share: float = 0.05
     duration_s: float = 10.0
 
 
 class Readiness(Enum):
-    """The loss that a plan should have headroom for (GSP's disaster readiness)."""
+    """The failure domain whose loss a plan has headroom for (GSP's disaster readiness)."""
 
     NONE = "none"
     ZONE = "zone"
@@ -122,7 +123,7 @@
 
 @attrs.frozen
 class Placement:
-    """Pace of the placer, and the loss it plans headroom for."""
+    """Intervals and limits of the placer, and the failure domain it plans headroom for."""
 
     solve_interval_s: float = 5.0
     solve_limit_s: float = 1.5
@@ -134,7 +135,7 @@
 
 @attrs.frozen
 class Configuration:
-    """A complete configuration document."""
+    """A complete configuration document; it replaces the previous version as a whole."""
 
     regions: dict[str, Region]
     models: dict[str, Model]
@@ -144,7 +145,7 @@
     placement: Placement = Placement()
 
     def region_of_zone(self, zone: str) -> str:
-        """Return the region that lists ``zone``, or ""."""
+        """Return the name of the region that lists ``zone``, or "" if none does."""
         for name, region in self.regions.items():
             if zone in region.zones:
                 return name
--- a/rooklug/config/document_reader.py
+++ b/rooklug/config/document_reader.py
@@ -1,4 +1,4 @@
-"""Bytes of an operator's document to a ``Configuration``, or every problem with its path."""
+"""Reads an operator's document into a ``Configuration``, or reports every problem with its path."""
 
 import typing
 from enum import Enum
@@ -19,10 +19,10 @@
 
 
 def read_configuration(data: bytes) -> Result[Configuration, Problems]:
-    """Read and check a complete document; an error lists all problems that could be found.
+    """Parse and validate a complete document; an error lists all problems of the failed step.
 
-    Problems of the text hide those of the structure, and those of the structure the cross
-    checks, since the later steps need the result of the earlier ones.
+    The steps are JSON syntax, structure, and cross checks. Each needs the result of the one
+    before, so problems of later steps are not reported until the earlier step succeeds.
     """
     parsed = parse_json(data)
     if parsed.is_error():
@@ -38,7 +38,7 @@
 
 
 class _WrongTypeError(ValueError):
-    """A JSON value of another type than the document's."""
+    """Raised for a JSON value whose type differs from the expected one."""
 
     def __init__(self, expected: str, value: Any) -> None:
         super().__init__(f"must be {expected}, not {_json_type(value)}")
@@ -93,7 +93,7 @@
 
 
 def _require(json_type: type, expected: str, structure: Any) -> Any:
-    """Wrap ``structure`` so that it sees only values of ``json_type``."""
+    """Wrap ``structure`` to raise ``_WrongTypeError`` for values that are not a ``json_type``."""
 
     def guarded(value: Any, target: Any) -> Any:
         if not isinstance(value, json_type):
--- a/rooklug/config/json_text.py
+++ b/rooklug/config/json_text.py
@@ -1,7 +1,8 @@
-"""JSON text to values and back, without the leniency of the standard reader.
+"""Strict JSON parser and canonical serialiser.
 
-Refused: text that is too large or too deep, not UTF-8, duplicate keys, NaN and infinities,
-numbers beyond what every JSON reader holds exactly, and strings with lone surrogates.
+Beyond what the standard parser rejects, this one rejects text that is too large, nested too
+deeply or not UTF-8, duplicate keys, NaN and infinities, integers that not every JSON
+implementation can represent exactly, and strings with lone surrogates.
 """
 
 import json
@@ -18,7 +19,7 @@
 _MAX_NUMBER_LENGTH = 64
 _OPENING = b"[{"
 _CLOSING = b"]}"
-# An unterminated string runs to the end of the text, which keeps the scan linear.
+# An unterminated string matches up to the end of the text, which keeps the scan linear.
 _STRING_OR_BRACKET = re.compile(rb'"(?:[^"\\]|\\.)*+(?:"|\\?\Z)|[\[\]{}]', re.DOTALL)
 _SURROGATE_ESCAPE = re.compile(r"\\u[dD][89a-fA-F]")
 
@@ -26,78 +27,78 @@
 
 
 @attrs.frozen
-class _Object:
-    """The members of a JSON object as written, duplicates included."""
+class _RawObject:
+    """The members of a JSON object in their order, including duplicate keys."""
 
     members: tuple[tuple[str, Json], ...]
 
 
 @attrs.frozen
-class _BadNumber:
-    """A number that the document may not hold."""
+class _InvalidNumber:
+    """Marks a number that was rejected; ``message`` says why."""
 
     message: str
 
 
 def parse_json(data: bytes) -> Result[Json, Problems]:
-    """Read JSON text strictly; every fault is listed with its path.
+    """Parse JSON text strictly; an error lists every problem with its path.
 
-    Objects become dicts, arrays lists, numbers int or finite float.
+    Objects become dicts, arrays become lists, and numbers become int or finite float.
     """
     if len(data) > MAX_DOCUMENT_BYTES:
         return _refuse(f"larger than {MAX_DOCUMENT_BYTES} bytes")
     try:
-        return Ok(_parse_faultless(data))
-    except (_UnusualTextError, ValueError, RecursionError):
-        return _parse_with_faults(data)
+        return Ok(_parse_fast(data))
+    except (_FastParseError, ValueError, RecursionError):
+        return _parse_with_diagnosis(data)
 
 
-class _UnusualTextError(Exception):
-    """The text may have a fault; the thorough reader must look at it."""
+class _FastParseError(Exception):
+    """Raised by the fast parser for text that only the diagnosing parser can accept or reject."""
 
 
-def _parse_faultless(data: bytes) -> Json:
-    """Read text without faults, several times faster than the thorough reader.
+def _parse_fast(data: bytes) -> Json:
+    """Parse valid text, several times faster than the diagnosing parser.
 
     Raises
     ------
-    _UnusualTextError, ValueError, RecursionError
-        The text may have a fault.
+    _FastParseError, ValueError, RecursionError
+        The text may be invalid.
     """
     text = data.decode("utf-8")
     if _SURROGATE_ESCAPE.search(text):
-        raise _UnusualTextError
+        raise _FastParseError
     value = json.loads(
         text,
-        object_pairs_hook=_plain_object,
-        parse_constant=_unusual_number,
-        parse_int=lambda digits: _plain_number(_read_integer(digits)),
-        parse_float=lambda digits: _plain_number(_read_float(digits)),
+        object_pairs_hook=_unique_members,
+        parse_constant=_reject_constant,
+        parse_int=lambda digits: _valid_number(_read_integer(digits)),
+        parse_float=lambda digits: _valid_number(_read_float(digits)),
     )
     if _value_depth(value, MAX_JSON_DEPTH + 1) > MAX_JSON_DEPTH:
-        raise _UnusualTextError
+        raise _FastParseError
     return value
 
 
-def _plain_object(members: list[tuple[str, Json]]) -> dict[str, Json]:
+def _unique_members(members: list[tuple[str, Json]]) -> dict[str, Json]:
     plain = dict(members)
     if len(plain) != len(members):
-        raise _UnusualTextError
+        raise _FastParseError
     return plain
 
 
-def _plain_number(number: "int | float | _BadNumber") -> int | float:
-    if isinstance(number, _BadNumber):
-        raise _UnusualTextError
+def _valid_number(number: "int | float | _InvalidNumber") -> int | float:
+    if isinstance(number, _InvalidNumber):
+        raise _FastParseError
     return number
 
 
-def _unusual_number(_text: str) -> None:
-    raise _UnusualTextError
+def _reject_constant(_text: str) -> None:
+    raise _FastParseError
 
 
 def _value_depth(value: Json, limit: int) -> int:
-    """Return the nesting of a value, looking at most ``limit`` levels deep."""
+    """Return the nesting depth of a value, or ``limit`` if it is deeper."""
     if not isinstance(value, dict | list) or limit == 0:
         return 0
     inner = value.values() if isinstance(value, dict) else value
@@ -105,14 +106,14 @@
     return 1 + max((_value_depth(item, limit - 1) for item in nested), default=0)
 
 
-def _parse_with_faults(data: bytes) -> Result[Json, Problems]:
+def _parse_with_diagnosis(data: bytes) -> Result[Json, Problems]:
     if nesting_depth(data) > MAX_JSON_DEPTH:
         return _refuse(f"nested deeper than {MAX_JSON_DEPTH} levels")
     try:
         raw = json.loads(
             data.decode("utf-8"),
-            object_pairs_hook=lambda members: _Object(tuple(members)),
-            parse_constant=lambda text: _BadNumber(f"{text} is not a JSON number"),
+            object_pairs_hook=lambda members: _RawObject(tuple(members)),
+            parse_constant=lambda text: _InvalidNumber(f"{text} is not a JSON number"),
             parse_int=_read_integer,
             parse_float=_read_float,
         )
@@ -126,7 +127,7 @@
 
 
 def canonical_bytes(value: Json) -> bytes:
-    """Return the one text of a value: sorted keys, no spaces, integral numbers as integers."""
+    """Serialise canonically: sorted keys, no spaces, integral floats written as integers."""
     text = json.dumps(
         _integral(value), sort_keys=True, separators=(",", ":"), ensure_ascii=False, allow_nan=False
     )
@@ -138,7 +139,7 @@
 
 
 def nesting_depth(data: bytes) -> int:
-    """Return the deepest nesting, counted without recursion and before any parsing."""
+    """Return the nesting depth of JSON text, without recursion; it needs no parsed value."""
     depth = deepest = 0
     for match in _STRING_OR_BRACKET.finditer(data):
         first = match.group()[0]
@@ -150,37 +151,37 @@
     return deepest
 
 
-def _read_integer(text: str) -> int | _BadNumber:
+def _read_integer(text: str) -> int | _InvalidNumber:
     if len(text) > _MAX_NUMBER_LENGTH:
-        return _BadNumber("number too long")
+        return _InvalidNumber("number too long")
     number = int(text)
     if abs(number) > MAX_SAFE_INTEGER:
-        return _BadNumber(f"integer beyond {MAX_SAFE_INTEGER}")
+        return _InvalidNumber(f"integer beyond {MAX_SAFE_INTEGER}")
     return number
 
 
-def _read_float(text: str) -> float | _BadNumber:
+def _read_float(text: str) -> float | _InvalidNumber:
     if len(text) > _MAX_NUMBER_LENGTH:
-        return _BadNumber("number too long")
+        return _InvalidNumber("number too long")
     number = float(text)
     if not math.isfinite(number):
-        return _BadNumber("number too large")
+        return _InvalidNumber("number too large")
     return number
 
 
 def _resolve(raw: Json, path: str, problems: list[Problem]) -> Json:
-    if isinstance(raw, _Object):
+    if isinstance(raw, _RawObject):
         return _resolve_object(raw, path, problems)
     if isinstance(raw, list):
         return [_resolve(item, index_path(path, index), problems) for index, item in enumerate(raw)]
-    if isinstance(raw, _BadNumber):
+    if isinstance(raw, _InvalidNumber):
         problems.append(Problem(path, raw.message))
     elif isinstance(raw, str) and not _is_encodable(raw):
         problems.append(Problem(path, "string with a lone surrogate"))
     return raw
 
 
-def _resolve_object(raw: _Object, path: str, problems: list[Problem]) -> dict[str, Json]:
+def _resolve_object(raw: _RawObject, path: str, problems: list[Problem]) -> dict[str, Json]:
     members: dict[str, Json] = {}
     for key, value in raw.members:
         member_path = key_path(path, key)
--- a/rooklug/config/patching.py
+++ b/rooklug/config/patching.py
@@ -10,21 +10,21 @@
 
 
 def digest(data: bytes) -> str:
-    """Return the SHA-256 of ``data`` in hexadecimal digits."""
+    """Return the SHA-256 of ``data`` as lower-case hexadecimal digits."""
     return sha256(data).hexdigest()
 
 
 def apply_merge_patch(document: bytes, patch: bytes) -> Result[bytes, Problems]:
-    """Return ``document`` changed by ``patch``, as canonical JSON text.
+    """Apply a merge patch to ``document`` and return canonical JSON text.
 
-    The result is not checked as a configuration: ask ``read_configuration``. Problems of
-    the patch have paths below ``patch``, those of the document paths below ``document``.
+    The result is not validated as a configuration; ``read_configuration`` does that. Paths of
+    problems start with ``patch`` or ``document``, depending on which of the two is invalid.
     """
     parsed_document = parse_json(document)
     parsed_patch = parse_json(patch)
     problems = [
-        *_below("document", parsed_document),
-        *_below("patch", parsed_patch),
+        *_problems_below("document", parsed_document),
+        *_problems_below("patch", parsed_patch),
     ]
     if problems:
         return Error(tuple(problems))
@@ -34,13 +34,13 @@
     return Ok(merged)
 
 
-def _below(name: str, parsed: Result[Json, Problems]) -> list[Problem]:
+def _problems_below(name: str, parsed: Result[Json, Problems]) -> list[Problem]:
     if parsed.is_ok():
         return []
-    return [_moved(name, problem) for problem in parsed.error]
+    return [_with_path_prefix(name, problem) for problem in parsed.error]
 
 
-def _moved(name: str, problem: Problem) -> Problem:
+def _with_path_prefix(name: str, problem: Problem) -> Problem:
     if not problem.path:
         return Problem(name, problem.message)
     if problem.path.startswith("["):
--- a/rooklug/config/problems.py
+++ b/rooklug/config/problems.py
@@ -1,4 +1,4 @@
-"""What is wrong with an operator's document, and where."""
+"""Problems of an operator's document and the paths at which they occur."""
 
 import json
 import re
@@ -13,22 +13,22 @@
 
 @attrs.frozen
 class Problem:
-    """One fault of a document.
+    """One problem of a document.
 
-    ``path`` leads to the place, such as ``routes.contracts.home_regions[0]``; it is empty
-    for the document as a whole. ``message`` is a sentence for the operator.
+    ``path`` is the location, such as ``routes.contracts.home_regions[0]``; it is empty if the
+    problem concerns the whole document. ``message`` is shown to the operator.
     """
 
     path: str
     message: str
 
     def __str__(self) -> str:
-        """Return path and message as one line; ``parse_problem`` reads it back."""
+        """Return path and message as one line, the format that ``parse_problem`` parses."""
         return f"{self.path or _DOCUMENT_PATH}: {self.message}"
 
 
 def parse_problem(line: str) -> Problem:
-    """Return the problem that was written as ``line``; without a path it is all message."""
+    """Parse a line of ``str(Problem)``; a line without a path becomes the message."""
     match = _LINE.match(line)
     if match is None:
         return Problem("", line)
--- a/tests/test_config_fuzz.py
+++ b/tests/test_config_fuzz.py
@@ -17,7 +17,7 @@
 from rooklug.config.document import Configuration
 from rooklug.config.document_reader import read_configuration
 from rooklug.config.examples import EXAMPLE_NAMES, read_example
-from rooklug.config.json_text import _parse_with_faults, canonical_bytes, parse_json
+from rooklug.config.json_text import _parse_with_diagnosis, canonical_bytes, parse_json
 
 _EXAMPLES = [json.loads(read_example(name)) for name in EXAMPLE_NAMES]
 _STEP = re.compile(r'\["((?:[^"\\]|\\.)*)"\]|\[(\d+)\]|\.?([^.\[\]]+)')
@@ -159,7 +159,7 @@
     )
     def test_same_result(self, value: Any) -> None:
         data = written(value).encode("utf-8", "surrogatepass")
-        quick, thorough = parse_json(data), _parse_with_faults(data)
+        quick, thorough = parse_json(data), _parse_with_diagnosis(data)
         self.assertEqual(quick.is_ok(), thorough.is_ok())
         if quick.is_ok():
             self.assertEqual(canonical_bytes(quick.ok), canonical_bytes(thorough.ok))
