--- a/rooklug/api/answers.py
+++ b/rooklug/api/answers.py
@@ -1,4 +1,4 @@
-"""HTTP answers of the operators' API: JSON bodies, one shape for all errors."""
+"""HTTP responses of the operators' API: JSON bodies with a common error format."""
 
 import json
 from typing import Any
@@ -14,7 +14,7 @@
 def json_answer(
     request_id: int, status: int, document: Any, headers: dict[str, str] | None = None
 ) -> fx.HttpRespond:
-    """Return a JSON answer."""
+    """Return a response with ``document`` as compact JSON."""
     body = json.dumps(document, separators=(",", ":")).encode()
     return fx.HttpRespond(request_id, status, body, {**JSON_HEADERS, **(headers or {})})
 
@@ -27,19 +27,19 @@
     headers: dict[str, str] | None = None,
     **details: Any,
 ) -> fx.HttpRespond:
-    """Return an error; ``details`` are further members of the error object."""
+    """Return an error response; ``details`` are additional members of the error object."""
     error = {"code": code, "message": message, **details}
     return json_answer(request_id, status, {"error": error}, headers)
 
 
 def unavailable_answer(request_id: int, message: str) -> fx.HttpRespond:
-    """Return that the order was certainly not taken."""
+    """Return 503: no core has received the request, so nothing was changed."""
     headers = {"Retry-After": str(RETRY_AFTER_S)}
     return error_answer(request_id, 503, "unavailable", message, headers)
 
 
 def unknown_answer(request_id: int) -> fx.HttpRespond:
-    """Return that the order may have been taken or not."""
+    """Return 504: the outcome is unknown, since a core may have received the request."""
     headers = {"Retry-After": str(RETRY_AFTER_S)}
     message = "the primary may have taken it; send it again, to any node"
     return error_answer(request_id, 504, "unknown", message, headers)
@@ -48,7 +48,7 @@
 def configuration_answer(
     request_id: int, version: int, digest: str, document: bytes
 ) -> fx.HttpRespond:
-    """Return a configuration's bytes exactly as they were accepted."""
+    """Return a configuration's bytes exactly as accepted, or 404 if ``version`` is 0."""
     if version == 0:
         return error_answer(request_id, 404, "no_configuration", "there is no configuration yet")
     headers = {**JSON_HEADERS, VERSION_HEADER: str(version), DIGEST_HEADER: digest}
--- a/rooklug/api/build.py
+++ b/rooklug/api/build.py
@@ -29,16 +29,16 @@
         self._status = StatusCollector(
             context.identifiers, core_link, settings.seeds, settings.node_id
         )
-        self._answered = 0
+        self._responses_sent = 0
 
     def handle(self, event: ev.Event, now: float) -> list[fx.Effect]:
-        """Take one event."""
+        """Handle one event and count the responses that it produces."""
         effects = self._handle(event, now)
-        self._answered += sum(isinstance(effect, fx.HttpRespond) for effect in effects)
+        self._responses_sent += sum(isinstance(effect, fx.HttpRespond) for effect in effects)
         return effects
 
     def metrics(self, now: float) -> Iterable[MetricSample]:
-        """Return the figures of the operators' API."""
+        """Return the number of waiting requests and of responses sent."""
         return (
             MetricSample(
                 "rooklug_operator_requests_waiting",
@@ -48,7 +48,7 @@
             ),
             MetricSample(
                 "rooklug_operator_answers_total",
-                self._answered,
+                self._responses_sent,
                 "counter",
                 "Answers given to operators.",
             ),
@@ -56,12 +56,12 @@
 
     def _handle(self, event: ev.Event, now: float) -> list[fx.Effect]:
         if isinstance(event, ev.HttpRequestArrived):
-            return self._arrived(event, now)
+            return self._on_request(event, now)
         if isinstance(event, ev.CallAnswered | ev.CallFailed) and self._status.owns(event.call_id):
             return self._status.handle(event)
         return self._forwarder.handle(event, now)
 
-    def _arrived(self, event: ev.HttpRequestArrived, now: float) -> list[fx.Effect]:
+    def _on_request(self, event: ev.HttpRequestArrived, now: float) -> list[fx.Effect]:
         parsed = parse_request(event)
         if parsed.is_error():
             problem = parsed.error
@@ -83,5 +83,5 @@
 def build_operator_components(
     settings: NodeSettings, context: ProcessContext, core_link: CoreLink
 ) -> list[Component]:
-    """Return the components of the operators' API."""
+    """Return the front's components for the operators' API."""
     return [OperatorApi(settings, context, core_link)]
--- a/rooklug/api/forwarding.py
+++ b/rooklug/api/forwarding.py
@@ -1,15 +1,15 @@
-"""Forwards operators' requests to the primary core, until an answer or the deadline.
+"""Forwards operators' requests to the primary core, with retries until an answer or the deadline.
 
-The same order may be sent any number of times: a core knows a change by (version, digest)
-and a zone order by its operation id, and answers a repeat as it answered first. So a lost
-answer is followed by the same order at the next primary. A front's answer without a core's
-depends on one fact alone: whether any attempt may have reached a core.
+Orders are idempotent: a core identifies a change by (version, digest) and a zone order by its
+operation id, and answers a repeat like the first. If an answer is lost, the same order is sent
+to the next primary. If no core has answered by the deadline, the response depends only on
+whether an attempt may have reached a core: 504 if so, else 503.
 """
 
 import attrs
 
 from rooklug.api.answers import unavailable_answer, unknown_answer
-from rooklug.api.verdicts import Final, Retry, is_order, judge
+from rooklug.api.verdicts import Final, Retry, interpret_answer, is_order
 from rooklug.distribution.core_link import CoreLink
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
@@ -25,7 +25,7 @@
 
 @attrs.define
 class _ForwardedRequest:
-    """One operator's request on its way. ``maybe_taken``: an attempt may have reached a core."""
+    """A request that is being forwarded; ``maybe_taken``: an attempt may have reached a core."""
 
     request_id: int
     request: object
@@ -37,7 +37,7 @@
 
 
 class Forwarder:
-    """Holds the requests that wait for a core. ``core_link`` knows the primary's address."""
+    """Tracks the requests that wait for a core; ``core_link`` supplies the primary's address."""
 
     def __init__(
         self, identifiers: Identifiers, core_link: CoreLink, seeds: tuple[str, ...]
@@ -49,24 +49,24 @@
         self._by_call: dict[int, _ForwardedRequest] = {}
 
     def __len__(self) -> int:
-        """Return how many requests wait."""
+        """Return the number of requests that wait for a core."""
         return len(self._by_request)
 
     def start(self, request_id: int, request: object, now: float) -> list[fx.Effect]:
-        """Forward a request."""
+        """Send the first attempt; a poll of decisions extends the deadline by its wait."""
         wait_s = request.wait_ms / 1000 if isinstance(request, ReadDecisionsRequest) else 0.0
         forward = _ForwardedRequest(request_id, request, now + wait_s + FORWARD_DEADLINE_S)
         self._by_request[request_id] = forward
         return self._attempt(forward, now)
 
     def handle(self, event: ev.Event, now: float) -> list[fx.Effect]:
-        """Take an answer, a failure, a retry timer, or the end of the operator's connection."""
+        """Handle an answer, a failed call, a retry timer, or a closed operator connection."""
         if isinstance(event, ev.CallAnswered):
-            return self._answered(event, now)
+            return self._on_call_answered(event, now)
         if isinstance(event, ev.CallFailed):
-            return self._failed(event, now)
+            return self._on_call_failed(event, now)
         if isinstance(event, ev.HttpRequestClosed):
-            return self._closed(event)
+            return self._on_request_closed(event)
         if isinstance(event, ev.TimerFired) and event.name.startswith(_TIMER_PREFIX):
             forward = self._by_request.get(int(event.name.removeprefix(_TIMER_PREFIX)))
             return self._attempt(forward, now) if forward else []
@@ -90,7 +90,7 @@
         if redirect_address:
             return redirect_address
         known = self._core_link.primary_address
-        # Every second attempt goes round the seeds: the link's address may be stale.
+        # Every second attempt goes to the seeds in turn, as the link's address may be outdated.
         if known and forward.attempts % 2 == 0:
             return known
         return self._seeds[forward.attempts // 2 % len(self._seeds)] if self._seeds else known
@@ -101,11 +101,11 @@
             return request.wait_ms / 1000 + ATTEMPT_DEADLINE_S
         return ATTEMPT_DEADLINE_S
 
-    def _answered(self, event: ev.CallAnswered, now: float) -> list[fx.Effect]:
+    def _on_call_answered(self, event: ev.CallAnswered, now: float) -> list[fx.Effect]:
         forward = self._by_call.pop(event.call_id, None)
         if forward is None:
             return []
-        verdict = judge(event.answer, forward.request, forward.request_id)
+        verdict = interpret_answer(event.answer, forward.request, forward.request_id)
         if isinstance(verdict, Final):
             del self._by_request[forward.request_id]
             return [verdict.response]
@@ -117,7 +117,7 @@
         forward.redirect_address = verdict.primary_address
         return self._attempt(forward, now) if first_redirect else self._schedule_retry(forward, now)
 
-    def _failed(self, event: ev.CallFailed, now: float) -> list[fx.Effect]:
+    def _on_call_failed(self, event: ev.CallFailed, now: float) -> list[fx.Effect]:
         forward = self._by_call.pop(event.call_id, None)
         if forward is None:
             return []
@@ -135,7 +135,7 @@
             return [unknown_answer(forward.request_id)]
         return [unavailable_answer(forward.request_id, "no primary core could be reached")]
 
-    def _closed(self, event: ev.HttpRequestClosed) -> list[fx.Effect]:
+    def _on_request_closed(self, event: ev.HttpRequestClosed) -> list[fx.Effect]:
         forward = self._by_request.pop(event.request_id, None)
         if forward is None:
             return []
--- a/rooklug/api/requests.py
+++ b/rooklug/api/requests.py
@@ -1,4 +1,4 @@
-"""Operators' HTTP requests to thrift requests; faults of the request are error values."""
+"""Parses operators' HTTP requests into thrift requests; invalid ones become error values."""
 
 import re
 from collections.abc import Callable
@@ -28,7 +28,7 @@
 
 @attrs.frozen
 class RequestProblem:
-    """Why a request is refused: it was not passed on, and nothing was changed."""
+    """Why a request is rejected by the front; it is not forwarded, so nothing changes."""
 
     status: int
     code: str
@@ -37,12 +37,12 @@
 
 @attrs.frozen
 class LocalConfiguration:
-    """Asks what this front serves under."""
+    """Query for the configuration that this front currently applies."""
 
 
 @attrs.frozen
 class StatusQuery:
-    """Asks for the status of the cores and nodes."""
+    """Query for the status of all cores and nodes."""
 
 
 OperatorRequest = (
@@ -58,7 +58,7 @@
 
 
 def parse_request(event: HttpRequestArrived) -> Parsed:
-    """Return what an operator asks for."""
+    """Return the parsed request, or the status and message to reject it with."""
     if event.path == "/v1/config":
         return _for_method(
             event, {"GET": lambda _: Ok(ReadConfigurationRequest(linearizable=True))}
@@ -79,7 +79,7 @@
 def _for_method(
     event: HttpRequestArrived, parsers: dict[str, Parser], path: re.Match[str] | None = None
 ) -> Parsed:
-    """Parse by the method's parser; it gets the event and the groups of the path's pattern."""
+    """Call the HTTP method's parser with the event and the groups of the path pattern."""
     parser = parsers.get(event.method)
     if parser is None:
         return _problem(405, "wrong_method", f"use {' or '.join(parsers)} here")
--- a/rooklug/api/status.py
+++ b/rooklug/api/status.py
@@ -1,4 +1,4 @@
-"""``GET /v1/status``: queries every core, whoever is primary."""
+"""``GET /v1/status``: queries every core, so that it also works without a primary."""
 
 from typing import Any
 
@@ -25,7 +25,7 @@
 
 @attrs.define
 class _StatusQuery:
-    """One query: what each core answered, or why it didn't."""
+    """A status request in progress: each core's answer, or the reason for its failure."""
 
     request_id: int
     open_calls: dict[int, str] = attrs.field(factory=dict)
@@ -34,7 +34,7 @@
 
 
 class StatusCollector:
-    """Queries all cores and merges their answers."""
+    """Queries all cores and merges their answers; nodes and zones are the primary's."""
 
     def __init__(
         self, identifiers: Identifiers, core_link: CoreLink, seeds: tuple[str, ...], node_id: str
@@ -46,7 +46,7 @@
         self._by_call: dict[int, _StatusQuery] = {}
 
     def start(self, request_id: int) -> list[fx.Effect]:
-        """Query every core."""
+        """Query every core; the response follows when the last call has ended."""
         query = _StatusQuery(request_id)
         calls: list[fx.Effect] = []
         for address in self._seeds:
@@ -57,7 +57,7 @@
         return calls or [self._respond(query)]
 
     def handle(self, event: ev.CallAnswered | ev.CallFailed) -> list[fx.Effect]:
-        """Take one core's answer or failure."""
+        """Record a core's answer or failure; respond when no call is open."""
         query = self._by_call.pop(event.call_id, None)
         if query is None:
             return []
@@ -69,7 +69,7 @@
         return [] if query.open_calls else [self._respond(query)]
 
     def owns(self, call_id: int) -> bool:
-        """Return whether a call is one of the collector's."""
+        """Return whether the call was made by this collector and is still open."""
         return call_id in self._by_call
 
     def _respond(self, query: _StatusQuery) -> fx.HttpRespond:
--- a/rooklug/api/verdicts.py
+++ b/rooklug/api/verdicts.py
@@ -1,4 +1,4 @@
-"""What a core's answer means for the operator: a final answer, or a retry."""
+"""Decides whether a core's answer is final for the operator or the request is retried."""
 
 from typing import Any
 
@@ -26,14 +26,18 @@
 
 @attrs.frozen
 class Final:
-    """The operator's answer."""
+    """The core has decided; ``response`` is sent to the operator."""
 
     response: HttpRespond
 
 
 @attrs.frozen
 class Retry:
-    """No answer yet. ``primary_address`` may be ""; ``maybe_taken``: the order may be stored."""
+    """The core has not decided, and the request is sent again.
+
+    ``primary_address`` is the primary that the core named, or "" if it knows none;
+    ``maybe_taken`` says that the order may already be stored.
+    """
 
     primary_address: str
     maybe_taken: bool
@@ -43,8 +47,8 @@
 
 
 @multimethod
-def judge(answer: SubmitChangeAnswer, request: Any, request_id: int) -> Verdict:
-    """Judge a core's answer to a change."""
+def interpret_answer(answer: SubmitChangeAnswer, request: Any, request_id: int) -> Verdict:
+    """Interpret a core's answer to an operator's request; the overload depends on its type."""
     if answer.outcome == ACCEPTED:
         document = {
             "version": answer.version,
@@ -59,9 +63,9 @@
     return Retry(answer.primary_address, maybe_taken=answer.outcome == UNKNOWN)
 
 
-@judge.register
-def _judge_zone_order(answer: SetZoneAnswer, request: Any, request_id: int) -> Verdict:
-    """Judge a core's answer to a zone order."""
+@interpret_answer.register
+def _interpret_zone_order(answer: SetZoneAnswer, request: Any, request_id: int) -> Verdict:
+    """Interpret the answer to a zone order."""
     if answer.outcome == ACCEPTED:
         document = {"zone": request.zone, "emptied": request.emptied}
         return Final(json_answer(request_id, 200, document))
@@ -73,18 +77,18 @@
     return Retry(answer.primary_address, maybe_taken=answer.outcome == UNKNOWN)
 
 
-@judge.register
-def _judge_read(answer: ReadConfigurationAnswer, request: Any, request_id: int) -> Verdict:
-    """Judge a core's answer to a read."""
+@interpret_answer.register
+def _interpret_read(answer: ReadConfigurationAnswer, request: Any, request_id: int) -> Verdict:
+    """Interpret the answer to a read of the configuration."""
     if not answer.ok:
         return Retry(answer.primary_address, maybe_taken=False)
     body = answer.configuration
     return Final(configuration_answer(request_id, body.version, body.digest, body.document))
 
 
-@judge.register
-def _judge_poll(answer: ReadDecisionsAnswer, request: Any, request_id: int) -> Verdict:
-    """Judge a core's answer to a poll of decisions."""
+@interpret_answer.register
+def _interpret_poll(answer: ReadDecisionsAnswer, request: Any, request_id: int) -> Verdict:
+    """Interpret the answer to a poll of decisions."""
     if not answer.ok:
         return Retry(answer.primary_address, maybe_taken=False)
     document = {
@@ -95,7 +99,7 @@
 
 
 def is_order(request: object) -> bool:
-    """Return whether a request changes state, so that a lost answer leaves it unknown."""
+    """Return whether a request changes state, so that its outcome is unknown without an answer."""
     return isinstance(request, SubmitChangeRequest | SetZoneRequest)
 
 
--- a/rooklug/cli/compose.py
+++ b/rooklug/cli/compose.py
@@ -1,6 +1,6 @@
-"""Composes each role from its components, for the daemon and for the simulator alike.
+"""Composes the reducer of each role from its components; daemon and simulator both use it.
 
-Imports are inside the functions: a process loads only the components of its role.
+Imports are inside the functions so that a process loads only the components of its role.
 """
 
 from rooklug.cli.graceful_stop import GracefulStop
@@ -10,7 +10,7 @@
 
 
 def compose_core(settings: CoreSettings, context: ProcessContext) -> CompositeReducer:
-    """Return the reducer of a core."""
+    """Return a core's reducer: control state, membership and claims of once-only requests."""
     from rooklug.core.build import build_core_components
     from rooklug.front.once_only.claim_store import build_claim_store_components
     from rooklug.membership.build import build_membership_components
@@ -25,7 +25,10 @@
 
 
 def compose_front(settings: NodeSettings, context: ProcessContext) -> CompositeReducer:
-    """Return the reducer of a front."""
+    """Return a front's reducer: link to the cores, request paths and the operators' API.
+
+    Readiness also watches the once-only requests in flight.
+    """
     from rooklug.api.build import build_operator_components
     from rooklug.distribution.core_link import CoreLink
     from rooklug.front.build import build_front_components
@@ -52,7 +55,7 @@
 
 
 def compose_controller(settings: NodeSettings, context: ProcessContext) -> CompositeReducer:
-    """Return the reducer of a controller."""
+    """Return a controller's reducer: link to the cores, singleton roles and graceful stop."""
     from rooklug.controller.build import build_controller_components
     from rooklug.distribution.core_link import CoreLink
 
--- a/rooklug/cli/ctl.py
+++ b/rooklug/cli/ctl.py
@@ -1,4 +1,4 @@
-"""``rooklug ctl``: the operator's commands, over any front."""
+"""``rooklug ctl``: the operator's commands, sent to the HTTP API of any front."""
 
 import argparse
 import asyncio
@@ -39,7 +39,7 @@
 
 
 def add_ctl_command(subcommands: argparse._SubParsersAction) -> None:
-    """Add ``ctl`` with all its commands."""
+    """Add the subcommand ``ctl`` with all its commands."""
     parser = subcommands.add_parser(
         "ctl",
         help="change and watch a running site",
@@ -56,7 +56,7 @@
 
 
 def add_node_options(parser: argparse.ArgumentParser) -> None:
-    """Add ``--node`` and ``--timeout``."""
+    """Add ``--node`` and ``--timeout``, which ``client_of`` reads."""
     parser.add_argument(
         "--node",
         dest="nodes",
@@ -72,7 +72,7 @@
 
 
 def node_address(text: str) -> str:
-    """Return ``text`` if it is "ip:port"."""
+    """Return ``text`` if it is "ip:port"; raise ``ArgumentTypeError`` otherwise."""
     try:
         split_address(text)
     except ValueError as problem:
@@ -117,7 +117,7 @@
 def _run(
     command: Callable[[argparse.Namespace], Coroutine[Any, Any, int]],
 ) -> Callable[[argparse.Namespace], int]:
-    """Return a coroutine function as what the command line runs."""
+    """Wrap a coroutine function as a synchronous command that requires ``--node``."""
 
     def run(arguments: argparse.Namespace) -> int:
         if not arguments.nodes:
@@ -132,7 +132,7 @@
 
 
 def client_of(arguments: argparse.Namespace) -> OperatorClient:
-    """Return the client that the node options ask for."""
+    """Return a client for the fronts and the time limit given by the node options."""
     return OperatorClient(tuple(arguments.nodes), arguments.timeout)
 
 
--- a/rooklug/cli/ctl_answers.py
+++ b/rooklug/cli/ctl_answers.py
@@ -1,4 +1,4 @@
-"""Prints what became of an order, and picks the exit code."""
+"""Prints the outcome of a request and returns the exit code for it."""
 
 import hashlib
 import sys
@@ -14,7 +14,7 @@
 
 
 def report_change(outcome: Outcome) -> int:
-    """Print whether a change or zone order was accepted."""
+    """Print the outcome of a change or zone order; return the exit code."""
     if outcome.is_error() or outcome.ok.status != 200:
         return report_failure(outcome, is_order=True)
     document = outcome.ok.document()
@@ -25,7 +25,7 @@
 
 
 def report_configuration(outcome: Outcome) -> int:
-    """Write a configuration's exact bytes to standard output."""
+    """Write a configuration's exact bytes to standard output, after checking their digest."""
     if outcome.is_error() or outcome.ok.status != 200:
         return report_failure(outcome)
     answer = outcome.ok
@@ -40,7 +40,7 @@
 
 
 def report_failure(outcome: Outcome, *, is_order: bool = False) -> int:
-    """Print why there is no result; of an order also whether it may have been accepted."""
+    """Print why a request failed and, for an order, whether it may have been accepted."""
     if outcome.is_error():
         return _report_no_answer(outcome.error, is_order=is_order)
     answer = outcome.ok
--- a/rooklug/cli/ctl_decisions.py
+++ b/rooklug/cli/ctl_decisions.py
@@ -1,4 +1,4 @@
-"""``rooklug ctl decisions``: each decision with its cause, resumable by cursor."""
+"""``rooklug ctl decisions``: prints decisions with their causes, resumable by cursor."""
 
 import asyncio
 import json
@@ -16,7 +16,7 @@
 
 
 async def print_decisions(client: OperatorClient, after: str, *, as_json: bool) -> int:
-    """Print the decisions after a cursor."""
+    """Print the stored decisions after the cursor ``after``; return the exit code."""
     outcome = await client.send(decisions_after(after, 0.0))
     if outcome.is_error() or outcome.ok.status != 200:
         return report_failure(outcome)
@@ -25,7 +25,10 @@
 
 
 async def follow_decisions(client: OperatorClient, after: str, *, as_json: bool) -> int:
-    """Print decisions as they come, until interrupted; a lost front is no end."""
+    """Print decisions as they arrive, until interrupted or rejected with a 4xx status.
+
+    Failures of a front are reported and retried after ``_RETRY_DELAY_S``.
+    """
     cursor = after
     while True:
         outcome = await client.send(decisions_after(cursor, FOLLOW_WAIT_S))
@@ -39,7 +42,7 @@
 
 
 def _print_batch(document: dict[str, Any], cursor: str, *, as_json: bool) -> str:
-    """Print the decisions; return the cursor after them."""
+    """Print the decisions of one answer; return the cursor to continue from."""
     if document.get("gap"):
         print(f"rooklug ctl: decisions right after {cursor} are gone", file=sys.stderr)
     for decision in document.get("decisions", ()):
@@ -49,7 +52,7 @@
 
 
 def format_decision(decision: dict[str, Any]) -> str:
-    """Return a decision as a line."""
+    """Return a decision as one line of text."""
     seconds = decision.get("wall_time_ms", 0) / 1000
     time = datetime.fromtimestamp(seconds, UTC).isoformat(timespec="milliseconds")
     columns = (time, decision.get("cursor"), decision.get("kind"), decision.get("summary"))
--- a/rooklug/cli/ctl_placement.py
+++ b/rooklug/cli/ctl_placement.py
@@ -1,4 +1,4 @@
-"""``rooklug ctl placement``: try the planner on a described world, or ask why."""
+"""``rooklug ctl placement``: simulates the planner on a described site, or explains decisions."""
 
 import argparse
 import asyncio
@@ -39,7 +39,7 @@
 
 @attrs.frozen
 class DescribedDemand:
-    """Demand of one kind, in tokens/s (prompt/8 + answer)."""
+    """Demand of one model, class and source region, in tokens/s (prompt / 8 + answer)."""
 
     model: str
     latency_class: str
@@ -50,7 +50,7 @@
 
 @attrs.frozen
 class DescribedWorld:
-    """Replicas and demand, as an operator imagines them."""
+    """Replicas and demand of a simulated site, as described in the operator's file."""
 
     replicas: tuple[ReplicaSlot, ...]
     demand: tuple[DescribedDemand, ...]
@@ -122,25 +122,25 @@
 
 
 def _print_outcome(problem: PlacementProblem, arguments: argparse.Namespace) -> Result[int, str]:
-    """Print the plan, or what the change asked for would do; return the exit code."""
-    from rooklug.placement.planner import solve  # loads the solver: only here
+    """Print the plan, or the effect of the requested change; return the exit code."""
+    from rooklug.placement.planner import solve  # imported here since it loads the solver
     from rooklug.placement.whatif import simulate
 
     if arguments.without is None and arguments.capacity is None:
         print(format_plan(solve(problem)))
         return Ok(exit_codes.OK)
-    changed = _changed(problem, arguments)
+    changed = _apply_change(problem, arguments)
     if changed.is_error():
         return Error(changed.error)
-    outcome = simulate(problem, changed.ok, _change_in_words(arguments))
+    outcome = simulate(problem, changed.ok, _describe_change(arguments))
     print(outcome.to_text())
     return Ok(exit_codes.FAILURE if outcome.new_violations else exit_codes.OK)
 
 
-def _changed(
+def _apply_change(
     problem: PlacementProblem, arguments: argparse.Namespace
 ) -> Result[PlacementProblem, str]:
-    """Return the problem after the change, or why there is no such change."""
+    """Apply the requested change to the problem; an error says why it can't be applied."""
     from rooklug.placement.whatif import parse_capacity, with_capacity, without
 
     changed = problem
@@ -161,7 +161,7 @@
     return Ok(with_capacity(changed, capacity))
 
 
-def _change_in_words(arguments: argparse.Namespace) -> str:
+def _describe_change(arguments: argparse.Namespace) -> str:
     names = [f"without {arguments.without}"] if arguments.without is not None else []
     if arguments.capacity is not None:
         region, _, count = arguments.capacity.rpartition("=")
@@ -170,7 +170,7 @@
 
 
 def read_world(data: bytes) -> Result[DescribedWorld, str]:
-    """Read a described world; an error names all that is wrong."""
+    """Parse the file of a simulated site; an error lists everything that is invalid."""
     import cattrs
 
     try:
@@ -183,7 +183,7 @@
 
 
 def build_problem(configuration: Configuration, world: DescribedWorld) -> PlacementProblem:
-    """Return the planner's problem."""
+    """Combine configuration and described site to the planner's input; equal demand is summed."""
     demand: dict[DemandKey, float] = {}
     for entry in world.demand:
         key = DemandKey(
@@ -205,7 +205,7 @@
 
 
 def format_plan(plan: PlacementPlan) -> str:
-    """Return a plan as tables."""
+    """Return a plan as text: tables, then evictions, unplaced demand and violations."""
     assignments = [(slot, ", ".join(models)) for slot, models in sorted(plan.assignments.items())]
     shares = [
         (
--- a/rooklug/cli/ctl_status.py
+++ b/rooklug/cli/ctl_status.py
@@ -1,4 +1,4 @@
-"""``rooklug ctl status``: the site at a glance."""
+"""``rooklug ctl status``: prints the cores, nodes, role owners and drained zones of a site."""
 
 import json
 import sys
@@ -31,7 +31,7 @@
 
 
 def print_status(answer: OperatorAnswer, *, as_json: bool) -> None:
-    """Print the status as tables, or the front's JSON as it came."""
+    """Print the status as tables, or the unmodified JSON of the front."""
     if as_json:
         sys.stdout.write(answer.body.decode())
         print()
@@ -40,7 +40,7 @@
 
 
 def format_status(document: dict[str, Any]) -> str:
-    """Return the tables of a status document."""
+    """Return a status document as text with tables."""
     front = document.get("front", {})
     drained = document.get("emptied_zones")
     sections = [
--- a/rooklug/cli/daemon.py
+++ b/rooklug/cli/daemon.py
@@ -1,4 +1,4 @@
-"""The subcommands that run a daemon: core, front, controller."""
+"""The subcommands that run a daemon: ``core``, ``front`` and ``controller``."""
 
 import argparse
 import secrets
@@ -36,7 +36,7 @@
 
 
 def add_daemon_commands(subcommands: argparse._SubParsersAction) -> None:
-    """Add one subcommand a role."""
+    """Add one subcommand per role, with a flag for each of its settings."""
     for role, description in _HELP.items():
         parser = subcommands.add_parser(
             role,
@@ -72,7 +72,7 @@
 
 
 def run_daemon(arguments: argparse.Namespace) -> int:
-    """Run the daemon of ``arguments.role``; return its exit code."""
+    """Check the settings, then run the daemon of ``arguments.role``; return its exit code."""
     result = read_settings(_settings_input(arguments))
     if result.is_error():
         for problem in result.error.problems:
--- a/rooklug/cli/exit_codes.py
+++ b/rooklug/cli/exit_codes.py
@@ -1,4 +1,4 @@
-"""Exit codes of ``rooklug``; 69 to 73 as in sysexits.h."""
+"""Exit codes of ``rooklug``; 69 to 73 have their meanings from sysexits.h."""
 
 OK = 0
 FAILURE = 1
@@ -7,8 +7,8 @@
 BROKEN_INVARIANT = 70
 DATA_FOLDER = 73
 
-# Of ``rooklug ctl`` and ``rooklug runbook``.
-CONFLICT = 3  # another change has this version
-INVALID = 4  # refused with every problem listed; nothing was changed
-UNAVAILABLE = 5  # certainly not taken
-UNKNOWN = 6  # may have been taken: send the very same order again
+# Only used by ``rooklug ctl`` and ``rooklug runbook``.
+CONFLICT = 3  # the version belongs to another change
+INVALID = 4  # rejected, with all problems listed; nothing was changed
+UNAVAILABLE = 5  # no answer; an order was certainly not accepted
+UNKNOWN = 6  # outcome unknown: send the identical order again
--- a/rooklug/cli/graceful_stop.py
+++ b/rooklug/cli/graceful_stop.py
@@ -1,21 +1,21 @@
-"""A part for roles that have nothing to finish: gives leases back, then stops."""
+"""Graceful stop of roles without requests in flight: releases the leases, then stops."""
 
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
 from rooklug.engine.component import BaseComponent
 
-# Long enough for the last lease renewal ("leaving") to be answered.
+# Time for the answer to the last lease renewal, which says that the node is leaving.
 STOP_DELAY_S = 1.0
 _TIMER = "stop"
 
 
 class GracefulStop(BaseComponent):
-    """Stops the process a moment after it was asked to."""
+    """Stops the process ``STOP_DELAY_S`` after the request to stop."""
 
     name = "graceful-stop"
 
     def handle(self, event: ev.Event, now: float) -> list[fx.Effect]:
-        """Take one event."""
+        """Start the delay on ``StopRequested``; stop the process when it has elapsed."""
         if isinstance(event, ev.StopRequested):
             return [fx.StartTimer(_TIMER, STOP_DELAY_S)]
         if event == ev.TimerFired(_TIMER):
--- a/rooklug/cli/main.py
+++ b/rooklug/cli/main.py
@@ -1,4 +1,4 @@
-"""The ``rooklug`` command: one binary, the role a subcommand."""
+"""The ``rooklug`` command, with a subcommand for each role and tool."""
 
 import argparse
 import sys
@@ -19,9 +19,9 @@
 
 
 def build_parser(command: str = "") -> argparse.ArgumentParser:
-    """Return the command line; the tools' own options only for ``command``.
+    """Return the parser; a tool's options are added only if ``command`` names that tool.
 
-    A daemon's process should not hold the tools' code.
+    Thus a daemon's process does not load the code of the tools.
     """
     parser = argparse.ArgumentParser(
         prog="rooklug",
@@ -51,7 +51,7 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Run one command; return its exit code."""
+    """Run the command in ``arguments`` (default: ``sys.argv``); return its exit code."""
     given = sys.argv[1:] if arguments is None else arguments
     parsed = build_parser(given[0] if given else "").parse_args(given)
     return parsed.run(parsed)
--- a/rooklug/cli/operator_client.py
+++ b/rooklug/cli/operator_client.py
@@ -1,8 +1,8 @@
-"""Sends operators' orders to any of several fronts, until an answer or the time limit.
+"""HTTP client of the operators' API: tries several fronts until an answer or the time limit.
 
-Every order is safe to send again: a change is known by its version and bytes, a zone order
-by its operation id. Without an answer, the report depends on one fact: whether any attempt may
-have reached a front.
+Orders are idempotent and safe to retry: a change is identified by its version and bytes, a zone
+order by its operation id. Without an answer, the result says whether an attempt may have reached
+a front.
 """
 
 import asyncio
@@ -21,14 +21,14 @@
 RETRY_DELAY_S = 0.25
 _RETRIED_STATUSES = (503, 504)
 _STATUS_MAYBE_TAKEN = 504
-# How tornado distinguishes a connect timeout from a later one.
+# Only the message of tornado's timeout tells a connect timeout from a later one.
 _CONNECT_TIMEOUT_MESSAGE = "Timeout while connecting"
 _MAX_BODY_BYTES = 64 * 1024 * 1024
 
 
 @attrs.frozen
 class OperatorRequest:
-    """One order or question. ``wait_s`` is how long the front itself may hold it."""
+    """An order or query; ``wait_s`` is how long the front may delay its answer (long poll)."""
 
     method: str
     path: str
@@ -39,7 +39,7 @@
 
 @attrs.frozen
 class OperatorAnswer:
-    """A front's final answer."""
+    """A front's final answer: any status except 503 and 504, which are retried."""
 
     node: str
     status: int
@@ -47,7 +47,7 @@
     body: bytes
 
     def document(self) -> dict[str, Any]:
-        """Return the JSON body, {} when it is none."""
+        """Return the body as a JSON object, or {} if it is not one."""
         try:
             document = json.loads(self.body)
         except ValueError:
@@ -55,14 +55,14 @@
         return document if isinstance(document, dict) else {}
 
     def error_code(self) -> str:
-        """Return the code of an error, else ""."""
+        """Return the ``code`` of the error in the body, or "" if there is none."""
         error = self.document().get("error")
         return str(error.get("code", "")) if isinstance(error, dict) else ""
 
 
 @attrs.frozen
 class NoAnswer:
-    """No front gave a final answer in time. ``maybe_taken``: some attempt may have arrived."""
+    """No front answered in time; ``maybe_taken``: an attempt may have reached a front."""
 
     maybe_taken: bool
     reasons: tuple[str, ...]
@@ -75,7 +75,7 @@
 
 
 class OperatorClient:
-    """Knows the fronts; ``timeout_s`` bounds each order with all its attempts."""
+    """Sends requests to the fronts ``nodes``; ``timeout_s`` limits all attempts of a request."""
 
     def __init__(self, nodes: tuple[str, ...], timeout_s: float = 15.0) -> None:
         self.nodes = nodes
@@ -83,11 +83,11 @@
         self._http = SimpleAsyncHTTPClient(force_instance=True, max_body_size=_MAX_BODY_BYTES)
 
     async def send(self, request: OperatorRequest) -> Result[OperatorAnswer, NoAnswer]:
-        """Send until a final answer comes, going round the nodes."""
+        """Send to the nodes in turn until one gives a final answer or the time is up."""
         loop = asyncio.get_running_loop()
         deadline = loop.time() + self._timeout_s + request.wait_s
         attempts = _Attempts()
-        for node in self._rounds():
+        for node in self._nodes_in_turn():
             remaining_s = deadline - loop.time()
             if remaining_s <= 0:
                 break
@@ -100,12 +100,12 @@
         return Error(NoAnswer(attempts.maybe_taken, reasons))
 
     async def send_once(self, node: str, request: OperatorRequest) -> Result[OperatorAnswer, str]:
-        """Send to one node, once."""
+        """Send to one node without retries; an error is the reason of the failure."""
         attempts = _Attempts()
         answer = await self._attempt(node, request, self._timeout_s, attempts)
         return Ok(answer) if answer is not None else Error(attempts.reasons[node])
 
-    def _rounds(self) -> Iterator[str]:
+    def _nodes_in_turn(self) -> Iterator[str]:
         return itertools.cycle(self.nodes)
 
     async def _attempt(
@@ -117,9 +117,11 @@
             )
         except (OSError, HTTPClientError) as problem:
             attempts.reasons[node] = str(problem)
-            attempts.maybe_taken = attempts.maybe_taken or not _never_connected(problem)
+            attempts.maybe_taken = attempts.maybe_taken or not _is_connect_failure(problem)
             return None
-        answer = OperatorAnswer(node, response.code, _lower_names(response), response.body or b"")
+        answer = OperatorAnswer(
+            node, response.code, _lower_case_headers(response), response.body or b""
+        )
         if response.code not in _RETRIED_STATUSES:
             return answer
         attempts.maybe_taken = attempts.maybe_taken or response.code == _STATUS_MAYBE_TAKEN
@@ -143,11 +145,11 @@
         )
 
 
-def _never_connected(problem: Exception) -> bool:
+def _is_connect_failure(problem: Exception) -> bool:
     if isinstance(problem, HTTPTimeoutError):
         return str(problem.message).startswith(_CONNECT_TIMEOUT_MESSAGE)
     return isinstance(problem, ConnectionRefusedError)
 
 
-def _lower_names(response: HTTPResponse) -> dict[str, str]:
+def _lower_case_headers(response: HTTPResponse) -> dict[str, str]:
     return {name.lower(): value for name, value in response.headers.items()}
--- a/rooklug/cli/runbook_commands.py
+++ b/rooklug/cli/runbook_commands.py
@@ -1,4 +1,4 @@
-"""``rooklug runbook``: list, show and run the runbooks."""
+"""``rooklug runbook``: lists, shows and runs the runbooks."""
 
 import argparse
 import asyncio
@@ -26,7 +26,7 @@
 
 
 def add_runbook_command(subcommands: argparse._SubParsersAction) -> None:
-    """Add ``runbook`` with its actions."""
+    """Add the subcommand ``runbook`` with its actions."""
     parser = subcommands.add_parser(
         "runbook",
         help="list, show and run the runbooks",
@@ -56,7 +56,7 @@
 def _checked(
     command: Callable[[argparse.Namespace, Runbook, dict[str, str]], Coroutine[Any, Any, int]],
 ) -> Callable[[argparse.Namespace], int]:
-    """Return ``command`` behind a check of the parameters."""
+    """Wrap ``command`` to run only if the runbook's parameters and ``--node`` are given."""
 
     def run(arguments: argparse.Namespace) -> int:
         runbook = RUNBOOKS[arguments.name]
--- a/rooklug/cli/settings_file.py
+++ b/rooklug/cli/settings_file.py
@@ -1,4 +1,4 @@
-"""Reads a process's settings: a TOML file, with flags over it, checked whole."""
+"""Reads and checks a process's settings: a TOML file, overridden by command-line flags."""
 
 import re
 import tomllib
@@ -29,7 +29,7 @@
 
 @attrs.frozen
 class SettingsProblem:
-    """One thing wrong; ``path`` is the setting's name, "" for the whole."""
+    """A problem of the settings; ``path`` is the name of the setting, or "" for all of them."""
 
     path: str
     message: str
@@ -40,14 +40,14 @@
 
 @attrs.frozen
 class SettingsErrors:
-    """Everything that is wrong with the settings."""
+    """All problems found in the settings, in the order in which they are printed."""
 
     problems: tuple[SettingsProblem, ...]
 
 
 @attrs.frozen
 class SettingsInput:
-    """The file and the flags; a flag that was not given is absent from ``flags``."""
+    """Settings file and flags; ``flags`` contains only the flags that were given."""
 
     role: str
     file: str
@@ -55,7 +55,7 @@
 
 
 def read_settings(given: SettingsInput) -> Result[CoreSettings, SettingsErrors]:
-    """Return checked settings, or every problem. ``members`` is empty except for a core."""
+    """Return the checked settings or all problems; only a core's ``members`` are not empty."""
     table = _read_file(given.file)
     if table.is_error():
         return Error(table.error)
@@ -182,6 +182,6 @@
 
 
 def settings_fields() -> tuple[str, ...]:
-    """Return the names of the settings that are also flags."""
+    """Return the names of the settings that have a flag of the same name."""
     names = [field.name for field in attrs.fields(NodeSettings)]
     return tuple(name for name in names if name not in ("role", "seeds"))
--- a/rooklug/cli/tables.py
+++ b/rooklug/cli/tables.py
@@ -1,4 +1,4 @@
-"""Plain text tables."""
+"""Formats plain-text tables."""
 
 from collections.abc import Iterable, Sequence
 
@@ -6,7 +6,7 @@
 
 
 def format_table(headings: Sequence[str], rows: Iterable[Sequence[object]]) -> str:
-    """Return a table with aligned columns, one row a line."""
+    """Return a table with left-aligned columns, one line per row, without trailing blanks."""
     lines = [[str(cell) for cell in row] for row in (headings, *rows)]
     widths = [max(len(line[column]) for line in lines) for column in range(len(headings))]
     return "\n".join(_line(line, widths) for line in lines)
--- a/rooklug/config/patching.py
+++ b/rooklug/config/patching.py
@@ -37,10 +37,10 @@
 def _problems_below(name: str, parsed: Result[Json, Problems]) -> list[Problem]:
     if parsed.is_ok():
         return []
-    return [_with_path_prefix(name, problem) for problem in parsed.error]
+    return [_qualify_path(name, problem) for problem in parsed.error]
 
 
-def _with_path_prefix(name: str, problem: Problem) -> Problem:
+def _qualify_path(name: str, problem: Problem) -> Problem:
     if not problem.path:
         return Problem(name, problem.message)
     if problem.path.startswith("["):
--- a/rooklug/runbooks/__init__.py
+++ b/rooklug/runbooks/__init__.py
@@ -1,1 +1,7 @@
-"""Executable runbooks: each step checks, acts, verifies, and says how to undo it."""
+"""Executable runbooks, whose steps check, act and verify, and state how to undo them.
+
+Owns the runbooks and the view of the site that they work on. Entry points: ``catalogue.py`` (all
+runbooks by name) and ``runner.py``.
+
+Of the command line, it uses only the client of the operators' API.
+"""
--- a/rooklug/runbooks/catalogue.py
+++ b/rooklug/runbooks/catalogue.py
@@ -1,4 +1,4 @@
-"""All runbooks by name."""
+"""All runbooks by their name on the command line."""
 
 from rooklug.runbooks.failover_check import FAILOVER_CHECK
 from rooklug.runbooks.lost_disk_machine import LOST_DISK_MACHINE
--- a/rooklug/runbooks/failover_check.py
+++ b/rooklug/runbooks/failover_check.py
@@ -1,4 +1,4 @@
-"""Runbook: make the primary core fail on purpose, and see that another takes over."""
+"""Runbook: stop the primary core and verify that another core takes over."""
 
 from rooklug.cli.operator_requests import NEWEST_CONFIGURATION
 from rooklug.runbooks.findings import core_in_sync, on_status
--- a/rooklug/runbooks/findings.py
+++ b/rooklug/runbooks/findings.py
@@ -1,4 +1,4 @@
-"""Looks at the site that several runbooks share."""
+"""Checks and actions that several runbooks share."""
 
 from collections.abc import Callable
 
@@ -7,20 +7,20 @@
 from rooklug.runbooks.site import Site, SiteStatus
 
 
-def on_status(judge: Callable[[SiteStatus], Finding]) -> Action:
-    """Return an action that judges the site's status; without one it is not good."""
+def on_status(evaluate: Callable[[SiteStatus], Finding]) -> Action:
+    """Return an action that evaluates the site's status; it fails if there is none."""
 
-    async def look(site: Site) -> Finding:
+    async def evaluate_status(site: Site) -> Finding:
         status = await site.status()
         if status.is_error():
             return Finding.failed(f"no status: {status.error}")
-        return judge(status.ok)
+        return evaluate(status.ok)
 
-    return look
+    return evaluate_status
 
 
 def ordering(request: OperatorRequest) -> Action:
-    """Return an action that sends one order."""
+    """Return an action that sends ``request`` and passes if the site accepts it."""
 
     async def act(site: Site) -> Finding:
         answer = await site.order(request)
@@ -32,9 +32,9 @@
 
 
 def in_sync_without(core_id: str) -> Callable[[SiteStatus], Finding]:
-    """Judge that two other cores are in sync under a primary that is not ``core_id``."""
+    """Return a check for two cores besides ``core_id`` that are in sync and answer."""
 
-    def judge(status: SiteStatus) -> Finding:
+    def evaluate(status: SiteStatus) -> Finding:
         primary = status.primary_core()
         if primary is None:
             return Finding.failed("there is no primary core")
@@ -43,17 +43,17 @@
         text = f"primary {primary.node_id}, in sync and answering: {', '.join(reachable)}"
         return Finding(len(reachable) >= 2, text)
 
-    return judge
+    return evaluate
 
 
 def core_in_sync(core_id: str) -> Callable[[SiteStatus], Finding]:
-    """Judge that the primary has ``core_id`` in sync."""
+    """Return a check that core ``core_id`` answers and is in sync with the primary."""
 
-    def judge(status: SiteStatus) -> Finding:
+    def evaluate(status: SiteStatus) -> Finding:
         primary = status.primary_core()
         if primary is None:
             return Finding.failed("there is no primary core")
         text = f"primary {primary.node_id}, in sync: {', '.join(primary.in_sync)}"
         return Finding(core_id in primary.in_sync and status.core(core_id) is not None, text)
 
-    return judge
+    return evaluate
--- a/rooklug/runbooks/lost_disk_machine.py
+++ b/rooklug/runbooks/lost_disk_machine.py
@@ -1,4 +1,4 @@
-"""Runbook: a disk machine is lost, or its disk is; a new one takes its place."""
+"""Runbook: replace a core's machine or disk that is lost."""
 
 from rooklug.runbooks.findings import core_in_sync, in_sync_without, on_status
 from rooklug.runbooks.model import Finding, Parameter, Runbook, Step
--- a/rooklug/runbooks/model.py
+++ b/rooklug/runbooks/model.py
@@ -1,4 +1,4 @@
-"""What a runbook is made of."""
+"""The types of a runbook: findings, steps, parameters."""
 
 from collections.abc import Awaitable, Callable
 
@@ -11,19 +11,19 @@
 
 @attrs.frozen
 class Finding:
-    """The outcome of a check, an act or a verification; ``message`` is for the operator."""
+    """The outcome of a check, action or verification; ``message`` is printed for the operator."""
 
     good: bool
     message: str
 
     @staticmethod
     def passed(message: str) -> "Finding":
-        """Return a finding that lets the run go on."""
+        """Return a finding with which the run continues."""
         return Finding(good=True, message=message)
 
     @staticmethod
     def failed(message: str) -> "Finding":
-        """Return a finding that stops the run."""
+        """Return a finding with which the run stops."""
         return Finding(good=False, message=message)
 
 
@@ -31,18 +31,18 @@
 
 
 async def nothing_to_check(_site: Site) -> Finding:
-    """Pass always."""
+    """Pass; the check of a step that needs none."""
     return Finding.passed("nothing to check")
 
 
 @attrs.frozen
 class Step:
-    """One step.
+    """A step of a runbook.
 
-    ``check`` decides whether the step may be taken now. ``act`` sends orders to the site, or
-    ``by_hand`` says what a person must do at the machines; a step with neither waits for
-    what the site does by itself. ``verify`` is repeated until it is good, ``verify_limit_s``
-    long. ``undo`` is a sentence.
+    ``check`` decides whether the step may start. Then ``act`` sends orders to the site, or
+    ``by_hand`` tells the operator what to do at the machines; a step with neither waits for
+    the site. ``verify`` is repeated until it passes or ``verify_limit_s`` has elapsed.
+    ``undo`` is printed if the step fails.
     """
 
     title: str
@@ -54,7 +54,7 @@
     verify_limit_s: float = DEFAULT_VERIFY_LIMIT_S
 
     def instruction(self) -> str:
-        """Return what the step does, or what a person must do."""
+        """Return a description of what the step does or what the operator must do."""
         if self.act is not None:
             return "an order to the site"
         return f"by hand: {self.by_hand}" if self.by_hand else "wait for the site"
@@ -62,7 +62,7 @@
 
 @attrs.frozen
 class Parameter:
-    """A value that a run needs: NAME=VALUE on the command line."""
+    """A required value, given as NAME=VALUE on the command line."""
 
     name: str
     help: str
@@ -70,7 +70,7 @@
 
 @attrs.frozen
 class Runbook:
-    """A procedure. ``plan(site, values)`` returns its steps for the site as it is."""
+    """A procedure; ``plan(site, values)`` returns the steps for the current state of the site."""
 
     name: str
     title: str
--- a/rooklug/runbooks/recover_cores.py
+++ b/rooklug/runbooks/recover_cores.py
@@ -1,4 +1,4 @@
-"""Runbook: the quorum of cores is lost; one replica continues on the operator's order."""
+"""Runbook: recover after a loss of the cores' quorum from the copy of a single core."""
 
 import json
 
@@ -18,7 +18,7 @@
 
 @attrs.frozen
 class CoreState:
-    """One core's status. ``committed`` is its newest entry known as committed."""
+    """A core's status; ``committed`` is the sequence of its last entry known as committed."""
 
     address: str
     node_id: str
@@ -29,27 +29,27 @@
 
 @attrs.frozen
 class RecoverPlan:
-    """A core's plan to go on, and what may be lost by it."""
+    """A core's recovery plan, with the changes that may be lost by it."""
 
     address: str
     text: str
     may_be_lost: tuple[str, ...]
 
     def in_words(self) -> str:
-        """Return plan and losses for the operator."""
+        """Return the plan and its losses as text for the operator."""
         losses = "; ".join(self.may_be_lost) or "nothing is named"
         return f"{self.text}. MAY BE LOST: {losses}"
 
 
 class _Recovery:
-    """The steps' shared state: the plan that the operator has seen is the one sent back."""
+    """State shared by the steps: ``confirm`` sends the plan that the operator has seen."""
 
     def __init__(self, addresses: tuple[str, ...]) -> None:
         self._addresses = addresses
         self._plan: RecoverPlan | None = None
 
     async def enough_answer(self, site: Site) -> Finding:
-        """Judge that a majority of the cores answers, or that a primary is at work."""
+        """Check that a majority of the cores answers, or that there is a primary."""
         states, unreachable = await self._survey(site)
         primary = _primary(states)
         if primary is not None:
@@ -61,19 +61,19 @@
         return Finding(len(states) >= _MAJORITY, text)
 
     async def has_primary(self, site: Site) -> Finding:
-        """Judge that a core is primary."""
+        """Check that a core is primary."""
         primary = _primary((await self._survey(site))[0])
         if primary is None:
             return Finding.failed("no core is primary")
         return Finding.passed(f"core {primary.node_id} is primary")
 
     async def request_plan(self, site: Site) -> Finding:
-        """Ask the cores, the best copy first, until one has a plan. This changes nothing."""
+        """Request a recovery plan from the cores, best copy first; this changes nothing."""
         self._plan = None
         refusals = []
         states, _unreachable = await self._survey(site)
-        for state in sorted(states, key=_best_first):
-            answer = await site.call_node(state.address, _recover(""))
+        for state in sorted(states, key=_recovery_preference):
+            answer = await site.call_node(state.address, _recover_request(""))
             document = answer.ok.document() if answer.is_ok() else {}
             if document.get("outcome") == _PLANNED:
                 self._plan = _read_plan(state.address, document)
@@ -83,9 +83,9 @@
         return Finding.failed(f"no core has a plan. {'; '.join(refusals) or 'none answers'}")
 
     async def confirm(self, site: Site) -> Finding:
-        """Send back the plan that the check has printed."""
+        """Confirm the plan that ``request_plan`` printed; the core rejects an outdated one."""
         assert self._plan is not None
-        answer = await site.call_node(self._plan.address, _recover(self._plan.text))
+        answer = await site.call_node(self._plan.address, _recover_request(self._plan.text))
         if answer.is_error():
             return Finding.failed(f"no confirmation, see the cores' status: {answer.error}")
         document = answer.ok.document()
@@ -95,7 +95,7 @@
         return Finding(document.get("outcome") == _RECOVERED, text)
 
     async def all_in_sync(self, site: Site) -> Finding:
-        """Judge that the primary has every core in sync."""
+        """Check that every core answers and is in sync with the primary."""
         states, unreachable = await self._survey(site)
         primary = _primary(states)
         if primary is None:
@@ -107,7 +107,7 @@
         return Finding(is_complete, text)
 
     async def _survey(self, site: Site) -> tuple[list[CoreState], list[str]]:
-        """Return the cores' states, and the addresses of those that don't answer."""
+        """Return the states of the cores that answer and the addresses of the others."""
         states, unreachable = [], []
         for address in self._addresses:
             answer = await site.call_node(address, _STATUS)
@@ -118,7 +118,7 @@
         return states, unreachable
 
 
-def _recover(plan: str) -> OperatorRequest:
+def _recover_request(plan: str) -> OperatorRequest:
     return OperatorRequest("POST", _RECOVER_PATH, json.dumps({"plan": plan}).encode())
 
 
@@ -141,8 +141,8 @@
     return next((state for state in states if state.phase == PHASE_PRIMARY), None)
 
 
-def _best_first(state: CoreState) -> tuple[bool, int, str]:
-    """Order copies that were in sync first, then those with more; the cores check it, too."""
+def _recovery_preference(state: CoreState) -> tuple[bool, int, str]:
+    """Sort key: copies that were in sync first, then by length; the cores check this too."""
     return (state.phase != _IN_SYNC, -state.committed, state.node_id)
 
 
--- a/rooklug/runbooks/runner.py
+++ b/rooklug/runbooks/runner.py
@@ -1,4 +1,4 @@
-"""Runs a runbook step by step."""
+"""Runs the steps of a runbook and reports to the operator."""
 
 from collections.abc import Callable
 
@@ -12,21 +12,21 @@
 
 @attrs.frozen
 class Operator:
-    """The person who runs it: ``print_line`` prints a line, ``confirm`` asks yes or no."""
+    """The operator's terminal; ``confirm`` asks a question and returns whether it was affirmed."""
 
     print_line: Callable[[str], None]
     confirm: Callable[[str], bool]
 
 
 class RunbookRunner:
-    """Runs steps in order and stops at the first that fails, saying how to undo."""
+    """Runs the steps in order; stops at the first that fails and prints how to undo it."""
 
     def __init__(self, site: Site, operator: Operator) -> None:
         self._site = site
         self._operator = operator
 
     async def run(self, runbook: Runbook, values: dict[str, str]) -> bool:
-        """Run a runbook; return whether every step was verified."""
+        """Plan and run a runbook; return whether every step was verified."""
         steps = await runbook.plan(self._site, values)
         self._operator.print_line(f"{runbook.title}: {len(steps)} step(s)")
         for number, step in enumerate(steps, 1):
@@ -64,13 +64,13 @@
         return done.good
 
     async def _verify(self, step: Step) -> bool:
-        finding = await self._wait_for(step)
+        finding = await self._wait_until_verified(step)
         self._operator.print_line(f"  verify: {finding.message}")
         if not finding.good:
             self._print_undo(step)
         return finding.good
 
-    async def _wait_for(self, step: Step) -> Finding:
+    async def _wait_until_verified(self, step: Step) -> Finding:
         deadline = self._site.clock() + step.verify_limit_s
         while True:
             finding = await step.verify(self._site)
--- a/rooklug/runbooks/site.py
+++ b/rooklug/runbooks/site.py
@@ -1,4 +1,4 @@
-"""The site as a runbook sees it: through the operators' API of its fronts."""
+"""A runbook's view of the site, read through the operators' API of the fronts."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -15,7 +15,7 @@
 
 @attrs.frozen
 class CoreView:
-    """One core of a status; ``unreachable`` is why it did not answer, else ""."""
+    """A core in the status; ``unreachable`` is the reason if it did not answer, else ""."""
 
     address: str
     node_id: str = ""
@@ -28,7 +28,7 @@
 
 @attrs.frozen
 class NodeView:
-    """One live node as the primary core lists it."""
+    """A live node, as listed by the primary core."""
 
     node_id: str
     role: str
@@ -43,7 +43,7 @@
 
 @attrs.frozen
 class SiteStatus:
-    """The site's status. ``drained_zones`` is None while there is no primary."""
+    """The site's status; ``drained_zones`` is None while there is no primary."""
 
     primary: str
     cores: tuple[CoreView, ...]
@@ -51,25 +51,25 @@
     drained_zones: tuple[str, ...] | None
 
     def primary_core(self) -> CoreView | None:
-        """Return the primary core."""
+        """Return the primary with the highest epoch, or None."""
         primaries = [core for core in self.cores if core.phase == PHASE_PRIMARY]
         return max(primaries, key=lambda core: core.epoch, default=None)
 
     def core(self, node_id: str) -> CoreView | None:
-        """Return a core that answered, by its id."""
+        """Return the core with this id if it answered, else None."""
         return next((core for core in self.cores if core.node_id == node_id), None)
 
     def node(self, node_id: str) -> NodeView | None:
-        """Return a live node by its id."""
+        """Return the live node with this id, or None."""
         return next((node for node in self.nodes if node.node_id == node_id), None)
 
     def fronts(self) -> list[NodeView]:
-        """Return the live fronts."""
+        """Return the live fronts, ready or not."""
         return [node for node in self.nodes if node.role == "front"]
 
 
 def read_status(document: dict[str, Any]) -> SiteStatus:
-    """Return a status document as a value; members this version doesn't know are left out."""
+    """Parse a status document; members unknown to this version are ignored."""
     drained = document.get("emptied_zones")
     return SiteStatus(
         primary=document.get("primary") or "",
@@ -88,7 +88,7 @@
 
 
 class Site:
-    """Sends queries and orders. Tests pass in their own ``clock`` and ``sleep``."""
+    """Sends queries and orders; tests replace ``clock`` and ``sleep`` by virtual time."""
 
     def __init__(
         self,
@@ -101,17 +101,17 @@
         self._client = client
 
     async def status(self) -> Result[SiteStatus, str]:
-        """Return the site's status, or why there is none."""
+        """Query the site's status; an error is the reason of the failure."""
         answer = await self.order(STATUS)
         return answer.map(lambda found: read_status(found.document()))
 
     async def decisions(self) -> Result[list[dict[str, Any]], str]:
-        """Return the decisions that are stored."""
+        """Query the stored decisions, oldest first."""
         answer = await self.order(decisions_after("0.0.0", 0.0))
         return answer.map(lambda found: found.document().get("decisions", []))
 
     async def order(self, request: OperatorRequest) -> Result[OperatorAnswer, str]:
-        """Send an order or question; anything but 200 is an error with its reason."""
+        """Send an order or query to any front; a status other than 200 is an error."""
         outcome = await self._client.send(request)
         if outcome.is_error():
             return Error("; ".join(outcome.error.reasons) or "no answer")
@@ -120,7 +120,7 @@
     async def call_node(
         self, address: str, request: OperatorRequest
     ) -> Result[OperatorAnswer, str]:
-        """Send a request to one address, a front's or a replica's, once."""
+        """Send a request to one node, without retries; a status other than 200 is an error."""
         answer = await self._client.send_once(address, request)
         return answer.bind(self._require_success)
 
--- a/rooklug/runbooks/stuck_load.py
+++ b/rooklug/runbooks/stuck_load.py
@@ -1,4 +1,4 @@
-"""Runbook: a replica was ordered to load a model and doesn't get there."""
+"""Runbook: a replica was ordered to load a model but does not finish."""
 
 import json
 
--- a/rooklug/runbooks/zones.py
+++ b/rooklug/runbooks/zones.py
@@ -1,4 +1,4 @@
-"""Runbooks: empty a zone, and take it back."""
+"""Runbooks: drain a zone and restore it."""
 
 from collections.abc import Callable
 
@@ -22,7 +22,7 @@
         ),
         Step(
             title=f"the fronts of zone {zone} take no new requests",
-            verify=on_status(lambda status: _fronts(status, zone, ready=False)),
+            verify=on_status(lambda status: _check_readiness(status, zone, ready=False)),
             undo=f"rooklug runbook run restore-zone zone={zone}",
             verify_limit_s=15.0,
         ),
@@ -48,7 +48,7 @@
         ),
         Step(
             title=f"the fronts of zone {zone} are ready",
-            verify=on_status(lambda status: _fronts(status, zone, ready=True)),
+            verify=on_status(lambda status: _check_readiness(status, zone, ready=True)),
             undo=f"rooklug runbook run empty-zone zone={zone}",
         ),
     ]
@@ -63,14 +63,16 @@
 
 
 def _is_drained(status: SiteStatus, zone: str) -> Finding:
-    return _listed(status, lambda zones: zone in zones)
+    return _check_drained_zones(status, lambda zones: zone in zones)
 
 
 def _is_restored(status: SiteStatus, zone: str) -> Finding:
-    return _listed(status, lambda zones: zone not in zones)
+    return _check_drained_zones(status, lambda zones: zone not in zones)
 
 
-def _listed(status: SiteStatus, condition: Callable[[tuple[str, ...]], bool]) -> Finding:
+def _check_drained_zones(
+    status: SiteStatus, condition: Callable[[tuple[str, ...]], bool]
+) -> Finding:
     if status.drained_zones is None:
         return Finding.failed("no primary core tells the emptied zones")
     text = f"emptied zones: {', '.join(status.drained_zones) or 'none'}"
@@ -82,7 +84,7 @@
     return Finding(bool(fronts), f"live fronts of {zone}: {', '.join(fronts) or 'none'}")
 
 
-def _fronts(status: SiteStatus, zone: str, *, ready: bool) -> Finding:
+def _check_readiness(status: SiteStatus, zone: str, *, ready: bool) -> Finding:
     wrong = [n.node_id for n in status.fronts() if n.zone == zone and n.ready is not ready]
     state = "not ready" if ready else "still ready"
     return Finding(not wrong, f"fronts of {zone} {state}: {', '.join(wrong) or 'none'}")
