--- a/tests/platform_site.py
+++ b/tests/platform_site.py
@@ -1,4 +1,4 @@
-"""One core, one front, a replica and the platform's list on real loopback sockets, in one loop."""
+"""A core, a front, a replica and the platform's replica list on loopback, in one event loop."""
 
 import asyncio
 import contextlib
@@ -29,7 +29,7 @@
 
 
 def route(name: str, **fields: Any) -> dict[str, Any]:
-    """Return a route of the platform's document for the one service."""
+    """Return a route of the platform's document to the service ``s``."""
     return {
         "name": name,
         "host": HOST,
@@ -46,7 +46,7 @@
 
 
 def document(version: int, routes: list[dict[str, Any]]) -> dict[str, Any]:
-    """Return a whole configuration."""
+    """Return a complete configuration of the platform, with the service ``s``."""
     service = {
         "name": "s",
         "health_check_path": "/health",
@@ -58,7 +58,7 @@
 
 
 def _two_free_ports() -> int:
-    """Return the first of two neighbouring ports that nobody uses."""
+    """Return the first of two consecutive ports that are both free."""
     while True:
         with socket.socket() as first, socket.socket() as second:
             first.bind((HOST_IP, 0))
@@ -69,14 +69,14 @@
 
 
 class Recorder:
-    """A replica that answers everything, and the platform's list with just this replica."""
+    """A replica that answers every request, and the platform's list of that replica."""
 
     def __init__(self, address: str) -> None:
         self.address = address
         self.request_ids: list[str] = []
 
     def handle(self, request: httputil.HTTPServerRequest) -> None:
-        """Answer a request of a front, or of the core that reads the list."""
+        """Answer a front's request, or the core's request for the replica list."""
         if request.path == "/instances":
             self._answer(request, self._listing(), {})
             return
@@ -107,7 +107,7 @@
 
 
 class PlatformSite:
-    """Starts everything; ``addresses`` maps each port's purpose to its address."""
+    """Starts all parts; ``addresses`` has the address of each listener by its purpose."""
 
     def __init__(self) -> None:
         self.addresses = {
@@ -117,7 +117,7 @@
         self.hosts: list[Host] = []
 
     async def start(self) -> None:
-        """Start the hosts, and bring the first configuration until it is taken."""
+        """Start the hosts, submit the first configuration, and wait until requests are served."""
         self._server = HTTPServer(self.recorder.handle)
         self._server.listen(int(self.addresses["replica"].rpartition(":")[2]), HOST_IP)
         node = self._settings(_two_free_ports())
@@ -128,7 +128,7 @@
         await self._until_served()
 
     async def stop(self) -> None:
-        """End the hosts and the stand-in."""
+        """Stop the hosts and the replica's server."""
         for host in self.hosts:
             host.kill()
             await host.stopped()
@@ -136,7 +136,7 @@
         await self._server.close_all_connections()
 
     async def change(self, body: dict[str, Any]) -> None:
-        """Send a configuration until it is acknowledged."""
+        """Send a configuration repeatedly until it is acknowledged."""
         data = json.dumps(body).encode()
         head = f"X-Base-Version: {body['version'] - 1}\r\n"
         async with asyncio.timeout(SERVED_WITHIN_S):
@@ -146,7 +146,7 @@
                     return
 
     async def post(self, port: str, path: str, body: bytes = b"", head: str = "") -> bytes:
-        """Send one request on a connection of its own; return the whole answer."""
+        """Send one request on a new connection; return the complete response."""
         request = (
             f"POST {path} HTTP/1.1\r\nHost: {HOST}\r\nConnection: close\r\n{head}"
             f"Content-Length: {len(body)}\r\n\r\n"
@@ -154,9 +154,9 @@
         return await self.raw(port, request.encode() + body, ANSWERED_WITHIN_S)
 
     async def raw(self, port: str, data: bytes, wait_s: float = 3.0, ends: bool = False) -> bytes:
-        """Send bytes; return what comes until the end, at most ``wait_s``.
+        """Send bytes; return all that is received until the connection ends or ``wait_s`` elapses.
 
-        ``ends``: tell the other side that nothing more follows.
+        ``ends`` closes the sending side of the connection after the bytes.
         """
         ip, _, number = self.addresses[port].rpartition(":")
         received = b""
@@ -178,7 +178,7 @@
                 pass
 
     async def pay(self, request_id: str) -> bytes:
-        """Send a proper request of a client."""
+        """Send a valid client request; return the complete response."""
         head = f"X-Request-Id: {request_id}\r\nX-Request-Deadline: 2000\r\n"
         return await self.post("front", "/pay/1", b"body", head)
 
--- a/tests/test_api_operators.py
+++ b/tests/test_api_operators.py
@@ -1,4 +1,6 @@
-"""The operators' API: parsing, forwarding, and truthful answers when answers are lost."""
+"""The operators' API: parsing, forwarding, and the responses when a core's answer is lost.
+
+Guards against a 503 ("not accepted") for an order that a core may have accepted."""
 
 import json
 import unittest
@@ -22,7 +24,7 @@
 
 
 @attrs.define
-class FakeLink:
+class FakeCoreLink:
     primary_address: str = ""
     connected: bool = True
     bodies: dict = attrs.field(factory=dict)
@@ -45,10 +47,10 @@
 
 
 class Front:
-    """One front with the operators' API; events in, effects out."""
+    """A front that only has the operators' API, driven by events; time advances with its timers."""
 
     def __init__(self) -> None:
-        self.link = FakeLink(primary_address=SEEDS[0])
+        self.link = FakeCoreLink(primary_address=SEEDS[0])
         self.context = ProcessContext("front-1", "i", Random(1), Identifiers())
         components = build_operator_components(settings(), self.context, self.link)
         self.reducer = CompositeReducer(components)
@@ -64,8 +66,8 @@
     def fail(self, call: fx.Call, maybe_delivered: bool) -> list:
         return self.reducer.handle(ev.CallFailed(call.call_id, "lost", maybe_delivered), self.now)
 
-    def next_try(self, effects: list) -> list:
-        """Fire the retry timer if one was set."""
+    def run_retry_timers(self, effects: list) -> list:
+        """Advance the time and fire retry timers until there is another effect."""
         while len(effects) == 1 and isinstance(effects[0], fx.StartTimer):
             self.now += effects[0].delay_s
             effects = self.reducer.handle(ev.TimerFired(effects[0].name), self.now)
@@ -77,7 +79,7 @@
 
 
 class ParsingTest(unittest.TestCase):
-    def test_faults_are_refused_without_a_call(self) -> None:
+    def test_invalid_requests_are_rejected_without_a_call(self) -> None:
         cases = [
             ("PUT", "/v1/config/0", b"x", {}, 400),
             ("PUT", "/v1/config/01", b"x", {}, 400),
@@ -148,18 +150,18 @@
         self.assertEqual(effects[0].address, SEEDS[2])
         self.assertEqual(front.answer(effects[0], change_answer("accepted"))[0].status, 200)
 
-    def test_lost_answer_is_never_a_refusal(self) -> None:
+    def test_lost_answer_gives_unknown_outcome(self) -> None:
         front = Front()
-        effects = front.next_try(front.fail(self.put(front), maybe_delivered=True))
+        effects = front.run_retry_timers(front.fail(self.put(front), maybe_delivered=True))
         while isinstance(effects[0], fx.Call):
-            effects = front.next_try(front.answer(effects[0], change_answer("unavailable")))
+            effects = front.run_retry_timers(front.answer(effects[0], change_answer("unavailable")))
         self.assertEqual((effects[0].status, body_of(effects)["error"]["code"]), (504, "unknown"))
 
     def test_never_delivered_is_unavailable(self) -> None:
         front = Front()
-        effects = front.next_try(front.fail(self.put(front), maybe_delivered=False))
+        effects = front.run_retry_timers(front.fail(self.put(front), maybe_delivered=False))
         while isinstance(effects[0], fx.Call):
-            effects = front.next_try(front.fail(effects[0], maybe_delivered=False))
+            effects = front.run_retry_timers(front.fail(effects[0], maybe_delivered=False))
         self.assertEqual(
             (effects[0].status, body_of(effects)["error"]["code"]), (503, "unavailable")
         )
@@ -168,7 +170,7 @@
 
     def test_no_known_core_ends_within_the_deadline(self) -> None:
         front = Front()
-        forwarder = Forwarder(Identifiers(), FakeLink(), ())
+        forwarder = Forwarder(Identifiers(), FakeCoreLink(), ())
         effects = forwarder.start(1, wire.ReadConfigurationRequest(True), 0.0)
         now = 0.0
         while isinstance(effects[0], fx.StartTimer):
@@ -178,7 +180,7 @@
         self.assertLessEqual(now, FORWARD_DEADLINE_S)
         del front
 
-    def test_leaving_operator_is_forgotten(self) -> None:
+    def test_closed_connection_drops_the_request(self) -> None:
         front = Front()
         call = self.put(front)
         front.reducer.handle(ev.HttpRequestClosed(1), front.now)
@@ -198,7 +200,7 @@
         self.assertTrue(all(outcomes.values()), outcomes)
 
     def run_random(self, random: Random) -> tuple[int, bool, bool]:
-        """Return the answer's status, whether a core took the order, and whether one may have."""
+        """Return the response's status, whether a core accepted, and whether an answer was lost."""
         front = Front()
         taken = lost = False
         answer_share = random.choice([0.0, 0.05, 0.3])
@@ -224,7 +226,7 @@
                 effects = front.answer(call, change_answer(refusal, primary_address=hint))
             else:
                 effects = front.fail(call, maybe_delivered=False)
-            effects = front.next_try(effects)
+            effects = front.run_retry_timers(effects)
         return effects[0].status, taken, lost
 
 
--- a/tests/test_config_fuzz.py
+++ b/tests/test_config_fuzz.py
@@ -1,7 +1,8 @@
-"""Documents changed at random places: never an exception, never a value that isn't the document's.
+"""Fuzzes the configuration reader with randomly changed documents and with random bytes.
 
-The oracle reads the JSON by itself: an accepted configuration holds exactly the document's
-values and refers only to what it names; a problem's path leads to a place in the document.
+Guards against exceptions and against values that differ from the document. The oracle uses the
+plain JSON: an accepted configuration has exactly the document's values and refers only to
+names that it defines; the path of each problem exists in the document.
 """
 
 import json
@@ -33,13 +34,13 @@
 
 @attrs.frozen
 class _Members:
-    """The members of an object as written, so that a key may come twice."""
+    """The members of a JSON object as a list, so that a key may occur twice."""
 
     members: list
 
 
 def written(value: Any) -> str:
-    """Return JSON text, with whatever members an object is given."""
+    """Serialise to JSON text; objects given as ``_Members`` may have duplicate keys."""
     if isinstance(value, _Members):
         members = ",".join(f"{json.dumps(key)}:{written(inner)}" for key, inner in value.members)
         return "{" + members + "}"
@@ -49,7 +50,7 @@
 
 
 def places(value: Any, path: tuple = ()) -> list[tuple]:
-    """Return the paths of all members and elements."""
+    """Return the paths of all members and elements, at any depth."""
     items = value.items() if isinstance(value, dict) else enumerate(value)
     found = []
     for key, inner in items:
@@ -86,11 +87,11 @@
         result = read_configuration(json.dumps(document).encode())
         if result.is_ok():
             self.assert_same(document, result.ok)
-            self.assert_closed(result.ok)
+            self.assert_references_exist(result.ok)
             return
         self.assertTrue(result.error)
         for problem in result.error:
-            self.assert_leads_somewhere(document, problem.path)
+            self.assert_path_exists(document, problem.path)
 
     @settings(derandomize=True, deadline=None, max_examples=300)
     @given(st.binary(max_size=60))
@@ -112,7 +113,7 @@
             self.assertEqual(isinstance(written, str), isinstance(read, str))
             self.assertNotIsInstance(written, bool)
 
-    def assert_closed(self, configuration: Configuration) -> None:
+    def assert_references_exist(self, configuration: Configuration) -> None:
         regions = configuration.regions
         zones = [zone for region in regions.values() for zone in region.zones]
         self.assertEqual(len(zones), len(set(zones)))
@@ -128,7 +129,7 @@
                 classes = configuration.models[route.model].latency_classes
                 self.assertIn(route.latency_class, classes)
 
-    def assert_leads_somewhere(self, document: Any, path: str) -> None:
+    def assert_path_exists(self, document: Any, path: str) -> None:
         steps = [
             json.loads(f'"{quoted}"') if quoted else int(index) if index else plain
             for quoted, index, plain in _STEP.findall(path)
@@ -139,12 +140,12 @@
             if not there:
                 break
             value, found = value[step], found + 1
-        # A section with defaults may be missing together with the member that is asked for.
+        # The last two steps may be missing: a section with defaults and its required member.
         self.assertGreaterEqual(found, len(steps) - 2, path)
 
 
 class FastReaderTest(unittest.TestCase):
-    """The quick reader of faultless text agrees with the thorough one."""
+    """Compares the fast parser, which handles valid text only, with the diagnosing parser."""
 
     @settings(derandomize=True, deadline=None, max_examples=500)
     @given(
@@ -159,9 +160,9 @@
     )
     def test_same_result(self, value: Any) -> None:
         data = written(value).encode("utf-8", "surrogatepass")
-        quick, thorough = parse_json(data), _parse_with_diagnosis(data)
-        self.assertEqual(quick.is_ok(), thorough.is_ok())
-        if quick.is_ok():
-            self.assertEqual(canonical_bytes(quick.ok), canonical_bytes(thorough.ok))
+        fast, diagnosed = parse_json(data), _parse_with_diagnosis(data)
+        self.assertEqual(fast.is_ok(), diagnosed.is_ok())
+        if fast.is_ok():
+            self.assertEqual(canonical_bytes(fast.ok), canonical_bytes(diagnosed.ok))
         else:
-            self.assertEqual(quick.error, thorough.error)
+            self.assertEqual(fast.error, diagnosed.error)
--- a/tests/test_config_patching.py
+++ b/tests/test_config_patching.py
@@ -1,4 +1,4 @@
-"""Merge patches against an oracle written from RFC 7396's own pseudocode."""
+"""Compares merge patches with the pseudocode of RFC 7396 as an oracle."""
 
 import json
 import unittest
@@ -8,7 +8,7 @@
 
 from rooklug.config.patching import apply_merge_patch, digest
 
-# The table of RFC 7396, appendix A: document, patch, result.
+# RFC 7396, appendix A: document, patch, result.
 RFC_EXAMPLES = (
     ('{"a":"b"}', '{"a":"c"}', '{"a":"c"}'),
     ('{"a":"b"}', '{"b":"c"}', '{"a":"b","b":"c"}'),
@@ -43,7 +43,7 @@
 
 
 def oracle(target: object, patch: object) -> object:
-    """The pseudocode of RFC 7396, section 2, line by line."""
+    """The pseudocode of RFC 7396, section 2."""
     if isinstance(patch, dict):
         if not isinstance(target, dict):
             target = {}
@@ -59,7 +59,7 @@
 
 
 class PatchingTest(unittest.TestCase):
-    def test_examples_of_the_standard(self) -> None:
+    def test_examples_of_the_rfc(self) -> None:
         for document, patch, expected in RFC_EXAMPLES:
             result = apply_merge_patch(document.encode(), patch.encode())
             self.assertEqual(result.ok, expected.encode(), (document, patch))
@@ -89,7 +89,7 @@
         result = apply_merge_patch(document, patch)
         self.assertTrue(result.is_ok() or result.error)
 
-    def test_problems_tell_document_from_patch(self) -> None:
+    def test_problem_paths_distinguish_document_and_patch(self) -> None:
         result = apply_merge_patch(b'{"a": NaN}', b'{"b": 1, "b": 2}')
         self.assertEqual([problem.path for problem in result.error], ["document.a", "patch.b"])
 
--- a/tests/test_config_reading.py
+++ b/tests/test_config_reading.py
@@ -1,4 +1,4 @@
-"""Reading of the operators' documents: all problems, with their paths."""
+"""Reading an operator's document reports all problems, with their paths."""
 
 import json
 import unittest
@@ -88,11 +88,11 @@
             },
         )
 
-    def test_one_sided_round_trip_is_refused(self) -> None:
+    def test_one_sided_round_trip_is_rejected(self) -> None:
         del self.payroll["regions"]["cairo"]["round_trip_ms"]
         self.assertEqual(set(problems_of(self.payroll)), {"regions.cairo.round_trip_ms.alexandria"})
 
-    def test_traps_of_json_text(self) -> None:
+    def test_lenient_json_is_rejected(self) -> None:
         self.assertEqual(
             problems_of(b'{"a": {"b": 1, "b": 2}, "c": [NaN, 1e999, 9007199254740993]}'),
             {
@@ -108,7 +108,7 @@
         for data in (b"", b"{", b'{"a": 1} x', b'"\\', b"null", b"[]", b"1", b"\xef\xbb\xbf{}"):
             self.assertEqual(list(problems_of(data)), [""], data)
 
-    def test_bounds_of_depth_and_size(self) -> None:
+    def test_limits_of_depth_and_size(self) -> None:
         deep = b"[" * 100_000
         self.assertIn("nested deeper", problems_of(deep)[""])
         brackets_in_string = json.dumps({"a": "[" * (MAX_JSON_DEPTH + 1)}).encode()
--- a/tests/test_ctl.py
+++ b/tests/test_ctl.py
@@ -1,4 +1,4 @@
-"""The operator's commands against fronts that answer, refuse, break off or are silent."""
+"""The operator's commands against fronts that answer, reject, abort the response or are down."""
 
 import asyncio
 import hashlib
@@ -25,8 +25,11 @@
 DIGEST = hashlib.sha256(DOCUMENT).hexdigest()
 
 
-class ServedFront:
-    """A front in a thread of its own; its answers are scripted, its requests kept."""
+class ScriptedFront:
+    """A front in its own thread: gives scripted answers and records the requests.
+
+    The last answer is repeated; status 0 aborts the response after its headers.
+    """
 
     def __init__(self, *answers: tuple[int, object]) -> None:
         self.answers = list(answers)
@@ -74,8 +77,8 @@
         self.file = str(Path(temporary.name) / "site.json")
         Path(self.file).write_bytes(DOCUMENT)
 
-    def front(self, *answers: tuple[int, object]) -> ServedFront:
-        front = ServedFront(*answers)
+    def front(self, *answers: tuple[int, object]) -> ScriptedFront:
+        front = ScriptedFront(*answers)
         self.addCleanup(front.stop)
         return front
 
@@ -103,7 +106,7 @@
         self.assertEqual((code, request.method, request.query), (0, "PATCH", {"base": "3"}))
         self.assertIn("taken before", output)
 
-    def test_refusals_have_their_codes(self) -> None:
+    def test_rejections_have_their_exit_codes(self) -> None:
         problems = [{"path": "routes.x", "message": "unknown model"}]
         for status, error, code, told in (
             (409, {"code": "conflict", "winner_digest": "abc"}, exit_codes.CONFLICT, "abc"),
@@ -114,27 +117,27 @@
             self.assertEqual(result[0], code)
             self.assertIn(told, result[2])
 
-    def test_unavailable_front_is_left_for_the_next(self) -> None:
+    def test_next_front_is_tried_after_an_unavailable_one(self) -> None:
         first = self.front((503, {"error": {"code": "unavailable"}}))
         second = self.front((200, {"version": 3}))
         code, _, _ = self.ctl([first.address, second.address], "apply", self.file, "--version", "3")
         self.assertEqual((code, len(second.requests())), (0, 1))
 
-    def test_without_any_arrival_it_is_certainly_not_taken(self) -> None:
-        front = ServedFront((503, {}))
+    def test_order_that_reached_no_front_is_certainly_not_taken(self) -> None:
+        front = ScriptedFront((503, {}))
         front.stop()
         code, _, errors = self.ctl([front.address], "apply", self.file, "--version", "3")
         self.assertEqual(code, exit_codes.UNAVAILABLE)
         self.assertIn("certainly not taken", errors)
 
-    def test_a_lost_answer_is_neither_yes_nor_no(self) -> None:
+    def test_lost_answer_gives_unknown_outcome(self) -> None:
         for answer in ((0, {}), (504, {"error": {"code": "unknown"}})):
             front = self.front(answer, (503, {"error": {"code": "unavailable"}}))
             code, _, errors = self.ctl([front.address], "apply", self.file, "--version", "3")
             self.assertEqual(code, exit_codes.UNKNOWN)
             self.assertIn("may have been taken", errors)
 
-    def test_a_lost_answer_is_followed_by_the_same_order(self) -> None:
+    def test_same_order_is_sent_after_a_lost_answer(self) -> None:
         front = self.front((0, {}), (200, {"zone": "a", "emptied": True}))
         code, _, _ = self.ctl([front.address], "zone", "empty", "a")
         ids = {request.headers["x-rooklug-operation-id"] for request in front.requests()}
@@ -185,7 +188,7 @@
             self.ctl(["nowhere"], "status")
 
     def simulate(self, nodes: list, *arguments: str, config: bool = True) -> tuple:
-        """Simulate a world of four replicas in two zones of cairo, one elsewhere."""
+        """Simulate a site with four replicas in two zones of cairo and one in alexandria."""
         places = [("cairo", "cairo-a")] * 2 + [("cairo", "cairo-b")] * 2
         places += [("alexandria", "alexandria-a")]
         replicas = [
@@ -213,7 +216,7 @@
         command = ("placement", "simulate", *chosen, "--world", self.file, *arguments)
         return self.ctl(nodes, *command)
 
-    def test_placement_simulate_has_headroom_as_the_placer_has(self) -> None:
+    def test_placement_simulate_plans_the_same_headroom_as_the_placer(self) -> None:
         configuration = read_configuration((EXAMPLES / "payroll.json").read_bytes()).ok
         problem = build_problem(configuration, DescribedWorld((), ()))
         self.assertEqual(problem.readiness, configuration.placement.readiness)
@@ -234,7 +237,7 @@
         self.assertEqual(code, exit_codes.OK)
         self.assertTrue(output.startswith("cairo with 9 replicas"))
         code, output, _ = self.simulate([], "--without", "cairo", "--capacity", "alexandria=0")
-        self.assertEqual(code, exit_codes.FAILURE)  # nothing is left
+        self.assertEqual(code, exit_codes.FAILURE)  # no replica is left
         self.assertIn("would violate", output)
         for text, told in (
             ("atlantis=3", "the configuration has no region 'atlantis'"),
@@ -256,7 +259,7 @@
         self.assertEqual(code, exit_codes.USAGE)
         self.assertIn("--config FILE or --node IP:PORT", errors)
 
-    def test_placement_simulate_names_every_fault_of_the_world(self) -> None:
+    def test_placement_simulate_lists_all_problems_of_the_world(self) -> None:
         world = Path(self.file)
         config = str(EXAMPLES / "payroll.json")
         world.write_text('{"replicas": [{"replica_id": "m1"}], "color": 1}')
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -104,14 +104,14 @@
 
 
 class Names(unittest.TestCase):
-    def test_the_folder_hides_nothing_of_python(self):
+    def test_folder_does_not_shadow_the_standard_module(self):
         code = "import platform; print(platform.python_version())"
         for arguments in (["-c", code], ["platform/adapter/settings.py"]):
             done = subprocess.run([sys.executable, *arguments], cwd=ROOT, capture_output=True)
             self.assertNotIn(b"AttributeError", done.stderr)
         self.assertIsNone(sys.modules.get("platform", None) and None)
 
-    def test_no_name_of_the_platform_stands_outside_its_folder(self):
+    def test_platform_names_occur_only_in_the_folder(self):
         for folder in ("rooklug", "rooklug_lab"):
             for path in (ROOT / folder).rglob("*.py"):
                 text = path.read_text().lower()
@@ -176,7 +176,7 @@
         self.assertEqual(order("/api/evacuations/z/end"), DrainZone("z", False))
         self.assertEqual(order("/api/configuration/get"), ReadConfiguration())
 
-    def test_what_cannot_be_read_is_refused(self):
+    def test_invalid_calls_are_rejected(self):
         path = "/api/configuration/replace"
         for body in (b"", b"{", b"[]", b'{"version":true}', b'{"version":1,"version":2}', b"\xff"):
             self.assertEqual(order(path, body).status, 400)
@@ -233,7 +233,7 @@
         self.assertNotEqual(core.internal_address, node.internal_address)
         self.assertEqual(main.gateway_limits(read).retry_budget.ratio, 0.2)
 
-    def test_each_wrong_field_is_named(self):
+    def test_each_invalid_field_is_named(self):
         broken = SETTINGS.replace("zone=a\n", "", 1).replace("grace_s=8", "grace_s=soon")
         problems = settings.read_settings(broken).error
         self.assertEqual([p.partition(":")[0] for p in problems], ["zone", "bounds.grace_s"])
--- a/tests/test_platform_ports.py
+++ b/tests/test_platform_ports.py
@@ -1,4 +1,6 @@
-"""Bad input on every port of real nodes: a clear 4xx or a closed connection, nothing else."""
+"""Invalid input on every port of real nodes.
+
+Each input must get a 4xx response or a closed connection, and the nodes must keep serving."""
 
 import asyncio
 import json
@@ -12,12 +14,12 @@
 SEED = 20261202
 MUTATED_REQUESTS = 150
 STATUS_LINE = re.compile(rb"HTTP/1\.1 (\d{3}) ")
-GOOD = (
+VALID_REQUEST = (
     f"POST /pay/1 HTTP/1.1\r\nHost: {HOST}\r\nX-Request-Id: mutated\r\n"
     "X-Request-Deadline: 500\r\nContent-Length: 4\r\n\r\nbody"
 ).encode()
 READINESS = b"GET /api/readiness HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"
-BAD_HEADS = {
+INVALID_HEADS = {
     "garbage": b"\x00\xff\x16\x03\x01 garbage\r\n\r\n",
     "half a request": b"POST /pay/1 HTT",
     "half a head": b"POST /pay/1 HTTP/1.1\r\nHost: h",
@@ -40,7 +42,7 @@
 
 
 def statuses(answer: bytes) -> list[int]:
-    """Return the statuses of all answers on one connection."""
+    """Return the status codes of all responses on one connection."""
     return [int(status) for status in STATUS_LINE.findall(answer)]
 
 
@@ -51,7 +53,10 @@
         self.addAsyncCleanup(self.site.stop)
 
     async def assert_served(self) -> None:
-        """A proper request is still answered by the replica, whole; a busy machine may be late."""
+        """Check that a valid request still gets the replica's complete response.
+
+        Attempts without an answer are repeated: on a loaded machine it may come late.
+        """
         async with asyncio.timeout(SERVED_WITHIN_S):
             answer = b""
             while not answer:
@@ -63,11 +68,12 @@
                 ready = await self.site.raw("ready", READINESS)
             self.assertEqual(statuses(ready), [200])
 
-    async def test_bad_heads_are_refused_or_closed(self) -> None:
+    async def test_invalid_heads_are_rejected_or_closed(self) -> None:
         for ends in (False, True):
-            cases = [(port, name) for port in PORTS for name in BAD_HEADS]
+            cases = [(port, name) for port in PORTS for name in INVALID_HEADS]
             sent = [
-                self.site.raw(port, BAD_HEADS[name], wait_s=1.5, ends=ends) for port, name in cases
+                self.site.raw(port, INVALID_HEADS[name], wait_s=1.5, ends=ends)
+                for port, name in cases
             ]
             for (port, name), answer in zip(cases, await asyncio.gather(*sent), strict=True):
                 with self.subTest(port=port, input=name, ends=ends):
@@ -88,7 +94,7 @@
         self.assertNotIn("smuggled", self.site.recorder.request_ids)
         await self.assert_served()
 
-    async def test_mutated_requests_disturb_nothing(self) -> None:
+    async def test_serving_continues_after_mutated_requests(self) -> None:
         random = Random(SEED)
         mutated = [self._mutate(random) for _ in range(MUTATED_REQUESTS)]
         sent = [self.site.raw(random.choice(PORTS), data, wait_s=1.5) for data in mutated]
@@ -98,7 +104,7 @@
         await self.assert_served()
 
     def _mutate(self, random: Random) -> bytes:
-        data = bytearray(GOOD)
+        data = bytearray(VALID_REQUEST)
         for _ in range(random.randint(1, 6)):
             data[random.randrange(len(data))] = random.randrange(256)
         return bytes(data)
@@ -138,7 +144,7 @@
         await self.assert_served()
         await self.site.change(json.loads(good))
 
-    async def test_a_slow_head_holds_nobody_up(self) -> None:
+    async def test_slow_heads_do_not_delay_other_requests(self) -> None:
         ip, _, port = self.site.addresses["front"].rpartition(":")
         slow = [await asyncio.open_connection(ip, int(port)) for _ in range(50)]
         for _, writer in slow:
--- a/tests/test_runbook_recover.py
+++ b/tests/test_runbook_recover.py
@@ -1,4 +1,4 @@
-"""The runbook ``recover-cores`` against real cores on a simulated network."""
+"""The runbook ``recover-cores`` with real cores on a simulated network."""
 
 import asyncio
 import json
@@ -23,8 +23,8 @@
         ask(self.cluster, "core-a", change(1, b"{}"))
         self.running = set(CORE_IDS)
         self.sent: list[dict] = []
-        self.told: list[str] = []
-        self.agrees = True
+        self.printed_lines: list[str] = []
+        self.confirms = True
         self.at_sleep = lambda: None
         self.before_confirmation = lambda: None
 
@@ -42,13 +42,13 @@
         )
         return Ok(OperatorAnswer(core_id, status, {}, json.dumps(document).encode()))
 
-    def agree(self, _question: str) -> bool:
+    def confirm(self, _question: str) -> bool:
         self.before_confirmation()
-        return self.agrees
+        return self.confirms
 
-    def run_it(self, cores: str = ",".join(CORE_IDS)) -> bool:
+    def run_runbook(self, cores: str = ",".join(CORE_IDS)) -> bool:
         site = Site(self, lambda: self.cluster.now, self.sleep)
-        runner = RunbookRunner(site, Operator(self.told.append, self.agree))
+        runner = RunbookRunner(site, Operator(self.printed_lines.append, self.confirm))
         return asyncio.run(runner.run(RUNBOOKS[RUNBOOK], {"cores": cores}))
 
     def lose_disks(self, *core_ids: str) -> None:
@@ -67,19 +67,19 @@
         return [body for body in self.sent if body["plan"]]
 
     def text(self) -> str:
-        return "\n".join(self.told)
+        return "\n".join(self.printed_lines)
 
     def test_two_blank_disks(self) -> None:
         self.lose_disks("core-a", "core-b")
         self.start(*CORE_IDS)
         self.assertIsNone(self.cluster.primary())
-        self.assertTrue(self.run_it(), self.text())
+        self.assertTrue(self.run_runbook(), self.text())
         self.assertTrue(wait_in_sync(self.cluster, list(CORE_IDS)))
         self.assertIn("MAY BE LOST: changes acknowledged in a view newer", self.text())
         again = ask(self.cluster, self.cluster.primary().core_id, change(1, b"{}"))
         self.assertEqual((again.outcome, again.repeated), ("accepted", True))
 
-    def test_a_machine_that_stays_away_is_named_and_comes_back_empty(self) -> None:
+    def test_absent_core_is_named_and_rejoins_with_an_empty_disk(self) -> None:
         self.lose_disks("core-a", "core-b")
         self.start("core-b", "core-c")
 
@@ -89,19 +89,19 @@
                 self.cluster.start("core-a")
 
         self.at_sleep = start_last
-        self.assertTrue(self.run_it(), self.text())
+        self.assertTrue(self.run_runbook(), self.text())
         self.assertIn("whatever only core-a holds", self.text())
 
     def test_without_consent_nothing_changes(self) -> None:
         self.lose_disks("core-a", "core-b")
         self.start(*CORE_IDS)
-        self.agrees = False
-        self.assertFalse(self.run_it())
+        self.confirms = False
+        self.assertFalse(self.run_runbook())
         self.assertIn("MAY BE LOST", self.text())
         self.assertEqual(self.confirmations(), [])
         self.assertIsNone(self.cluster.primary())
 
-    def test_a_plan_that_has_become_another_is_not_carried_out(self) -> None:
+    def test_outdated_plan_is_not_executed(self) -> None:
         self.lose_disks("core-a", "core-b")
         self.start(*CORE_IDS)
 
@@ -110,19 +110,19 @@
             self.running.discard("core-a")
 
         self.before_confirmation = lose_one_more
-        self.assertFalse(self.run_it())
+        self.assertFalse(self.run_runbook())
         self.assertEqual(len(self.confirmations()), 1)
         self.assertIn("nothing is done: run it again", self.text())
         self.assertIsNone(self.cluster.primary())
 
     def test_with_a_primary_there_is_nothing_to_do(self) -> None:
         wait_in_sync(self.cluster, list(CORE_IDS))
-        self.assertTrue(self.run_it(), self.text())
+        self.assertTrue(self.run_runbook(), self.text())
         self.assertEqual(self.sent, [])
 
-    def test_one_core_alone_is_not_told_to_go_on(self) -> None:
+    def test_single_core_is_not_asked_to_recover(self) -> None:
         self.lose_disks("core-a", "core-b")
         self.start("core-c")
-        self.assertFalse(self.run_it())
+        self.assertFalse(self.run_runbook())
         self.assertEqual(self.sent, [])
         self.assertIn("silent: core-a, core-b", self.text())
--- a/tests/test_runbooks.py
+++ b/tests/test_runbooks.py
@@ -1,4 +1,4 @@
-"""Runbooks against an imagined site, in virtual time: steps, checks, refusals, undo."""
+"""Runbooks against a simulated site in virtual time: steps, checks, rejections and undo."""
 
 import asyncio
 import json
@@ -13,8 +13,8 @@
 from rooklug.runbooks.site import Site
 
 
-class ImaginedSite:
-    """Three cores and fronts in two zones; ``at_sleep`` is what people and time do."""
+class SimulatedSite:
+    """Three cores, and fronts in two zones; ``at_sleep`` simulates what operators do meanwhile."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -28,8 +28,8 @@
         self.reports = {"m1": "loading"}
         self.decisions: list[dict] = []
         self.at_sleep: Callable[[], None] = lambda: None
-        self.told: list[str] = []
-        self.answers_no_to = "nothing"
+        self.printed_lines: list[str] = []
+        self.declined_question = "nothing"
 
     async def sleep(self, seconds: float) -> None:
         self.now += seconds
@@ -50,11 +50,13 @@
 
     def run(self, name: str, **values: str) -> bool:
         site = Site(self, lambda: self.now, self.sleep)
-        operator = Operator(self.told.append, lambda question: self.answers_no_to not in question)
+        operator = Operator(
+            self.printed_lines.append, lambda question: self.declined_question not in question
+        )
         return asyncio.run(RunbookRunner(site, operator).run(RUNBOOKS[name], values))
 
     def text(self) -> str:
-        return "\n".join(self.told)
+        return "\n".join(self.printed_lines)
 
     def lose_core(self, core_id: str) -> None:
         self.running = [core for core in self.running if core != core_id]
@@ -94,12 +96,12 @@
                 "zone": zone,
                 "region": "r",
                 "http_address": "127.0.0.1:1",
-                "incarnation": life,
+                "incarnation": incarnation,
                 "ready": ready,
                 "draining": False,
                 "configuration_version": 12,
             }
-            for name, (zone, life, ready) in self.fronts.items()
+            for name, (zone, incarnation, ready) in self.fronts.items()
         ]
         primary = self.primary if self.primary in self.running else ""
         return {
@@ -115,7 +117,7 @@
 
 class RunbooksTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.site = ImaginedSite()
+        self.site = SimulatedSite()
 
     def test_every_step_says_how_to_undo(self) -> None:
         values = {"core": "core-1", "zone": "a", "replica": "r", "address": "x:1", "model": "m1"}
@@ -133,7 +135,7 @@
         self.assertEqual(self.site.emptied, [])
         self.assertEqual(len(self.site.orders), 2)
 
-    def test_a_step_that_holds_already_is_left_out(self) -> None:
+    def test_step_that_already_holds_is_skipped(self) -> None:
         self.assertTrue(self.site.run("empty-zone", zone="a"))
         self.assertTrue(self.site.run("empty-zone", zone="a"))
         self.assertEqual(len(self.site.orders), 1)
@@ -145,8 +147,8 @@
         self.assertEqual(self.site.orders, [])
         self.assertIn("this step did nothing", self.site.text())
 
-    def test_the_operator_can_say_no(self) -> None:
-        self.site.answers_no_to = "an order"
+    def test_operator_can_decline(self) -> None:
+        self.site.declined_question = "an order"
         self.assertFalse(self.site.run("empty-zone", zone="a"))
         self.assertEqual(self.site.orders, [])
 
@@ -155,12 +157,12 @@
         self.site.at_sleep = lambda: deeds.pop(0)() if deeds else None
         self.assertTrue(self.site.run("lost-disk-machine", core="core-3"))
 
-    def test_a_second_core_is_not_given_up(self) -> None:
+    def test_second_core_is_not_stopped(self) -> None:
         self.site.lose_core("core-2")
         self.assertFalse(self.site.run("lost-disk-machine", core="core-3"))
         self.assertIn("check failed", self.site.text())
 
-    def test_a_step_never_verified_ends_with_its_undo(self) -> None:
+    def test_unverified_step_prints_its_undo(self) -> None:
         self.assertFalse(self.site.run("lost-disk-machine", core="core-3"))
         self.assertIn("To undo: start core core-3 again", self.site.text())
 
--- a/tests/test_settings_file.py
+++ b/tests/test_settings_file.py
@@ -1,4 +1,4 @@
-"""Settings from files and flags: every problem is told, none is guessed away."""
+"""Settings from files and flags: all problems are reported, none is silently corrected."""
 
 import io
 import tempfile
@@ -69,19 +69,19 @@
         settings = self.read(CORE, "core").ok
         self.assertEqual(sorted(settings.members), ["core-1", "core-2", "core-3"])
 
-    def test_flags_go_over_the_file(self) -> None:
+    def test_flags_override_the_file(self) -> None:
         settings = self.read(FRONT, zone="cairo-b", http_address="127.0.9.9:1").ok
         self.assertEqual(
             (settings.node.zone, settings.node.http_address), ("cairo-b", "127.0.9.9:1")
         )
 
-    def test_every_problem_is_told_at_once(self) -> None:
+    def test_all_problems_are_reported_at_once(self) -> None:
         text = FRONT.replace('"cairo-a"', '"cairo a"').replace("127.0.1.1:8000", "localhost:8000")
         problems = self.problems(text.replace("127.0.1.2:7001", "127.0.1.2"), log_level="loud")
         paths = [problem.split(":")[0] for problem in problems]
         self.assertEqual(paths, ["zone", "listen_http", "http_address", "seeds[1]", "log_level"])
 
-    def test_missing_unknown_and_mistyped_settings_are_told_at_once(self) -> None:
+    def test_missing_unknown_and_mistyped_settings_are_reported_at_once(self) -> None:
         text = FRONT.replace('region = "cairo"', "").replace('"front-1"', "7") + "color = 1\n"
         problems = self.problems(text)
         self.assertEqual(len(problems), 3)
