--- a/rooklug/api/answers.py
+++ b/rooklug/api/answers.py
@@ -33,13 +33,13 @@
 
 
 def unavailable_answer(request_id: int, message: str) -> fx.HttpRespond:
-    """Return 503: no core has received the request, so nothing was changed."""
+    """Return 503: the request had no result; an order was certainly not accepted."""
     headers = {"Retry-After": str(RETRY_AFTER_S)}
     return error_answer(request_id, 503, "unavailable", message, headers)
 
 
 def unknown_answer(request_id: int) -> fx.HttpRespond:
-    """Return 504: the outcome is unknown, since a core may have received the request."""
+    """Return 504: the outcome of the order is unknown; it may have been accepted."""
     headers = {"Retry-After": str(RETRY_AFTER_S)}
     message = "the primary may have taken it; send it again, to any node"
     return error_answer(request_id, 504, "unknown", message, headers)
--- a/rooklug/api/forwarding.py
+++ b/rooklug/api/forwarding.py
@@ -2,8 +2,8 @@
 
 Orders are idempotent: a core identifies a change by (version, digest) and a zone order by its
 operation id, and answers a repeat like the first. If an answer is lost, the same order is sent
-to the next primary. If no core has answered by the deadline, the response depends only on
-whether an attempt may have reached a core: 504 if so, else 503.
+to the next primary. If no core has answered an order by the deadline, the response depends only
+on whether an attempt may have reached a core: 504 if so, else 503.
 """
 
 import attrs
--- a/rooklug/api/status.py
+++ b/rooklug/api/status.py
@@ -34,7 +34,7 @@
 
 
 class StatusCollector:
-    """Queries all cores and merges their answers; nodes and zones are the primary's."""
+    """Queries all cores and merges their answers into one status document."""
 
     def __init__(
         self, identifiers: Identifiers, core_link: CoreLink, seeds: tuple[str, ...], node_id: str
--- a/rooklug/cli/ctl_placement.py
+++ b/rooklug/cli/ctl_placement.py
@@ -183,7 +183,7 @@
 
 
 def build_problem(configuration: Configuration, world: DescribedWorld) -> PlacementProblem:
-    """Combine configuration and described site to the planner's input; equal demand is summed."""
+    """Return the planner's input; demand of the same kind is summed."""
     demand: dict[DemandKey, float] = {}
     for entry in world.demand:
         key = DemandKey(
--- a/rooklug/config/document.py
+++ b/rooklug/config/document.py
@@ -97,7 +97,7 @@
 
 @attrs.frozen
 class Limits:
-    """Limits that each front applies; ``retry_share`` is the ratio of retries to first attempts."""
+    """Limits that each front applies; ``retry_share`` is a budget: retries per first attempt."""
 
     retry_share: float = 0.1
     queue_length: int = 64
--- a/rooklug/config/json_text.py
+++ b/rooklug/config/json_text.py
@@ -1,7 +1,7 @@
 """Strict JSON parser and canonical serialiser.
 
 Beyond what the standard parser rejects, this one rejects text that is too large, nested too
-deeply or not UTF-8, duplicate keys, NaN and infinities, integers that not every JSON
+deeply or not UTF-8, duplicate keys, NaN and infinities, numbers that not every JSON
 implementation can represent exactly, and strings with lone surrogates.
 """
 
--- a/rooklug/runbooks/__init__.py
+++ b/rooklug/runbooks/__init__.py
@@ -3,5 +3,5 @@
 Owns the runbooks and the view of the site that they work on. Entry points: ``catalogue.py`` (all
 runbooks by name) and ``runner.py``.
 
-Of the command line, it uses only the client of the operators' API.
+May import ``cli.operator_client`` and ``cli.operator_requests``, and no other package.
 """
