--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -1,3 +1,5 @@
+"""The adapter between the users' platform and rooklug: names, documents, calls and settings."""
+
 import json
 import subprocess
 import sys
