--- a/tests/core_storm.py
+++ b/tests/core_storm.py
@@ -7,15 +7,17 @@
 
 import argparse
 import asyncio
+import contextlib
 import hashlib
 import os
+import random
 import signal
 import socket
 import subprocess
 import sys
 import tempfile
 import time
-from itertools import count
+from itertools import count, cycle
 from pathlib import Path
 from typing import Any
 
@@ -33,10 +35,28 @@
 START_LIMIT_S = 20.0
 
 
+HOST_IP = "127.0.0.1"
+FIRST_PORT, LAST_PORT = 20_000, 32_000
+"""Below the ephemeral ports of Linux (from 32768): a port among those may be given to an outgoing
+connection of any process between the check that it is free and the bind."""
+
+_next_ports = cycle(range(FIRST_PORT, LAST_PORT))
+for _ in range(random.randrange(LAST_PORT - FIRST_PORT)):
+    next(_next_ports)
+
+
+def free_port() -> int:
+    """Return a port that nobody uses; other test processes begin at other random ports."""
+    while True:
+        port = next(_next_ports)
+        with socket.socket() as probe, contextlib.suppress(OSError):
+            probe.bind((HOST_IP, port))
+            return port
+
+
 def free_address() -> str:
-    with socket.socket() as probe:
-        probe.bind(("127.0.0.1", 0))
-        return f"127.0.0.1:{probe.getsockname()[1]}"
+    """Return a loopback address with a free port."""
+    return f"{HOST_IP}:{free_port()}"
 
 
 class CoreProcesses:
--- a/tests/platform_site.py
+++ b/tests/platform_site.py
@@ -3,7 +3,6 @@
 import asyncio
 import contextlib
 import json
-import socket
 import sys
 from pathlib import Path
 from typing import Any
@@ -12,7 +11,7 @@
 from tornado.httpserver import HTTPServer
 
 from rooklug.runtime.host import Host
-from tests.core_storm import free_address
+from tests.core_storm import free_address, free_port
 
 ROOT = Path(__file__).resolve().parent.parent
 if str(ROOT / "platform") not in sys.path:
@@ -60,12 +59,9 @@
 def _two_free_ports() -> int:
     """Return the first of two consecutive ports that are both free."""
     while True:
-        with socket.socket() as first, socket.socket() as second:
-            first.bind((HOST_IP, 0))
-            port = first.getsockname()[1]
-            with contextlib.suppress(OSError, OverflowError):
-                second.bind((HOST_IP, port + 1))
-                return port
+        port = free_port()
+        if free_port() == port + 1:
+            return port
 
 
 class Recorder:
