--- a/tests/test_runtime_http.py
+++ b/tests/test_runtime_http.py
@@ -107,7 +107,7 @@
         self.assertEqual(failed.send_state, SendState.NOT_SENT)
 
     async def test_call_that_times_out_is_maybe_sent(self) -> None:
-        self.call(1, "/never", deadline_s=0.05)
+        self.call(1, "/never", deadline_s=0.5)
         failed = await self.caller.wait_for(ev.HttpFailed, call_id=1)
         self.assertEqual(failed.send_state, SendState.MAYBE_SENT)
         await self.server.wait_for(ev.HttpRequestClosed)
