--- a/rooklug_lab/sim/calls.py
+++ b/rooklug_lab/sim/calls.py
@@ -19,7 +19,7 @@
 
 @attrs.define(eq=False)
 class _PendingCall:
-    """A call on its way; ``open`` while the caller still waits for it."""
+    """A call in progress; ``open`` until the caller has got an answer or a failure."""
 
     caller: SimulatedProcess
     caller_generation: int
@@ -30,7 +30,7 @@
 
 
 class CallTransport:
-    """Carries ``Call`` and ``Answer`` effects, with the bytes of the real codec."""
+    """Carries ``Call`` and ``Answer`` effects, encoded and decoded with the real codec."""
 
     def __init__(self, scheduler: Scheduler, network: Network) -> None:
         self._scheduler = scheduler
@@ -41,7 +41,11 @@
         self.bytes_sent: dict[str, int] = {}
 
     def call(self, caller: SimulatedProcess, effect: fx.Call) -> None:
-        """Start a call."""
+        """Start a call; its result reaches the caller as ``CallAnswered`` or ``CallFailed``.
+
+        A call to a machine that is down fails only at its deadline; one to a process that is
+        down on a running machine is refused at once.
+        """
         callee = self.by_address.get(effect.address)
         if effect.not_after is not None and caller.local_now() > effect.not_after:
             self._fail_soon(caller, effect.call_id, TOO_LATE_TO_SEND)
@@ -65,7 +69,7 @@
         )
 
     def answer(self, callee: SimulatedProcess, effect: fx.Answer) -> None:
-        """Send the answer of a call that arrived."""
+        """Send the answer to an inbound call; dropped if the callee has restarted since."""
         pending = self._inbound.pop((callee.name, effect.call_id), None)
         if pending is None or pending.callee_generation != callee.generation:
             return
@@ -81,7 +85,10 @@
         )
 
     def process_died(self, process: SimulatedProcess) -> None:
-        """Reset the connections of a process that ended on a living machine."""
+        """Drop the inbound calls of a process that ended.
+
+        Their callers see a connection reset if the machine is up, otherwise only their deadline.
+        """
         lost = [key for key, pending in self._inbound.items() if pending.callee is process]
         for key in lost:
             pending = self._inbound.pop(key)
--- a/rooklug_lab/sim/cli.py
+++ b/rooklug_lab/sim/cli.py
@@ -1,4 +1,4 @@
-"""``rooklug-lab sim``: scenarios in virtual time over many seeds."""
+"""``rooklug-lab sim``: runs scenarios in virtual time over many seeds."""
 
 import argparse
 import os
@@ -20,7 +20,7 @@
 
 @attrs.frozen
 class Job:
-    """One run to make; ``without`` names a guard that is switched off, or is ""."""
+    """One run to execute; ``without`` names the mutation that disables a guard, or is ""."""
 
     scenario: str
     seed: int
@@ -30,7 +30,7 @@
 
 @attrs.frozen
 class Finished:
-    """A run that was made; ``crash`` tells of a reducer that raised."""
+    """The result of a job; ``crash`` is the exception of a reducer that raised, or ""."""
 
     job: Job
     report: RunReport | None
@@ -101,11 +101,11 @@
 
 
 def run_job(job: Job) -> Finished:
-    """Make one run; a reducer that raises is reported, not raised."""
+    """Execute one run; an exception from a reducer is returned in ``crash``, not raised."""
     try:
         with MUTATIONS[job.without].switch_off() if job.without else nullcontext():
             run = run_scenario(job.scenario, job.seed, job.deployment)
-    except Exception as broken_invariant:  # a reducer raised: as bad as a broken promise
+    except Exception as broken_invariant:  # a reducer raised: counts as a failed run
         text = f"{type(broken_invariant).__name__}: {broken_invariant}"
         return Finished(job, None, (), text)
     violations = tuple(
--- a/rooklug_lab/sim/disk.py
+++ b/rooklug_lab/sim/disk.py
@@ -1,4 +1,4 @@
-"""A simulated disk: only what was synced survives a crash; it can stall or be lost."""
+"""A simulated disk: only synced writes are sure to survive a crash; it can stall or be lost."""
 
 from collections import deque
 from collections.abc import Callable
@@ -16,7 +16,12 @@
 
 @attrs.define
 class SimulatedDisk:
-    """One machine's data folder."""
+    """One machine's data folder.
+
+    ``identity`` is "" for a blank disk; the process that starts on it draws one. No write
+    finishes before ``stalled_until`` (virtual time, in seconds); ``sync_factor`` multiplies the
+    time that each sync takes.
+    """
 
     scheduler: Scheduler
     random: Random
@@ -29,17 +34,20 @@
     _generation: int = 0
 
     def records(self) -> dict[str, tuple[bytes, ...]]:
-        """Return what is synced, by file."""
+        """Return the synced records, by file name."""
         return {name: tuple(content) for name, content in self.files.items()}
 
     def write(self, effect: WriteRecords | RewriteFile, done: Callable[[Event], None]) -> None:
-        """Queue a write; ``done`` gets ``WriteFinished`` once it is synced."""
+        """Queue a write; ``done`` is called with ``WriteFinished`` once it is synced."""
         self._queue.append((effect, done, self.scheduler.now))
         if not self._busy:
             self._sync_next()
 
     def crash(self) -> None:
-        """Lose what was not synced, but for what the device happened to have taken."""
+        """Discard the writes that weren't synced, except for a random number of the oldest.
+
+        A real device may have stored some of them before the crash.
+        """
         self._generation += 1
         survivors = self.random.randint(0, len(self._queue))
         for effect, _, _ in list(self._queue)[:survivors]:
@@ -48,7 +56,7 @@
         self._busy = False
 
     def lose(self) -> None:
-        """Replace the disk by a blank one."""
+        """Discard all writes and the identity, as if a blank disk replaced this one."""
         self.crash()
         self.files = {}
         self.identity = ""
--- a/rooklug_lab/sim/exchanges.py
+++ b/rooklug_lab/sim/exchanges.py
@@ -1,4 +1,4 @@
-"""HTTP exchanges between simulated processes, whole and streamed."""
+"""HTTP exchanges between simulated processes, with buffered and streamed responses."""
 
 from collections.abc import Callable
 from itertools import count
@@ -21,7 +21,12 @@
 
 @attrs.define(eq=False)
 class Exchange:
-    """One request and its response on one connection."""
+    """One request and its response on one connection.
+
+    ``last_to_client`` is the arrival time of the latest packet to the client, in seconds: later
+    packets of the response must not overtake it. ``collected`` buffers the body of a response
+    that isn't streamed.
+    """
 
     client: SimulatedProcess
     client_generation: int
@@ -39,7 +44,11 @@
 
 
 class HttpTransport:
-    """Carries the HTTP effects."""
+    """Carries the HTTP effects of clients (``call``, ``cancel``) and of servers (``serve``).
+
+    ``watch`` is called for each request whose ``not_after`` hasn't passed, before
+    any connection is attempted.
+    """
 
     def __init__(self, scheduler: Scheduler, network: Network, random: Random) -> None:
         self._scheduler = scheduler
@@ -49,11 +58,15 @@
         self._by_request: dict[int, Exchange] = {}
         self._by_call: dict[tuple[str, int, int], Exchange] = {}
         self.by_address: dict[str, SimulatedProcess] = {}
-        self.listeners: dict[str, str] = {}  # names of addresses that have one
+        self.listeners: dict[str, str] = {}  # listener name by address, if it has one
         self.watch: Callable[[SimulatedProcess, fx.HttpCall], None] = lambda client, effect: None
 
     def call(self, client: SimulatedProcess, effect: fx.HttpCall) -> None:
-        """Start a request."""
+        """Start a request; the client later gets its response, or ``HttpFailed``.
+
+        A share of the requests reuses a pooled connection: they need no handshake, and over a
+        cut network they fail at the deadline instead of at the connect timeout.
+        """
         server = self.by_address.get(effect.address)
         if effect.not_after is not None and client.local_now() > effect.not_after:
             self._fail_unsent(client, effect, TOO_LATE_TO_SEND, 0.0)
@@ -82,13 +95,16 @@
         self._schedule_deadlines(exchange)
 
     def cancel(self, client: SimulatedProcess, call_id: int) -> None:
-        """The client closes its connection."""
+        """Close the client's connection; the server sees the close after the network delay."""
         exchange = self._by_call.get(self._call_key(client, call_id))
         if exchange is not None:
             self._client_closes(exchange)
 
     def serve(self, server: SimulatedProcess, effect: fx.Effect) -> None:
-        """Carry a server's effect on one of its requests."""
+        """Apply a server's effect on one of its requests.
+
+        Ignored if the exchange is over or the server has restarted since.
+        """
         exchange = self._by_request.get(effect.request_id)
         if exchange is None or exchange.server_generation != server.generation:
             return
@@ -103,7 +119,10 @@
         self._to_client(exchange, lambda: self._client_gets(exchange, effect))
 
     def process_died(self, process: SimulatedProcess) -> None:
-        """Break the connections of a process that ended."""
+        """Close the connections of a process that ended.
+
+        Clients of the process see a reset only if its machine is up.
+        """
         for exchange in [e for e in self._by_request.values() if e.server is process]:
             del self._by_request[exchange.request_id]
             if process.machine_up:
@@ -116,7 +135,7 @@
         return (client.name, client.generation, call_id)
 
     def _send_request(self, exchange: Exchange) -> None:
-        # A cancelled call whose connection stood is sent all the same: its bytes were written.
+        # Sent even if the client cancelled during the handshake, as if the bytes had been written.
         self._network.transmit(
             exchange.client.place,
             exchange.server.place,
--- a/rooklug_lab/sim/mutations.py
+++ b/rooklug_lab/sim/mutations.py
@@ -1,7 +1,8 @@
-"""Guards switched off one by one, to show that the oracles can fail.
+"""Mutations that disable one guard each, to show that the oracles detect its absence.
 
-Each mutation replaces one guard of a daemon (or of the stand-in replica) by nothing while
-its context is open, and names the scenario and the promise that must then be seen broken.
+Each mutation disables one guard of a daemon (or of the stand-in replica) while its context
+manager is active. It names the scenario to run and the promise that the oracles must then
+report as broken.
 """
 
 from collections.abc import Callable, Iterator
@@ -25,7 +26,7 @@
 
 @attrs.frozen
 class Mutation:
-    """A guard that can be switched off, and where that must show."""
+    """A guard that can be disabled, and the scenario and promise that must then fail."""
 
     name: str
     scenario: str
@@ -36,7 +37,7 @@
 
 @contextmanager
 def _acknowledge_before_replication() -> Iterator[None]:
-    """The primary acknowledges what only its own memory holds."""
+    """The primary acknowledges records before any other core has them."""
     with mock.patch.object(
         Replicator, "acknowledged_by_all", lambda self: self._store.last.sequence
     ):
@@ -45,7 +46,7 @@
 
 @contextmanager
 def _take_any_version() -> Iterator[None]:
-    """Fronts take a body whatever its version, here one older by two versions now and then."""
+    """Nodes accept older versions: every fourth configuration is one that is two updates old."""
     store = SubscribedTopics._store
     earlier: dict[int, list] = {}
 
@@ -62,7 +63,7 @@
 
 @contextmanager
 def _ignore_configuration() -> Iterator[None]:
-    """One front in three never takes a newer configuration."""
+    """About one node in three never accepts a newer configuration."""
     store = SubscribedTopics._store
 
     def deaf(self: SubscribedTopics, topic: str, version: VersionMark, body: Any):
@@ -76,7 +77,7 @@
 
 @contextmanager
 def _ignore_zones() -> Iterator[None]:
-    """No node hears of an emptied zone."""
+    """No node learns that a zone was drained."""
     store = SubscribedTopics._store
 
     def deaf(self: SubscribedTopics, topic: str, version: VersionMark, body: Any):
@@ -88,7 +89,7 @@
 
 @contextmanager
 def _ignore_leaving() -> Iterator[None]:
-    """No node hears that a replica leaves."""
+    """No node learns that a replica is leaving."""
     store = SubscribedTopics._store
 
     def deaf(self: SubscribedTopics, topic: str, version: VersionMark, body: Any):
@@ -103,7 +104,7 @@
 
 @contextmanager
 def _no_slow_start() -> Iterator[None]:
-    """Cold replicas and regions get their whole share at once."""
+    """Replicas and regions get their full share of traffic as soon as they return."""
     whole = lambda *_: 1.0  # noqa: E731
     with (
         mock.patch.object(slow_start_tracker.SlowStartTracker, "replica_share", whole),
@@ -116,7 +117,7 @@
 
 @contextmanager
 def _forget_homes() -> Iterator[None]:
-    """Fronts serve every route anywhere."""
+    """Fronts ignore the home regions of routes."""
     route = RoutingView.route
 
     def unbound(self: RoutingView, name: str):
@@ -129,7 +130,7 @@
 
 @contextmanager
 def _trust_streams() -> Iterator[None]:
-    """Fronts pass on what replicas send without a look at ids and indices."""
+    """Fronts forward stream lines even if the check of their ids and indices fails."""
     check = StreamChecker._check
 
     def blind(self: StreamChecker, line: bytes, texts: list[str]) -> str:
@@ -146,7 +147,7 @@
 
 @contextmanager
 def _write_again_after_any_failure() -> Iterator[None]:
-    """A once-only request is written again whatever became of the first write."""
+    """A once-only request is sent again after any failure, even if it may have run."""
     ended = once_only_component.OnceOnlyComponent._on_backend_finished
 
     def careless(self, event, now):
@@ -160,7 +161,7 @@
 
 @contextmanager
 def _say_not_run_when_unknown() -> Iterator[None]:
-    """A once-only request whose answer was lost is answered "not run"."""
+    """A once-only request whose outcome is unknown is answered "not run"."""
 
     given_up = answers.failure_answer
 
@@ -173,7 +174,7 @@
 
 @contextmanager
 def _orders_without_fencing() -> Iterator[None]:
-    """Controllers act on a grant that is over, and replicas obey any token."""
+    """Controllers act on expired grants, and replicas accept any fencing token."""
     grant = CoreLink.grant
     last: dict[tuple[int, str], Any] = {}
 
--- a/rooklug_lab/sim/network.py
+++ b/rooklug_lab/sim/network.py
@@ -1,8 +1,8 @@
-"""The simulated network: delays by place, and cuts that behave as TCP over a silent loss.
+"""The simulated network: delays by place, and cuts that behave as TCP over silent packet loss.
 
-A cut drops packets without a word. TCP sends them again, so what was written into an
-established connection during a cut may arrive after it heals, long after the writer gave
-up; that is the order of events that breaks careless protocols, so it is kept here.
+A cut drops packets without an error to the sender. TCP retransmits them, so data written to an
+established connection during a cut may arrive after it heals, long after the sender has timed
+out. Protocols without fencing fail on such late messages, so the simulation delivers them.
 """
 
 from collections.abc import Callable
@@ -24,12 +24,12 @@
 
 
 def _unnoticed() -> None:
-    """Do nothing: the sender's own deadline tells it."""
+    """Do nothing: the sender finds out through its own deadline."""
 
 
 @attrs.frozen
 class Place:
-    """Where a machine stands."""
+    """The address and location of a machine."""
 
     ip: str
     zone: str
@@ -38,7 +38,7 @@
 
 @attrs.frozen
 class _Held:
-    """A packet held back by a cut."""
+    """A packet held back by a cut; ``since`` is the virtual time at which it was held."""
 
     number: int
     since: float
@@ -47,7 +47,13 @@
 
 
 class Network:
-    """Delays, silent cuts (also one-way), and late delivery after a cut has healed."""
+    """Delays, silent cuts (also one-way), and late delivery after a cut has healed.
+
+    ``late_share`` is the probability that the connections of a pair of machines survive a cut:
+    their packets held for less than ``CONNECTION_LIFETIME_S`` are then delivered late, all
+    others are lost. Cuts of the same pair are counted, so that overlapping faults heal
+    independently.
+    """
 
     def __init__(
         self, scheduler: Scheduler, random: Random, region_delay_s: float, late_share: float = 0.5
@@ -74,13 +80,16 @@
                     self._cuts[pair] = self._cuts.get(pair, 0) + 1
 
     def heal(self, sources: list[Place], destinations: list[Place]) -> None:
-        """Undo one ``cut`` with the same arguments; held packets are sent again."""
+        """Undo one ``cut`` with the same arguments.
+
+        Once no cut of a pair is left, its held packets are retransmitted or lost.
+        """
         for source in sources:
             for destination in destinations:
                 self._heal_pair((source.ip, destination.ip))
 
     def delay(self, source: Place, destination: Place) -> float:
-        """Draw the time one packet takes, in seconds."""
+        """Draw the one-way delay of a packet, in seconds."""
         base = self._base_delay(source, destination)
         extra = base * JITTER_SHARE * self._random.random()
         if self._random.random() < SLOW_PACKET_PROBABILITY:
--- a/rooklug_lab/sim/orders.py
+++ b/rooklug_lab/sim/orders.py
@@ -1,4 +1,4 @@
-"""Orders of simulated operators, and what each should read back as."""
+"""Configuration changes of simulated operators, and the document that each must give."""
 
 import hashlib
 import json
@@ -12,7 +12,7 @@
 
 
 class OrderBook:
-    """Issues changes by number and keeps the documents they must give."""
+    """Creates changes and computes the configuration documents that result from them."""
 
     def __init__(self, first_document: bytes) -> None:
         self.next_version = 1
@@ -21,12 +21,15 @@
         self._patch_bodies: dict[str, bytes] = {}
 
     def put_first(self) -> OperatorStep:
-        """Return the order that brings the first document."""
+        """Return the order that puts the first document, as version 1."""
         self.next_version = 2
         return OperatorStep(0.0, "put", 1, self.document)
 
     def patch(self, version: int, invalid: bool = False) -> OperatorStep:
-        """Return a small patch for ``version``, different from all others."""
+        """Return a small patch for ``version`` that differs from all others.
+
+        An ``invalid`` one must be rejected by the control plane.
+        """
         self._patches += 1
         wait_s = 2.0 + self._patches / 1000
         body = json.dumps({"limits": {"queue_wait_s": wait_s}}).encode()
@@ -35,7 +38,10 @@
         return OperatorStep(0.0, "patch", version, body)
 
     def expected_documents(self, journals: list[OperatorJournal]) -> dict[str, bytes]:
-        """Return, by digest of an acknowledged order, the document it must have given."""
+        """Return, by digest of an acknowledged order, the document that it must have given.
+
+        Stops at the first gap in the versions: later documents can't be computed.
+        """
         changes = [change for journal in journals for change in journal.changes]
         done = sorted(
             (change for change in changes if change.outcome is Outcome.DONE and change.version),
@@ -58,5 +64,5 @@
 
 
 def send(process: SimulatedProcess, step: OperatorStep) -> None:
-    """Let an operator's process send an order now."""
+    """Make an operator's process send an order at the current virtual time."""
     process.act(lambda operator, now: operator.order(step, now))
--- a/rooklug_lab/sim/process.py
+++ b/rooklug_lab/sim/process.py
@@ -21,10 +21,11 @@
 
 @attrs.define(eq=False)
 class SimulatedProcess:
-    """One process. ``generation`` grows with every start, so that old events miss it.
+    """One process: a reducer whose effects are applied by the simulated world.
 
-    ``event_s`` is the time that the machine needs for one event, 0 for none: on a slow machine
-    events wait for one another.
+    ``generation`` grows with every start and kill, so that events meant for an earlier start
+    are dropped. ``event_s`` is the time, in seconds, that the machine needs for one event: above
+    0, events queue behind one another.
     """
 
     name: str
@@ -57,7 +58,7 @@
         return self.clock_offset + self.scheduler.now * self.clock_rate
 
     def start(self) -> None:
-        """Start the process anew, with what its disk holds."""
+        """Start the process with a new reducer and the records on its disk."""
         self.generation += 1
         self.running = True
         self.frozen = False
@@ -84,11 +85,11 @@
             self.disk.crash()
 
     def freeze(self) -> None:
-        """Stop taking events (SIGSTOP); they wait."""
+        """Stop handling events, as after SIGSTOP; they are queued until ``thaw``."""
         self.frozen = True
 
     def thaw(self) -> None:
-        """Go on: the events that waited are taken in their order."""
+        """Resume after ``freeze``: handle the queued events in order, except cancelled timers."""
         if not self.frozen:
             return
         self.frozen = False
@@ -101,7 +102,7 @@
                 self.deliver(ev.TimerFired(event.name))
 
     def deliver(self, event: ev.Event) -> None:
-        """Hand one event to the reducer and obey its effects, on a slow machine after a while."""
+        """Handle an event and apply its effects: at once, or later on a slow machine."""
         if self.event_s <= 0 and self._busy_until <= self.scheduler.now:
             self._handle(event)
             return
@@ -126,12 +127,12 @@
             self._carry_out(effect)
 
     def act(self, action: Callable[[Reducer, float], list[fx.Effect]]) -> None:
-        """Let a stand-in do something by itself; its effects are obeyed."""
+        """Run an action on the reducer of a stand-in, outside any event, and apply its effects."""
         for effect in action(self.reducer, self.local_now()):
             self._carry_out(effect)
 
     def deliver_if(self, generation: int, event: ev.Event) -> None:
-        """Deliver to the start of the process that ``generation`` names, else drop."""
+        """Deliver an event, but drop it if the process was killed or restarted meanwhile."""
         if generation == self.generation:
             self.deliver(event)
 
@@ -178,7 +179,7 @@
 
     def _write(self, effect: fx.WriteRecords | fx.RewriteFile) -> None:
         if self.disk is None:
-            raise AssertionError(f"{self.name} writes without a disk")
+            raise AssertionError(f"{self.name} writes records but was added without a disk")
         generation = self.generation
         self.disk.write(effect, lambda event: self.deliver_if(generation, event))
 
@@ -192,7 +193,7 @@
 
 @attrs.frozen
 class _FrozenTimer(ev.Event):
-    """A timer that came due while the process was frozen."""
+    """A timer that was due while the process was frozen; dropped if cancelled or restarted."""
 
     name: str
     sequence: int
--- a/rooklug_lab/sim/readback.py
+++ b/rooklug_lab/sim/readback.py
@@ -1,4 +1,4 @@
-"""A client that reads the configuration back through any front until one answers."""
+"""A client that reads the configuration from one front after another until one answers."""
 
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
@@ -11,7 +11,7 @@
 
 
 class ReadBackClient:
-    """Asks ``GET /v1/config`` at one front after another."""
+    """Sends ``GET /v1/config`` to the fronts in turn; ``result`` is None until one answers 200."""
 
     head_first_paths: tuple[str, ...] = ()
 
@@ -22,12 +22,12 @@
         self._tries = 0
 
     def attach(self, context: ProcessContext) -> "ReadBackClient":
-        """Take the context of the process it runs in."""
+        """Set the context of the process that runs this reducer; return the reducer itself."""
         self._context = context
         return self
 
     def handle(self, event: ev.Event, now: float) -> list[fx.Effect]:
-        """Take one event."""
+        """Send a request at the start and after each retry delay; record the first 200."""
         if isinstance(event, ev.HttpAnswered) and event.status == 200:
             self.result = ReadBack(
                 int(event.headers.get("x-rooklug-version", "0")),
@@ -43,5 +43,5 @@
         return [fx.HttpCall(call_id, address, "GET", "/v1/config", b"", DEADLINE_S)]
 
     def metrics(self, now: float) -> tuple:
-        """Return no figures."""
+        """Return no metrics: the simulator reads ``result`` instead."""
         return ()
--- a/rooklug_lab/sim/runner.py
+++ b/rooklug_lab/sim/runner.py
@@ -1,4 +1,4 @@
-"""Runs one scenario under one seed and judges it."""
+"""Runs one scenario with one seed and checks the promises of the system."""
 
 import json
 import time
@@ -28,7 +28,7 @@
 
 @attrs.frozen
 class RunReport:
-    """What one run showed. Times in seconds; ``promises`` counts violations by name."""
+    """The results of one run. Times in seconds; ``promises`` counts violations by promise."""
 
     scenario: str
     seed: int
@@ -48,7 +48,7 @@
     passed: bool
 
     def as_json(self, with_real_time: bool = False) -> str:
-        """Return one JSON object; without the real time it is the same for the same seed."""
+        """Return one JSON object; without ``real_s`` the same seed gives the same text."""
         fields = attrs.asdict(self)
         if not with_real_time:
             del fields["real_s"]
@@ -57,7 +57,7 @@
 
 @attrs.frozen
 class Run:
-    """A finished run: its report, its violations and the site as it ended."""
+    """A finished run: its report, its violations and the final state of the site."""
 
     report: RunReport
     violations: dict[str, list[Violation]]
@@ -65,18 +65,18 @@
 
 
 def scenario_faults(name: str) -> list[FaultAction]:
-    """Return the faults of a scenario: one, or several joined by "+".
+    """Return the faults of a scenario, whose name is one fault or several joined by "+".
 
     Raises
     ------
     KeyError
-        A part of the name is no known fault.
+        A part of the name isn't a known fault.
     """
     return [FAULTS[part] for part in name.split(PAIR_SEPARATOR)]
 
 
 def run_scenario(name: str, seed: int, deployment_name: str) -> Run:
-    """Run a scenario in virtual time and judge it."""
+    """Run a scenario in virtual time, then check its evidence against every promise."""
     began = time.perf_counter()
     deployment = build_deployment(deployment_name)
     site = Site(deployment, seed)
--- a/rooklug_lab/sim/scenarios.py
+++ b/rooklug_lab/sim/scenarios.py
@@ -1,8 +1,9 @@
-"""The failures of the brief, each at a time drawn from the seed.
+"""The faults that scenarios inject, with random parameters drawn from the seed.
 
-A scenario gets a running site and schedules faults on it; traffic and a stream of small
-configuration changes go on throughout. ``FAULTS`` are the single ones; pairs and repeats
-are composed from them by ``rooklug_lab.sim.runner``.
+Each action gets a running site and injects or schedules its faults on it, while traffic and
+small configuration changes continue. ``FAULTS`` holds the single actions by scenario name;
+``rooklug_lab.sim.runner`` draws their start times and combines several of them. The first line
+of each docstring is printed by ``rooklug-lab sim list``.
 """
 
 from collections.abc import Callable
@@ -24,7 +25,7 @@
 
 
 def _replica(site: Site, random: Random) -> str:
-    """Return a replica that has had traffic lately: a fault of an idle one proves nothing."""
+    """Return a replica with recent traffic, if any: a fault of an idle one tests nothing."""
     since = site.world.now - TRAFFIC_WINDOW_S
     busy = [
         journal.replica_id
@@ -39,11 +40,11 @@
 
 
 def no_fault(site: Site, random: Random) -> None:
-    """Nothing fails."""
+    """No fault: the baseline for the other scenarios."""
 
 
 def kill_core(site: Site, random: Random) -> None:
-    """Kill any one core."""
+    """Kill a random core."""
     site.kill([_one(site, random, CORES)], random.uniform(1.0, 10.0))
 
 
@@ -58,17 +59,17 @@
 
 
 def freeze_primary(site: Site, random: Random) -> None:
-    """Stop the primary core for twenty seconds; then it wakes up."""
+    """Suspend the primary core for twenty seconds, then resume it."""
     site.freeze([site.primary()], SILENCE_S)
 
 
 def cut_primary(site: Site, random: Random) -> None:
-    """Cut the primary's machine off in silence for twenty seconds."""
+    """Cut the primary's machine off from the network silently for twenty seconds."""
     site.cut([site.primary()], SILENCE_S)
 
 
 def isolate_primary(site: Site, random: Random) -> None:
-    """The primary loses the other cores but no front, in a storm; then its disk is lost."""
+    """Cut the primary off from the other cores only, during many changes; then lose its disk."""
     primary = site.primary()
     others = [site.process(name).place for name in site.groups[CORES] if name != primary]
     site.cut_places([site.process(primary).place], others, SHORT_S)
@@ -78,25 +79,25 @@
 
 
 def cut_core_one_way(site: Site, random: Random) -> None:
-    """A core hears others but isn't heard, or the other way round."""
+    """Cut a core off in one direction: it can receive but not send, or the reverse."""
     inbound = random.random() < 0.5
     site.cut([_one(site, random, CORES)], 10.0, inbound=inbound, outbound=not inbound)
 
 
 def stall_disk(site: Site, random: Random) -> None:
-    """A core's disk takes seconds for a sync."""
+    """Stall a core's disk for two to twelve seconds."""
     site.stall_disk(_one(site, random, CORES), random.uniform(2.0, 12.0))
 
 
 def freeze_controllers(site: Site, random: Random) -> None:
-    """Stop all controllers but one for twenty seconds, the placer probably among them."""
+    """Suspend all controllers but one for twenty seconds, probably including the placer."""
     names = list(site.groups[CONTROLLERS])
     random.shuffle(names)
     site.freeze(names[:-1], SILENCE_S)
 
 
 def cut_controllers(site: Site, random: Random) -> None:
-    """Cut two controllers off in silence for twenty seconds."""
+    """Cut two controllers off from the network silently for twenty seconds."""
     names = list(site.groups[CONTROLLERS])
     random.shuffle(names)
     site.cut(names[:2], SILENCE_S)
@@ -113,85 +114,85 @@
 
 
 def kill_everything(site: Site, random: Random) -> None:
-    """Kill every daemon at once; callers and back ends go on."""
+    """Kill every daemon at once; callers and back ends keep running."""
     site.kill([name for group in site.groups.values() for name in group], random.uniform(1.0, 4.0))
 
 
 def cut_cores_from_fronts(site: Site, random: Random) -> None:
-    """Cut the whole core off from everybody else; the cores see one another."""
+    """Cut all cores off from every other machine; they still reach one another."""
     site.cut(site.groups[CORES], random.uniform(5.0, 20.0))
 
 
 def kill_fronts(site: Site, random: Random) -> None:
-    """Kill a few fronts at once."""
+    """Kill one to four fronts at once."""
     names = random.sample(site.groups[FRONTS], random.randint(1, 4))
     site.kill(names, random.uniform(1.0, 8.0))
 
 
 def freeze_fronts(site: Site, random: Random) -> None:
-    """Stop a few fronts for a while; then they wake up."""
+    """Suspend one to three fronts for up to twenty seconds, then resume them."""
     names = random.sample(site.groups[FRONTS], random.randint(1, 3))
     site.freeze(names, random.uniform(3.0, SILENCE_S))
 
 
 def cut_front(site: Site, random: Random) -> None:
-    """Cut a front's machine off, maybe one way."""
+    """Cut a front's machine off from the network, in one direction or both."""
     inbound = random.random() < 0.7
     outbound = not inbound or random.random() < 0.7
     site.cut([_one(site, random, FRONTS)], random.uniform(3.0, 15.0), inbound, outbound)
 
 
 def kill_zone(site: Site, random: Random) -> None:
-    """A whole zone fails at once, and returns."""
+    """Kill all daemons and back ends of a zone at once; they restart together."""
     zone = random.choice(list(site.deployment.zone_regions))
     site.kill(site.in_zone(zone), random.uniform(2.0, 10.0))
 
 
 def cut_regions(site: Site, random: Random) -> None:
-    """The regions lose each other."""
+    """Cut the first region off from the others."""
     site.cut_regions(random.uniform(4.0, 20.0))
 
 
 def kill_replica(site: Site, random: Random) -> None:
-    """A replica crashes and comes back cold."""
+    """Kill a replica; it restarts cold, with an empty cache."""
     site.kill([_replica(site, random)], random.uniform(1.0, 6.0))
 
 
 def kill_replica_twice(site: Site, random: Random) -> None:
-    """A replica crashes, comes back, and crashes again right after the repair."""
+    """Kill a replica, and kill it again shortly after its recovery."""
     replica = _replica(site, random)
     site.kill([replica], 2.0)
     site.at(site.world.now + random.uniform(9.0, 14.0), lambda: site.kill([replica], 2.0))
 
 
 def kill_all_replicas(site: Site, random: Random) -> None:
-    """All replicas come back cold together."""
+    """Kill all replicas; they restart together, cold."""
     site.kill([replica.replica_id for replica in site.deployment.replicas], SHORT_S)
 
 
 def freeze_replica(site: Site, random: Random) -> None:
-    """A replica goes dark for a while."""
+    """Suspend a replica for three to ten seconds."""
     site.freeze([_replica(site, random)], random.uniform(3.0, 10.0))
 
 
 def cut_backend(site: Site, random: Random) -> None:
-    """A once-only back end is cut off, maybe one way: answers are lost or late."""
+    """Cut a once-only back end off, sometimes outbound only: answers are lost or late."""
     inbound = random.random() < 0.5
     site.cut([_backend(site, random)], random.uniform(2.0, 10.0), inbound, outbound=True)
 
 
 def kill_backend(site: Site, random: Random) -> None:
-    """A once-only back end crashes."""
+    """Kill a once-only back end; it restarts within seconds."""
     site.kill([_backend(site, random)], random.uniform(1.0, 6.0))
 
 
 def freeze_backend(site: Site, random: Random) -> None:
-    """A once-only back end answers late."""
+    """Suspend a once-only back end for a few seconds: its answers are late."""
     site.freeze([_backend(site, random)], random.uniform(2.0, 8.0))
 
 
 def bad_streams(site: Site, random: Random) -> None:
-    """Replicas break, skip, repeat and cross their streams for twelve seconds."""
+    """Replicas truncate, skip, repeat and mix up parts of their streams for twelve seconds."""
     faults = (
         ReplicaFaults(break_after=2),
         ReplicaFaults(skip_index=2),
@@ -203,7 +204,7 @@
 
 
 def bad_backend(site: Site, random: Random) -> None:
-    """Once-only back ends lose, delay and cross answers for twelve seconds."""
+    """Once-only back ends lose, delay and mix up answers for twelve seconds."""
     for backend in site.deployment.backends:
         faults = BackendFaults(
             lose_share=random.uniform(0.1, 0.4),
@@ -215,35 +216,35 @@
 
 
 def stalled_loads(site: Site, random: Random) -> None:
-    """Loads stall everywhere but in one zone while a replica comes back empty."""
+    """Model loads stall on all replicas for twelve seconds while one of them restarts."""
     for replica in site.deployment.replicas:
         _switch_faults(site, replica.replica_id, ReplicaFaults(stall_loads=True), ReplicaFaults())
     kill_replica(site, random)
 
 
 def replica_leaves(site: Site, random: Random) -> None:
-    """The platform shows a replica as leaving; twelve seconds later it is taken back."""
+    """The platform marks a replica as leaving, and unmarks it twelve seconds later."""
     replica = _replica(site, random)
     _mark_leaving(site, replica, True)
     site.at(site.world.now + 12.0, lambda: _mark_leaving(site, replica, False))
 
 
 def backend_leaves(site: Site, random: Random) -> None:
-    """The platform shows a once-only back end as leaving."""
+    """The platform marks a once-only back end as leaving, and unmarks it twelve seconds later."""
     backend = _backend(site, random)
     _mark_leaving(site, backend, True)
     site.at(site.world.now + 12.0, lambda: _mark_leaving(site, backend, False))
 
 
 def zone_emptied(site: Site, random: Random) -> None:
-    """An operator empties a zone and takes it back twelve seconds later."""
+    """An operator drains a zone and restores it twelve seconds later."""
     zone = random.choice(list(site.deployment.zone_regions))
     site.order_zone(zone, "empty")
     site.at(site.world.now + 12.0, lambda: site.order_zone(zone, "restore"))
 
 
 def race_of_operators(site: Site, random: Random) -> None:
-    """Two operators pick the same new numbers for different changes, six times."""
+    """Two operators send different changes with the same version, six times."""
     for number in range(6):
         site.at(site.world.now + number * random.uniform(0.5, 1.5), site.order_race)
 
@@ -255,14 +256,14 @@
 
 
 def burst(site: Site, random: Random) -> None:
-    """Traffic of one region trebles for ten seconds."""
+    """The traffic of one region triples for ten seconds."""
     region = random.choice(site.deployment.regions)
     site.set_rate(region, 3.0)
     site.at(site.world.now + 10.0, lambda: site.set_rate(region, 1.0))
 
 
 def wall_clocks_jump(site: Site, random: Random) -> None:
-    """Wall clocks jump by hours, here forward and there back."""
+    """Wall clocks jump by up to two hours, some forward and some back."""
     for process in site.world.processes.values():
         process.wall_offset_ms += random.randint(-7_200_000, 7_200_000)
 
--- a/rooklug_lab/sim/scheduler.py
+++ b/rooklug_lab/sim/scheduler.py
@@ -1,4 +1,4 @@
-"""Virtual time: a heap of callbacks in the order of (time, sequence)."""
+"""Virtual time: a heap of callbacks ordered by (time, sequence)."""
 
 import heapq
 from collections.abc import Callable
@@ -8,7 +8,7 @@
 
 
 class Scheduler:
-    """Runs callbacks at virtual times; ties keep the order in which they were scheduled."""
+    """Runs callbacks at virtual times; equal times run in the order of scheduling."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -25,7 +25,7 @@
         self.at(self.now + delay, callback)
 
     def run_until(self, end: float) -> None:
-        """Run everything due up to and including ``end``, then stand at ``end``."""
+        """Run all callbacks due up to and including ``end``, then set ``now`` to ``end``."""
         heap = self._heap
         while heap and heap[0][0] <= end:
             self.now, _, callback = heapq.heappop(heap)
--- a/rooklug_lab/sim/site.py
+++ b/rooklug_lab/sim/site.py
@@ -1,4 +1,4 @@
-"""A whole deployment in the simulated world, and the faults that a scenario can cause."""
+"""A complete deployment in the simulated world, and the faults that a scenario can inject."""
 
 import json
 from collections.abc import Callable, Iterable
@@ -34,7 +34,11 @@
 
 
 class Site:
-    """Processes of one deployment, with the journals of everything outside it."""
+    """The daemons of one deployment and the stand-ins around them.
+
+    The stand-ins (callers, operators, back ends, the platform) record what they see in
+    journals, which are gathered in ``evidence`` for the oracles.
+    """
 
     def __init__(self, deployment: Deployment, seed: int) -> None:
         self.deployment = deployment
@@ -50,7 +54,7 @@
     # -- building -------------------------------------------------------------------
 
     def add_callers(self, start_s: float, duration_s: float) -> None:
-        """Add a model and a once-only caller a region."""
+        """Add a model caller and a once-only caller in each region."""
         for settings in self.deployment.callers(duration_s, start_s):
             journal = CallerJournal(settings.caller_id)
             self.evidence.callers.append(journal)
@@ -67,7 +71,10 @@
     def add_operator(
         self, steps: tuple[OperatorStep, ...], region: str = "", watch_interval_s: float = 0.2
     ) -> OperatorJournal:
-        """Add an operator who works down ``steps`` and watches the fronts."""
+        """Add an operator that carries out ``steps`` in order and polls the fronts.
+
+        ``region`` is the first region by default; an interval of 0 turns the polling off.
+        """
         region = region or self.deployment.regions[0]
         number = len(self._operators)
         name = f"operator-{number}"
@@ -82,12 +89,15 @@
         return journal
 
     def start_all(self) -> None:
-        """Start every process."""
+        """Start every process that has been added so far."""
         for process in self.world.processes.values():
             process.start()
 
     def read_back(self, limit_s: float = 20.0) -> None:
-        """Read the configuration through a front, as an operator does, into the evidence."""
+        """Read the configuration through a front into the evidence.
+
+        ``read_back`` there stays None if no front answers 200 within ``limit_s``.
+        """
         reader = ReadBackClient(self.deployment.front_addresses())
         address = f"{self.deployment.caller_ip(self.deployment.regions[0], 40)}:{LAB_PORT}"
         process = self._add_stand_in("reader", address, lambda context: reader.attach(context))
@@ -101,26 +111,26 @@
     # -- orders ---------------------------------------------------------------------
 
     def order_first_document(self) -> None:
-        """Let the first operator bring the deployment's configuration."""
+        """Make the first operator put the deployment's configuration, as version 1."""
         send(self.process(self._operators[0]), self.orders.put_first())
 
     def order_patch(self, invalid: bool = False) -> None:
-        """Let the first operator send one more small change."""
+        """Make the first operator send a small change on top of the newest acknowledged version."""
         version = self._newest_acknowledged() + 1
         send(self.process(self._operators[0]), self.orders.patch(version, invalid))
 
     def order_race(self) -> None:
-        """Let two operators send different changes under the same number."""
+        """Make two operators send different changes with the same version at the same time."""
         version = self._newest_acknowledged() + 1
         for name in self._operators[:2]:
             send(self.process(name), self.orders.patch(version))
 
     def order_zone(self, zone: str, kind: str) -> None:
-        """Let the first operator empty or restore a zone."""
+        """Make the first operator drain a zone (``kind`` "empty") or restore it ("restore")."""
         send(self.process(self._operators[0]), OperatorStep(0.0, kind, zone=zone))
 
     def set_rate(self, region: str, factor: float) -> None:
-        """Multiply the traffic of a region's callers."""
+        """Set the request rate of a region's callers to ``factor`` times their configured rate."""
         for kind in ("model", "once"):
             self.process(f"{kind}-{region}").reducer.rate_factor = factor
 
@@ -131,15 +141,15 @@
     # -- faults ---------------------------------------------------------------------
 
     def process(self, name: str) -> SimulatedProcess:
-        """Return a process by name."""
+        """Return a daemon or stand-in by name; raises KeyError for an unknown one."""
         return self.world.processes[name]
 
     def primary(self) -> str:
-        """Return the core that says it is primary with the highest epoch, or the first."""
+        """Return the core that reports itself primary with the highest epoch, or else the first."""
         return max(self.groups[CORES], key=lambda name: self._primary_epoch(name))
 
     def kill(self, names: Iterable[str], for_s: float, lose_disk: bool = False) -> None:
-        """Kill processes now; they return after ``for_s``."""
+        """Kill processes now, with their disks if ``lose_disk``; restart them after ``for_s``."""
         names = list(names)
         for name in names:
             self.world.kill(self.process(name))
@@ -149,7 +159,7 @@
         self.world.scheduler.after(for_s, lambda: self._restart(names))
 
     def freeze(self, names: Iterable[str], for_s: float) -> None:
-        """Stop processes without a word; they go on after ``for_s``."""
+        """Suspend processes silently, as SIGSTOP does; they resume after ``for_s``."""
         names = list(names)
         for name in names:
             self.process(name).freeze()
@@ -157,7 +167,7 @@
         self.world.scheduler.after(for_s, lambda: [self.process(name).thaw() for name in names])
 
     def cut(self, names: Iterable[str], for_s: float, inbound: bool = True, outbound: bool = True):
-        """Cut the machines of processes off from all others, silently."""
+        """Drop all packets between the machines of processes and all others for ``for_s``."""
         names = list(names)
         inside = [self.process(name).place for name in names]
         ips = {place.ip for place in inside}
@@ -167,7 +177,7 @@
         self._fault("cut", on_machine, for_s)
 
     def cut_regions(self, for_s: float) -> None:
-        """Cut the first region off from all others."""
+        """Drop all packets between the first region and the others for ``for_s``."""
         first = self.deployment.regions[0]
         processes = list(self.world.processes.values())
         inside = [p.place for p in processes if p.place.region == first]
@@ -183,7 +193,7 @@
         inbound: bool = True,
         outbound: bool = True,
     ) -> None:
-        """Cut two sets of places from one another, one way or both."""
+        """Drop all packets between two sets of places, in one direction or both, for ``for_s``."""
         inside, outside = _unique(inside), _unique(outside)
         network = self.world.network
         if outbound:
@@ -194,16 +204,16 @@
             self.world.scheduler.after(for_s, lambda: network.heal(outside, inside))
 
     def stall_disk(self, name: str, for_s: float) -> None:
-        """Let no write of a disk finish for ``for_s``."""
+        """Stall the disk of a process: none of its writes finishes for ``for_s``."""
         self.process(name).disk.stalled_until = self.world.now + for_s
         self._fault("core-disk-stall", [name], for_s)
 
     def at(self, time: float, action: Callable[[], None]) -> None:
-        """Run an action of the scenario at a virtual time."""
+        """Run an action of the scenario at a virtual time, in seconds since the start."""
         self.world.scheduler.at(time, action)
 
     def in_zone(self, zone: str) -> list[str]:
-        """Return the daemons and back ends of a zone."""
+        """Return the daemons, replicas and back ends of a zone, by name."""
         outside = {journal.caller_id for journal in self.evidence.callers}
         return [
             process.name
--- a/rooklug_lab/sim/world.py
+++ b/rooklug_lab/sim/world.py
@@ -24,7 +24,7 @@
 
 
 class World:
-    """Runs processes in virtual time. The same seed gives the same run, bit for bit."""
+    """Runs processes in virtual time; the same seed gives exactly the same run."""
 
     def __init__(self, seed: int, region_delay_s: float) -> None:
         self.scheduler = Scheduler()
@@ -52,7 +52,11 @@
         has_disk: bool = False,
         true_clock: bool = False,
     ) -> SimulatedProcess:
-        """Add a process; it isn't started yet. Stand-ins have the world's clock itself."""
+        """Add a process without starting it.
+
+        Its monotonic clock has a random offset and rate, unless ``true_clock``, as stand-ins
+        have, makes it the world's own clock.
+        """
         random = self._fork()
         process = SimulatedProcess(
             name=name,
@@ -75,29 +79,29 @@
         return process
 
     def kill(self, process: SimulatedProcess) -> None:
-        """Kill a process; its connections are reset."""
+        """Kill a process; its peers see connection resets if the machine is up."""
         if process.running:
             process.kill()
             self._connections_end(process)
 
     def restart(self, process: SimulatedProcess) -> None:
-        """Start a process that is down, on a machine that is up."""
+        """Bring the machine up and start the process, unless it is running."""
         process.machine_up = True
         if not process.running:
             process.start()
 
     def machine_fails(self, process: SimulatedProcess) -> None:
-        """The machine under a process goes dark: no resets, no refusals."""
+        """Fail the machine of a process: peers see neither resets nor refusals, only time-outs."""
         process.machine_up = False
         self.kill(process)
 
     def run_for(self, seconds: float) -> None:
-        """Let virtual time pass."""
+        """Advance virtual time, running everything that comes due."""
         self.scheduler.run_until(self.scheduler.now + seconds)
 
     @property
     def now(self) -> float:
-        """Virtual time, in seconds."""
+        """Virtual time since the world was created, in seconds."""
         return self.scheduler.now
 
     def _fork(self) -> Random:
--- a/tests/test_sim_scenarios.py
+++ b/tests/test_sim_scenarios.py
@@ -1,4 +1,4 @@
-"""A fixed set of simulated failures; the wide sweep is ``rooklug-lab sim all --seeds A-B``."""
+"""Every scenario with one fixed seed; ``rooklug-lab sim all --seeds A-B`` runs more seeds."""
 
 import os
 import unittest
@@ -17,7 +17,7 @@
 
 
 def run_jobs(jobs: list[Job]) -> list:
-    """Run jobs in worker processes of the fixed hash seed, in their order."""
+    """Run jobs in worker processes; return their results in the order of the jobs."""
     context = get_context("spawn")
     with ProcessPoolExecutor(max_workers=WORKERS, mp_context=context) as pool:
         return list(pool.map(run_job, jobs))
--- a/tests/test_sim_site.py
+++ b/tests/test_sim_site.py
@@ -1,4 +1,4 @@
-"""The simulated site does to the daemons what its scenarios say."""
+"""Tests of ``rooklug_lab.sim.site``: which core it reports as the primary."""
 
 import unittest
 
--- a/tests/test_sim_world.py
+++ b/tests/test_sim_world.py
@@ -1,4 +1,4 @@
-"""The simulated world keeps the promises that the daemons' runtime makes."""
+"""The simulated world delivers calls, streams, writes and timers as the real runtime does."""
 
 import unittest
 from random import Random
