--- a/rooklug_lab/sim/calls.py
+++ b/rooklug_lab/sim/calls.py
@@ -19,14 +19,14 @@
 
 @attrs.define(eq=False)
 class _PendingCall:
-    """A call in progress; ``open`` until the caller has got an answer or a failure."""
+    """A call in progress; ``awaiting_result`` until the caller gets one."""
 
     caller: SimulatedProcess
     caller_generation: int
     callee: SimulatedProcess
     callee_generation: int
     call_id: int
-    open: bool = True
+    awaiting_result: bool = True
 
 
 class CallTransport:
@@ -58,14 +58,14 @@
             return
         pending = _PendingCall(caller, caller.generation, callee, callee.generation, effect.call_id)
         data = encode(effect.request)
-        self._count(caller, len(data))
+        self._count_bytes(caller, len(data))
         request_type = type(effect.request)
         self._network.transmit(
             caller.place, callee.place, lambda: self._arrive(pending, request_type, data)
         )
         self._scheduler.after(
             effect.deadline_s / caller.clock_rate,
-            lambda: self._end(pending, ev.CallFailed(effect.call_id, DEADLINE, True)),
+            lambda: self._complete(pending, ev.CallFailed(effect.call_id, DEADLINE, True)),
         )
 
     def answer(self, callee: SimulatedProcess, effect: fx.Answer) -> None:
@@ -74,12 +74,12 @@
         if pending is None or pending.callee_generation != callee.generation:
             return
         data = encode(effect.answer)
-        self._count(callee, len(data))
+        self._count_bytes(callee, len(data))
         answer_type = type(effect.answer)
         self._network.transmit(
             callee.place,
             pending.caller.place,
-            lambda: self._end(
+            lambda: self._complete(
                 pending, ev.CallAnswered(pending.call_id, decode(answer_type, data).ok)
             ),
         )
@@ -89,15 +89,15 @@
 
         Their callers see a connection reset if the machine is up, otherwise only their deadline.
         """
-        lost = [key for key, pending in self._inbound.items() if pending.callee is process]
-        for key in lost:
+        reset_keys = [key for key, pending in self._inbound.items() if pending.callee is process]
+        for key in reset_keys:
             pending = self._inbound.pop(key)
             if process.machine_up:
                 event = ev.CallFailed(pending.call_id, CONNECTION_RESET, True)
                 self._network.transmit(
                     process.place,
                     pending.caller.place,
-                    lambda pending=pending, event=event: self._end(pending, event),
+                    lambda pending=pending, event=event: self._complete(pending, event),
                 )
 
     def _arrive(self, pending: _PendingCall, request_type: type, data: bytes) -> None:
@@ -105,7 +105,7 @@
         if callee.generation != pending.callee_generation or not callee.running:
             event = ev.CallFailed(pending.call_id, CONNECTION_RESET, True)
             self._network.transmit(
-                callee.place, pending.caller.place, lambda: self._end(pending, event)
+                callee.place, pending.caller.place, lambda: self._complete(pending, event)
             )
             return
         inbound_id = next(self._inbound_ids)
@@ -113,9 +113,9 @@
         request = decode(request_type, data).ok
         callee.deliver(ev.CallArrived(inbound_id, pending.caller.place.ip, request))
 
-    def _end(self, pending: _PendingCall, event: ev.Event) -> None:
-        if pending.open:
-            pending.open = False
+    def _complete(self, pending: _PendingCall, event: ev.Event) -> None:
+        if pending.awaiting_result:
+            pending.awaiting_result = False
             pending.caller.deliver_if(pending.caller_generation, event)
 
     def _fail_soon(self, caller: SimulatedProcess, call_id: int, reason: str) -> None:
@@ -128,5 +128,5 @@
         event = ev.CallFailed(effect.call_id, DEADLINE, False)
         self._scheduler.after(effect.deadline_s, lambda: caller.deliver_if(generation, event))
 
-    def _count(self, process: SimulatedProcess, size: int) -> None:
+    def _count_bytes(self, process: SimulatedProcess, size: int) -> None:
         self.bytes_sent[process.name] = self.bytes_sent.get(process.name, 0) + size
--- a/rooklug_lab/sim/cli.py
+++ b/rooklug_lab/sim/cli.py
@@ -15,7 +15,7 @@
 
 DEFAULT_WORKERS = 4
 LIST = "list"
-SHOWN_VIOLATIONS = 3
+MAX_SHOWN_VIOLATIONS = 3
 
 
 @attrs.frozen
@@ -29,7 +29,7 @@
 
 
 @attrs.frozen
-class Finished:
+class JobResult:
     """The result of a job; ``crash`` is the exception of a reducer that raised, or ""."""
 
     job: Job
@@ -93,48 +93,48 @@
     failed = 0
     os.environ.setdefault("PYTHONHASHSEED", "0")
     with ProcessPoolExecutor(max_workers=options.workers) as pool:
-        for finished in pool.map(run_job, jobs):
-            failed += not (finished.report and finished.report.passed)
-            _show(finished, options.json)
+        for result in pool.map(run_job, jobs):
+            failed += not (result.report and result.report.passed)
+            _print_result(result, options.json)
     print(f"sim: {len(jobs) - failed} of {len(jobs)} runs passed", file=sys.stderr)
     return failed
 
 
-def run_job(job: Job) -> Finished:
+def run_job(job: Job) -> JobResult:
     """Execute one run; an exception from a reducer is returned in ``crash``, not raised."""
     try:
         with MUTATIONS[job.without].switch_off() if job.without else nullcontext():
             run = run_scenario(job.scenario, job.seed, job.deployment)
-    except Exception as broken_invariant:  # a reducer raised: counts as a failed run
-        text = f"{type(broken_invariant).__name__}: {broken_invariant}"
-        return Finished(job, None, (), text)
+    except Exception as error:  # a reducer raised: counts as a failed run
+        text = f"{type(error).__name__}: {error}"
+        return JobResult(job, None, (), text)
     violations = tuple(
         f"{name}: at {violation.at_s:.2f}: {violation.description}"
         for name, found in run.violations.items()
-        for violation in found[:SHOWN_VIOLATIONS]
+        for violation in found[:MAX_SHOWN_VIOLATIONS]
     )
-    return Finished(job, run.report, violations)
+    return JobResult(job, run.report, violations)
 
 
-def _show(finished: Finished, as_json: bool) -> None:
-    job, report = finished.job, finished.report
+def _print_result(result: JobResult, as_json: bool) -> None:
+    job, report = result.job, result.report
     repeat = f"rooklug-lab sim {job.scenario} --seeds {job.seed} --deployment {job.deployment}"
     repeat += f" --without {job.without}" if job.without else ""
     if report is None:
-        print(f"{job.scenario} {job.deployment} seed {job.seed}: crashed: {finished.crash}")
+        print(f"{job.scenario} {job.deployment} seed {job.seed}: crashed: {result.crash}")
         print(f"  repeat: {repeat}")
         return
     if as_json:
         print(report.as_json())
     else:
-        print(_line(report))
+        print(_summary_line(report))
     if not report.passed:
-        for violation in finished.violations:
+        for violation in result.violations:
             print(f"  {violation}", file=sys.stderr)
         print(f"  repeat: {repeat}", file=sys.stderr)
 
 
-def _line(report: RunReport) -> str:
+def _summary_line(report: RunReport) -> str:
     verdict = "passed" if report.passed else "FAILED"
     goodput = (report.goodput_before, report.goodput_during, report.goodput_after)
     shares = " ".join(f"{share:.3f}" for share in goodput)
--- a/rooklug_lab/sim/disk.py
+++ b/rooklug_lab/sim/disk.py
@@ -66,7 +66,7 @@
         batch = list(self._queue)
         generation = self._generation
         duration = (SYNC_MIN_S + SYNC_SPREAD_S * self.random.random()) * self.sync_factor
-        end = max(self.scheduler.now, self.stalled_until) + duration
+        finish_at_s = max(self.scheduler.now, self.stalled_until) + duration
 
         def finish() -> None:
             if generation != self._generation:
@@ -76,15 +76,15 @@
                 return
             self._finish(batch)
 
-        self.scheduler.at(end, finish)
+        self.scheduler.at(finish_at_s, finish)
 
     def _finish(self, batch: list) -> None:
         for effect, _, _ in batch:
             self._apply(effect)
             self._queue.popleft()
         self._busy = False
-        for effect, done, since in batch:
-            done(WriteFinished(effect.ticket, self.scheduler.now - since))
+        for effect, done, queued_at_s in batch:
+            done(WriteFinished(effect.ticket, self.scheduler.now - queued_at_s))
         if self._queue and not self._busy:
             self._sync_next()
 
--- a/rooklug_lab/sim/exchanges.py
+++ b/rooklug_lab/sim/exchanges.py
@@ -98,7 +98,7 @@
         """Close the client's connection; the server sees the close after the network delay."""
         exchange = self._by_call.get(self._call_key(client, call_id))
         if exchange is not None:
-            self._client_closes(exchange)
+            self._close_client_side(exchange)
 
     def serve(self, server: SimulatedProcess, effect: fx.Effect) -> None:
         """Apply a server's effect on one of its requests.
@@ -116,7 +116,7 @@
         if isinstance(effect, fx.HttpRespond | fx.HttpStreamEnd | fx.HttpStreamAbort):
             exchange.server_open = False
             del self._by_request[effect.request_id]
-        self._to_client(exchange, lambda: self._client_gets(exchange, effect))
+        self._transmit_to_client(exchange, lambda: self._client_receives(exchange, effect))
 
     def process_died(self, process: SimulatedProcess) -> None:
         """Close the connections of a process that ended.
@@ -126,9 +126,11 @@
         for exchange in [e for e in self._by_request.values() if e.server is process]:
             del self._by_request[exchange.request_id]
             if process.machine_up:
-                self._to_client(exchange, lambda e=exchange: self._fail_client(e, CONNECTION_RESET))
+                self._transmit_to_client(
+                    exchange, lambda e=exchange: self._fail_client(e, CONNECTION_RESET)
+                )
         for exchange in [e for e in self._by_call.values() if e.client is process]:
-            self._client_closes(exchange)
+            self._close_client_side(exchange)
 
     @staticmethod
     def _call_key(client: SimulatedProcess, call_id: int) -> tuple[str, int, int]:
@@ -146,15 +148,17 @@
     def _arrive(self, exchange: Exchange) -> None:
         server = exchange.server
         if server.generation != exchange.server_generation or not server.running:
-            self._to_client(exchange, lambda: self._fail_client(exchange, CONNECTION_RESET))
+            self._transmit_to_client(
+                exchange, lambda: self._fail_client(exchange, CONNECTION_RESET)
+            )
             return
         exchange.server_open = True
         self._by_request[exchange.request_id] = exchange
-        server.deliver(self._request_event(exchange))
+        server.deliver(self._request_arrived_event(exchange))
         if not exchange.client_open and exchange.server_open:
-            self._server_sees_close(exchange)
+            self._close_server_side(exchange)
 
-    def _request_event(self, exchange: Exchange) -> ev.HttpRequestArrived:
+    def _request_arrived_event(self, exchange: Exchange) -> ev.HttpRequestArrived:
         effect = exchange.effect
         parts = urlsplit(effect.path)
         withheld = any(
@@ -188,7 +192,7 @@
         if not exchange.response_started:
             self._fail_client(exchange, FIRST_BYTE_DEADLINE)
 
-    def _to_client(self, exchange: Exchange, deliver) -> None:
+    def _transmit_to_client(self, exchange: Exchange, deliver) -> None:
         exchange.last_to_client = self._network.transmit(
             exchange.server.place,
             exchange.client.place,
@@ -197,23 +201,25 @@
             lost=lambda: self._fail_client(exchange, CONNECTION_RESET),
         )
 
-    def _client_gets(self, exchange: Exchange, effect: fx.Effect) -> None:
+    def _client_receives(self, exchange: Exchange, effect: fx.Effect) -> None:
         if not exchange.client_open:
             return
         if isinstance(effect, fx.HttpStreamAbort):
             self._fail_client(exchange, CONNECTION_RESET)
         elif isinstance(effect, fx.HttpRespond):
-            self._client_head(exchange, effect.status, effect.headers)
-            self._client_data(exchange, effect.body)
-            self._client_end(exchange)
+            self._client_receives_head(exchange, effect.status, effect.headers)
+            self._client_receives_data(exchange, effect.body)
+            self._client_receives_end(exchange)
         elif isinstance(effect, fx.HttpStreamStart):
-            self._client_head(exchange, effect.status, effect.headers)
+            self._client_receives_head(exchange, effect.status, effect.headers)
         elif isinstance(effect, fx.HttpStreamChunk):
-            self._client_data(exchange, effect.data)
+            self._client_receives_data(exchange, effect.data)
         else:
-            self._client_end(exchange)
+            self._client_receives_end(exchange)
 
-    def _client_head(self, exchange: Exchange, status: int, headers: dict[str, str]) -> None:
+    def _client_receives_head(
+        self, exchange: Exchange, status: int, headers: dict[str, str]
+    ) -> None:
         exchange.response_started = True
         exchange.status = status
         exchange.headers = {name.lower(): value for name, value in headers.items()}
@@ -221,16 +227,16 @@
             event = ev.HttpResponseStarted(exchange.effect.call_id, status, exchange.headers)
             self._deliver(exchange, event)
 
-    def _client_data(self, exchange: Exchange, data: bytes) -> None:
+    def _client_receives_data(self, exchange: Exchange, data: bytes) -> None:
         if not exchange.effect.streaming:
             exchange.collected.append(data)
         elif data:
             self._deliver(exchange, ev.HttpBodyChunk(exchange.effect.call_id, data))
 
-    def _client_end(self, exchange: Exchange) -> None:
+    def _client_receives_end(self, exchange: Exchange) -> None:
         if not exchange.client_open:
             return
-        self._forget(exchange)
+        self._detach_client(exchange)
         call_id = exchange.effect.call_id
         if exchange.effect.streaming:
             self._deliver(exchange, ev.HttpResponseCompleted(call_id))
@@ -242,19 +248,19 @@
         if not exchange.client_open:
             return
         state = ev.SendState.RESPONDING if exchange.response_started else ev.SendState.MAYBE_SENT
-        self._client_closes(exchange)
+        self._close_client_side(exchange)
         self._deliver(exchange, ev.HttpFailed(exchange.effect.call_id, reason, state))
 
-    def _client_closes(self, exchange: Exchange) -> None:
-        self._forget(exchange)
+    def _close_client_side(self, exchange: Exchange) -> None:
+        self._detach_client(exchange)
         if exchange.server_open:
             self._network.transmit(
                 exchange.client.place,
                 exchange.server.place,
-                lambda: self._server_sees_close(exchange),
+                lambda: self._close_server_side(exchange),
             )
 
-    def _server_sees_close(self, exchange: Exchange) -> None:
+    def _close_server_side(self, exchange: Exchange) -> None:
         if not exchange.server_open:
             return
         exchange.server_open = False
@@ -262,7 +268,7 @@
         event = ev.HttpRequestClosed(exchange.request_id)
         exchange.server.deliver_if(exchange.server_generation, event)
 
-    def _forget(self, exchange: Exchange) -> None:
+    def _detach_client(self, exchange: Exchange) -> None:
         exchange.client_open = False
         key = (exchange.client.name, exchange.client_generation, exchange.effect.call_id)
         self._by_call.pop(key, None)
@@ -281,7 +287,7 @@
 
         def fail() -> None:
             if pending.client_open:
-                self._forget(pending)
+                self._detach_client(pending)
                 client.deliver_if(generation, event)
 
         self._scheduler.after(wait_s, fail)
--- a/rooklug_lab/sim/mutations.py
+++ b/rooklug_lab/sim/mutations.py
@@ -50,14 +50,14 @@
     store = SubscribedTopics._store
     earlier: dict[int, list] = {}
 
-    def forgetful(self: SubscribedTopics, topic: str, version: VersionMark, body: Any):
+    def store_older_body(self: SubscribedTopics, topic: str, version: VersionMark, body: Any):
         bodies = earlier.setdefault(id(self), [])
         if topic != "configuration":
             return store(self, topic, version, body)
         bodies.append(body)
         return store(self, topic, version, bodies[-3] if len(bodies) % 4 == 0 else body)
 
-    with mock.patch.object(SubscribedTopics, "_store", forgetful):
+    with mock.patch.object(SubscribedTopics, "_store", store_older_body):
         yield
 
 
@@ -66,12 +66,12 @@
     """About one node in three never accepts a newer configuration."""
     store = SubscribedTopics._store
 
-    def deaf(self: SubscribedTopics, topic: str, version: VersionMark, body: Any):
+    def store_filtered(self: SubscribedTopics, topic: str, version: VersionMark, body: Any):
         if topic == "configuration" and self.body(topic) is not None and id(self) // 16 % 3 == 0:
             return None
         return store(self, topic, version, body)
 
-    with mock.patch.object(SubscribedTopics, "_store", deaf):
+    with mock.patch.object(SubscribedTopics, "_store", store_filtered):
         yield
 
 
@@ -80,10 +80,10 @@
     """No node learns that a zone was drained."""
     store = SubscribedTopics._store
 
-    def deaf(self: SubscribedTopics, topic: str, version: VersionMark, body: Any):
+    def store_filtered(self: SubscribedTopics, topic: str, version: VersionMark, body: Any):
         return store(self, topic, version, ZonesBody([]) if topic == "zones" else body)
 
-    with mock.patch.object(SubscribedTopics, "_store", deaf):
+    with mock.patch.object(SubscribedTopics, "_store", store_filtered):
         yield
 
 
@@ -92,24 +92,24 @@
     """No node learns that a replica is leaving."""
     store = SubscribedTopics._store
 
-    def deaf(self: SubscribedTopics, topic: str, version: VersionMark, body: Any):
+    def store_filtered(self: SubscribedTopics, topic: str, version: VersionMark, body: Any):
         if topic == "replicas":
             for replica in body.replicas:
                 replica.leaving = False
         return store(self, topic, version, body)
 
-    with mock.patch.object(SubscribedTopics, "_store", deaf):
+    with mock.patch.object(SubscribedTopics, "_store", store_filtered):
         yield
 
 
 @contextmanager
 def _no_slow_start() -> Iterator[None]:
     """Replicas and regions get their full share of traffic as soon as they return."""
-    whole = lambda *_: 1.0  # noqa: E731
+    full_share = lambda *_: 1.0  # noqa: E731
     with (
-        mock.patch.object(slow_start_tracker.SlowStartTracker, "replica_share", whole),
-        mock.patch.object(slow_start_tracker.SlowStartTracker, "capacity_share", whole),
-        mock.patch.object(slow_start_tracker.SlowStartTracker, "region_share", whole),
+        mock.patch.object(slow_start_tracker.SlowStartTracker, "replica_share", full_share),
+        mock.patch.object(slow_start_tracker.SlowStartTracker, "capacity_share", full_share),
+        mock.patch.object(slow_start_tracker.SlowStartTracker, "region_share", full_share),
         mock.patch.object(slow_start_tracker.SlowStartTracker, "slow_start_since", lambda *_: None),
     ):
         yield
@@ -120,11 +120,11 @@
     """Fronts ignore the home regions of routes."""
     route = RoutingView.route
 
-    def unbound(self: RoutingView, name: str):
+    def route_without_homes(self: RoutingView, name: str):
         found = route(self, name)
         return attrs.evolve(found, home_regions=()) if found else None
 
-    with mock.patch.object(RoutingView, "route", unbound):
+    with mock.patch.object(RoutingView, "route", route_without_homes):
         yield
 
 
@@ -133,7 +133,7 @@
     """Fronts forward stream lines even if the check of their ids and indices fails."""
     check = StreamChecker._check
 
-    def blind(self: StreamChecker, line: bytes, texts: list[str]) -> str:
+    def check_ignoring_faults(self: StreamChecker, line: bytes, texts: list[str]) -> str:
         fault = check(self, line, texts)
         if not fault:
             return ""
@@ -141,21 +141,23 @@
             self._end_line = line + b"\n"
         return ""
 
-    with mock.patch.object(StreamChecker, "_check", blind):
+    with mock.patch.object(StreamChecker, "_check", check_ignoring_faults):
         yield
 
 
 @contextmanager
 def _write_again_after_any_failure() -> Iterator[None]:
     """A once-only request is sent again after any failure, even if it may have run."""
-    ended = once_only_component.OnceOnlyComponent._on_backend_finished
+    on_backend_finished = once_only_component.OnceOnlyComponent._on_backend_finished
 
-    def careless(self, event, now):
+    def handle_as_not_sent(self, event, now):
         if hasattr(event, "send_state"):
             event = attrs.evolve(event, send_state=SendState.NOT_SENT)
-        return ended(self, event, now)
+        return on_backend_finished(self, event, now)
 
-    with mock.patch.object(once_only_component.OnceOnlyComponent, "_on_backend_finished", careless):
+    with mock.patch.object(
+        once_only_component.OnceOnlyComponent, "_on_backend_finished", handle_as_not_sent
+    ):
         yield
 
 
@@ -163,12 +165,12 @@
 def _say_not_run_when_unknown() -> Iterator[None]:
     """A once-only request whose outcome is unknown is answered "not run"."""
 
-    given_up = answers.failure_answer
+    failure_answer = answers.failure_answer
 
-    def wrong(http_id, head, why, *, not_run):
-        return given_up(http_id, head, why, not_run=True)
+    def always_not_run(http_id, head, why, *, not_run):
+        return failure_answer(http_id, head, why, not_run=True)
 
-    with mock.patch.object(answers, "failure_answer", wrong):
+    with mock.patch.object(answers, "failure_answer", always_not_run):
         yield
 
 
@@ -176,16 +178,16 @@
 def _orders_without_fencing() -> Iterator[None]:
     """Controllers act on expired grants, and replicas accept any fencing token."""
     grant = CoreLink.grant
-    last: dict[tuple[int, str], Any] = {}
+    last_grants: dict[tuple[int, str], Any] = {}
 
-    def for_ever(self: CoreLink, role_key: str, now: float):
+    def grant_without_expiry(self: CoreLink, role_key: str, now: float):
         current = grant(self, role_key, now)
         if current is not None:
-            last[(id(self), role_key)] = current
-        return current or last.get((id(self), role_key))
+            last_grants[(id(self), role_key)] = current
+        return current or last_grants.get((id(self), role_key))
 
     with (
-        mock.patch.object(CoreLink, "grant", for_ever),
+        mock.patch.object(CoreLink, "grant", grant_without_expiry),
         mock.patch.object(CoreLink, "grant_until", lambda self, role_key, now: now + 3.0),
         mock.patch.object(LoadedModels, "admit_token", lambda *_: True),
     ):
--- a/rooklug_lab/sim/network.py
+++ b/rooklug_lab/sim/network.py
@@ -23,7 +23,7 @@
 Deliver = Callable[[], None]
 
 
-def _unnoticed() -> None:
+def _ignore_loss() -> None:
     """Do nothing: the sender finds out through its own deadline."""
 
 
@@ -37,7 +37,7 @@
 
 
 @attrs.frozen
-class _Held:
+class _HeldPacket:
     """A packet held back by a cut; ``since`` is the virtual time at which it was held."""
 
     number: int
@@ -63,7 +63,7 @@
         self._region_delay_s = region_delay_s
         self._late_share = late_share
         self._cuts: dict[tuple[str, str], int] = {}
-        self._held: dict[tuple[str, str], list[_Held]] = {}
+        self._held: dict[tuple[str, str], list[_HeldPacket]] = {}
         self._resumes: dict[tuple[str, str], float] = {}
         self.messages = 0
 
@@ -102,7 +102,7 @@
         destination: Place,
         deliver: Deliver,
         not_before: float = 0.0,
-        lost: Deliver = _unnoticed,
+        lost: Deliver = _ignore_loss,
     ) -> float:
         """Send a packet of an established connection; return when it should arrive.
 
@@ -136,7 +136,7 @@
         return SAME_ZONE_DELAY_S
 
     def _hold(self, pair: tuple[str, str], number: int, deliver: Deliver, lost: Deliver) -> None:
-        held = _Held(number, self._scheduler.now, deliver, lost)
+        held = _HeldPacket(number, self._scheduler.now, deliver, lost)
         self._held.setdefault(pair, []).append(held)
 
     def _heal_pair(self, pair: tuple[str, str]) -> None:
@@ -150,6 +150,6 @@
         self._resumes[pair] = arrival
         connections_survive = self._random.random() < self._late_share
         for packet in sorted(held, key=lambda packet: packet.number):
-            young = self._scheduler.now - packet.since < CONNECTION_LIFETIME_S
-            arrives = young and connections_survive
-            self._scheduler.at(arrival, packet.deliver if arrives else packet.lost)
+            within_lifetime = self._scheduler.now - packet.since < CONNECTION_LIFETIME_S
+            is_delivered = within_lifetime and connections_survive
+            self._scheduler.at(arrival, packet.deliver if is_delivered else packet.lost)
--- a/rooklug_lab/sim/process.py
+++ b/rooklug_lab/sim/process.py
@@ -14,7 +14,7 @@
 
 COMPUTE_S = 0.05
 BuildReducer = Callable[[ProcessContext], Reducer]
-Obey = Callable[["SimulatedProcess", fx.Effect], None]
+ApplyEffect = Callable[["SimulatedProcess", fx.Effect], None]
 
 BLANK_DISK = "blank"
 
@@ -35,7 +35,7 @@
     build: BuildReducer
     scheduler: Scheduler
     random: Random
-    obey: Obey
+    apply_effect: ApplyEffect
     disk: SimulatedDisk | None = None
     clock_rate: float = 1.0
     clock_offset: float = 0.0
@@ -124,12 +124,12 @@
         for effect in self.reducer.handle(event, self.local_now()):
             if not self.running:
                 return
-            self._carry_out(effect)
+            self._apply(effect)
 
     def act(self, action: Callable[[Reducer, float], list[fx.Effect]]) -> None:
         """Run an action on the reducer of a stand-in, outside any event, and apply its effects."""
         for effect in action(self.reducer, self.local_now()):
-            self._carry_out(effect)
+            self._apply(effect)
 
     def deliver_if(self, generation: int, event: ev.Event) -> None:
         """Deliver an event, but drop it if the process was killed or restarted meanwhile."""
@@ -145,7 +145,7 @@
             problem = BLANK_DISK
         return ev.Started(self.disk.records(), self.disk.identity, problem)
 
-    def _carry_out(self, effect: fx.Effect) -> None:
+    def _apply(self, effect: fx.Effect) -> None:
         kind = type(effect)
         if kind is fx.StartTimer:
             self._start_timer(effect)
@@ -158,7 +158,7 @@
         elif kind is fx.Log:
             self.log.append((self.scheduler.now, effect))
         else:
-            self.obey(self, effect)
+            self.apply_effect(self, effect)
 
     def _start_timer(self, effect: fx.StartTimer) -> None:
         self._timer_sequence += 1
--- a/rooklug_lab/sim/readback.py
+++ b/rooklug_lab/sim/readback.py
@@ -5,9 +5,9 @@
 from rooklug.engine.reducer import ProcessContext
 from rooklug_lab.oracles.evidence import ReadBack
 
-DEADLINE_S = 2.0
-AGAIN_S = 0.3
-_AGAIN = "again"
+REQUEST_DEADLINE_S = 2.0
+RETRY_DELAY_S = 0.3
+_RETRY_TIMER = "again"
 
 
 class ReadBackClient:
@@ -19,7 +19,7 @@
         self.result: ReadBack | None = None
         self._addresses = addresses
         self._context: ProcessContext | None = None
-        self._tries = 0
+        self._attempts = 0
 
     def attach(self, context: ProcessContext) -> "ReadBackClient":
         """Set the context of the process that runs this reducer; return the reducer itself."""
@@ -36,11 +36,11 @@
             )
             return []
         if isinstance(event, ev.HttpAnswered | ev.HttpFailed):
-            return [fx.StartTimer(_AGAIN, AGAIN_S)]
-        address = self._addresses[self._tries % len(self._addresses)]
-        self._tries += 1
+            return [fx.StartTimer(_RETRY_TIMER, RETRY_DELAY_S)]
+        address = self._addresses[self._attempts % len(self._addresses)]
+        self._attempts += 1
         call_id = self._context.identifiers.next()
-        return [fx.HttpCall(call_id, address, "GET", "/v1/config", b"", DEADLINE_S)]
+        return [fx.HttpCall(call_id, address, "GET", "/v1/config", b"", REQUEST_DEADLINE_S)]
 
     def metrics(self, now: float) -> tuple:
         """Return no metrics: the simulator reads ``result`` instead."""
--- a/rooklug_lab/sim/runner.py
+++ b/rooklug_lab/sim/runner.py
@@ -77,10 +77,10 @@
 
 def run_scenario(name: str, seed: int, deployment_name: str) -> Run:
     """Run a scenario in virtual time, then check its evidence against every promise."""
-    began = time.perf_counter()
+    started_at_s = time.perf_counter()
     deployment = build_deployment(deployment_name)
     site = Site(deployment, seed)
-    site.evidence.homes = _homes(deployment.document)
+    site.evidence.homes = _home_regions(deployment.document)
     site.add_operator(())
     site.add_operator((), region=deployment.regions[-1], watch_interval_s=0.0)
     site.add_callers(TRAFFIC_AT_S, TRAFFIC_S)
@@ -92,7 +92,9 @@
     evidence = site.evidence
     evidence.documents = site.orders.expected_documents(evidence.operators)
     violations = judge(evidence)
-    report = _report(name, seed, deployment_name, site, violations, time.perf_counter() - began)
+    report = _report(
+        name, seed, deployment_name, site, violations, time.perf_counter() - started_at_s
+    )
     return Run(report, violations, site)
 
 
@@ -108,7 +110,7 @@
         fault_at += random.random() * SECOND_FAULT_SPREAD_S
 
 
-def _homes(document: bytes) -> dict[str, tuple[str, ...]]:
+def _home_regions(document: bytes) -> dict[str, tuple[str, ...]]:
     routes = json.loads(document)["routes"]
     return {name: tuple(route.get("home_regions", ())) for name, route in routes.items()}
 
--- a/rooklug_lab/sim/scenarios.py
+++ b/rooklug_lab/sim/scenarios.py
@@ -14,17 +14,17 @@
 from rooklug_lab.standins.once_backend import BackendFaults
 
 FaultAction = Callable[[Site, Random], None]
-SILENCE_S = 20.0
-SHORT_S = 4.0
-FAULTY_S = 12.0
+LONG_OUTAGE_S = 20.0
+SHORT_OUTAGE_S = 4.0
+FAULT_DURATION_S = 12.0
 TRAFFIC_WINDOW_S = 5.0
 
 
-def _one(site: Site, random: Random, group: str) -> str:
+def _random_member(site: Site, random: Random, group: str) -> str:
     return random.choice(site.groups[group])
 
 
-def _replica(site: Site, random: Random) -> str:
+def _random_busy_replica(site: Site, random: Random) -> str:
     """Return a replica with recent traffic, if any: a fault of an idle one tests nothing."""
     since = site.world.now - TRAFFIC_WINDOW_S
     busy = [
@@ -35,7 +35,7 @@
     return random.choice(busy or [replica.replica_id for replica in site.deployment.replicas])
 
 
-def _backend(site: Site, random: Random) -> str:
+def _random_backend(site: Site, random: Random) -> str:
     return random.choice(site.deployment.backends).replica_id
 
 
@@ -45,7 +45,7 @@
 
 def kill_core(site: Site, random: Random) -> None:
     """Kill a random core."""
-    site.kill([_one(site, random, CORES)], random.uniform(1.0, 10.0))
+    site.kill([_random_member(site, random, CORES)], random.uniform(1.0, 10.0))
 
 
 def kill_primary(site: Site, random: Random) -> None:
@@ -60,19 +60,19 @@
 
 def freeze_primary(site: Site, random: Random) -> None:
     """Suspend the primary core for twenty seconds, then resume it."""
-    site.freeze([site.primary()], SILENCE_S)
+    site.freeze([site.primary()], LONG_OUTAGE_S)
 
 
 def cut_primary(site: Site, random: Random) -> None:
     """Cut the primary's machine off from the network silently for twenty seconds."""
-    site.cut([site.primary()], SILENCE_S)
+    site.cut([site.primary()], LONG_OUTAGE_S)
 
 
 def isolate_primary(site: Site, random: Random) -> None:
     """Cut the primary off from the other cores only, during many changes; then lose its disk."""
     primary = site.primary()
     others = [site.process(name).place for name in site.groups[CORES] if name != primary]
-    site.cut_places([site.process(primary).place], others, SHORT_S)
+    site.cut_places([site.process(primary).place], others, SHORT_OUTAGE_S)
     for number in range(20):
         site.at(site.world.now + number * 0.1, site.order_patch)
     site.at(site.world.now + 2.2, lambda: site.kill([primary], 6.0, lose_disk=True))
@@ -81,26 +81,26 @@
 def cut_core_one_way(site: Site, random: Random) -> None:
     """Cut a core off in one direction: it can receive but not send, or the reverse."""
     inbound = random.random() < 0.5
-    site.cut([_one(site, random, CORES)], 10.0, inbound=inbound, outbound=not inbound)
+    site.cut([_random_member(site, random, CORES)], 10.0, inbound=inbound, outbound=not inbound)
 
 
 def stall_disk(site: Site, random: Random) -> None:
     """Stall a core's disk for two to twelve seconds."""
-    site.stall_disk(_one(site, random, CORES), random.uniform(2.0, 12.0))
+    site.stall_disk(_random_member(site, random, CORES), random.uniform(2.0, 12.0))
 
 
 def freeze_controllers(site: Site, random: Random) -> None:
     """Suspend all controllers but one for twenty seconds, probably including the placer."""
     names = list(site.groups[CONTROLLERS])
     random.shuffle(names)
-    site.freeze(names[:-1], SILENCE_S)
+    site.freeze(names[:-1], LONG_OUTAGE_S)
 
 
 def cut_controllers(site: Site, random: Random) -> None:
     """Cut two controllers off from the network silently for twenty seconds."""
     names = list(site.groups[CONTROLLERS])
     random.shuffle(names)
-    site.cut(names[:2], SILENCE_S)
+    site.cut(names[:2], LONG_OUTAGE_S)
 
 
 def kill_controllers(site: Site, random: Random) -> None:
@@ -132,14 +132,14 @@
 def freeze_fronts(site: Site, random: Random) -> None:
     """Suspend one to three fronts for up to twenty seconds, then resume them."""
     names = random.sample(site.groups[FRONTS], random.randint(1, 3))
-    site.freeze(names, random.uniform(3.0, SILENCE_S))
+    site.freeze(names, random.uniform(3.0, LONG_OUTAGE_S))
 
 
 def cut_front(site: Site, random: Random) -> None:
     """Cut a front's machine off from the network, in one direction or both."""
     inbound = random.random() < 0.7
     outbound = not inbound or random.random() < 0.7
-    site.cut([_one(site, random, FRONTS)], random.uniform(3.0, 15.0), inbound, outbound)
+    site.cut([_random_member(site, random, FRONTS)], random.uniform(3.0, 15.0), inbound, outbound)
 
 
 def kill_zone(site: Site, random: Random) -> None:
@@ -155,40 +155,40 @@
 
 def kill_replica(site: Site, random: Random) -> None:
     """Kill a replica; it restarts cold, with an empty cache."""
-    site.kill([_replica(site, random)], random.uniform(1.0, 6.0))
+    site.kill([_random_busy_replica(site, random)], random.uniform(1.0, 6.0))
 
 
 def kill_replica_twice(site: Site, random: Random) -> None:
     """Kill a replica, and kill it again shortly after its recovery."""
-    replica = _replica(site, random)
+    replica = _random_busy_replica(site, random)
     site.kill([replica], 2.0)
     site.at(site.world.now + random.uniform(9.0, 14.0), lambda: site.kill([replica], 2.0))
 
 
 def kill_all_replicas(site: Site, random: Random) -> None:
     """Kill all replicas; they restart together, cold."""
-    site.kill([replica.replica_id for replica in site.deployment.replicas], SHORT_S)
+    site.kill([replica.replica_id for replica in site.deployment.replicas], SHORT_OUTAGE_S)
 
 
 def freeze_replica(site: Site, random: Random) -> None:
     """Suspend a replica for three to ten seconds."""
-    site.freeze([_replica(site, random)], random.uniform(3.0, 10.0))
+    site.freeze([_random_busy_replica(site, random)], random.uniform(3.0, 10.0))
 
 
 def cut_backend(site: Site, random: Random) -> None:
     """Cut a once-only back end off, sometimes outbound only: answers are lost or late."""
     inbound = random.random() < 0.5
-    site.cut([_backend(site, random)], random.uniform(2.0, 10.0), inbound, outbound=True)
+    site.cut([_random_backend(site, random)], random.uniform(2.0, 10.0), inbound, outbound=True)
 
 
 def kill_backend(site: Site, random: Random) -> None:
     """Kill a once-only back end; it restarts within seconds."""
-    site.kill([_backend(site, random)], random.uniform(1.0, 6.0))
+    site.kill([_random_backend(site, random)], random.uniform(1.0, 6.0))
 
 
 def freeze_backend(site: Site, random: Random) -> None:
     """Suspend a once-only back end for a few seconds: its answers are late."""
-    site.freeze([_backend(site, random)], random.uniform(2.0, 8.0))
+    site.freeze([_random_backend(site, random)], random.uniform(2.0, 8.0))
 
 
 def bad_streams(site: Site, random: Random) -> None:
@@ -224,14 +224,14 @@
 
 def replica_leaves(site: Site, random: Random) -> None:
     """The platform marks a replica as leaving, and unmarks it twelve seconds later."""
-    replica = _replica(site, random)
+    replica = _random_busy_replica(site, random)
     _mark_leaving(site, replica, True)
     site.at(site.world.now + 12.0, lambda: _mark_leaving(site, replica, False))
 
 
 def backend_leaves(site: Site, random: Random) -> None:
     """The platform marks a once-only back end as leaving, and unmarks it twelve seconds later."""
-    backend = _backend(site, random)
+    backend = _random_backend(site, random)
     _mark_leaving(site, backend, True)
     site.at(site.world.now + 12.0, lambda: _mark_leaving(site, backend, False))
 
@@ -271,7 +271,7 @@
 def _switch_faults(site: Site, name: str, faults, no_faults) -> None:
     process = site.process(name)
     process.act(lambda reducer, now: _set_faults(reducer, faults, now))
-    later = site.world.now + FAULTY_S
+    later = site.world.now + FAULT_DURATION_S
     site.at(later, lambda: process.act(lambda reducer, now: _set_faults(reducer, no_faults, now)))
 
 
--- a/rooklug_lab/sim/site.py
+++ b/rooklug_lab/sim/site.py
@@ -44,7 +44,7 @@
         self.deployment = deployment
         self.world = World(seed, deployment.one_way_delay_s)
         self.evidence = Evidence(orders_sent=[])
-        self.world.http.watch = self._watch_orders
+        self.world.http.watch = self._record_order
         self.groups: dict[str, list[str]] = {CORES: [], FRONTS: [], CONTROLLERS: []}
         self._add_nodes()
         self._add_back_ends()
@@ -58,8 +58,8 @@
         for settings in self.deployment.callers(duration_s, start_s):
             journal = CallerJournal(settings.caller_id)
             self.evidence.callers.append(journal)
-            once = all(load.kind == "once" for load in settings.loads)
-            caller = OnceCaller if once else ModelCaller
+            is_once_only = all(load.kind == "once" for load in settings.loads)
+            caller = OnceCaller if is_once_only else ModelCaller
             self._add_stand_in(
                 settings.caller_id,
                 settings.address,
@@ -155,7 +155,7 @@
             self.world.kill(self.process(name))
             if lose_disk and self.process(name).disk is not None:
                 self.process(name).disk.lose()
-        self._fault("kill", names, for_s)
+        self._record_fault("kill", names, for_s)
         self.world.scheduler.after(for_s, lambda: self._restart(names))
 
     def freeze(self, names: Iterable[str], for_s: float) -> None:
@@ -163,7 +163,7 @@
         names = list(names)
         for name in names:
             self.process(name).freeze()
-        self._fault("freeze", names, for_s)
+        self._record_fault("freeze", names, for_s)
         self.world.scheduler.after(for_s, lambda: [self.process(name).thaw() for name in names])
 
     def cut(self, names: Iterable[str], for_s: float, inbound: bool = True, outbound: bool = True):
@@ -174,7 +174,7 @@
         outside = [p.place for p in self.world.processes.values() if p.place.ip not in ips]
         self.cut_places(inside, outside, for_s, inbound, outbound)
         on_machine = [p.name for p in self.world.processes.values() if p.place.ip in ips]
-        self._fault("cut", on_machine, for_s)
+        self._record_fault("cut", on_machine, for_s)
 
     def cut_regions(self, for_s: float) -> None:
         """Drop all packets between the first region and the others for ``for_s``."""
@@ -183,7 +183,7 @@
         inside = [p.place for p in processes if p.place.region == first]
         outside = [p.place for p in processes if p.place.region != first]
         self.cut_places(inside, outside, for_s)
-        self._fault("region-cut", ["all"], for_s)
+        self._record_fault("region-cut", ["all"], for_s)
 
     def cut_places(
         self,
@@ -194,7 +194,7 @@
         outbound: bool = True,
     ) -> None:
         """Drop all packets between two sets of places, in one direction or both, for ``for_s``."""
-        inside, outside = _unique(inside), _unique(outside)
+        inside, outside = _unique_places(inside), _unique_places(outside)
         network = self.world.network
         if outbound:
             network.cut(inside, outside)
@@ -206,7 +206,7 @@
     def stall_disk(self, name: str, for_s: float) -> None:
         """Stall the disk of a process: none of its writes finishes for ``for_s``."""
         self.process(name).disk.stalled_until = self.world.now + for_s
-        self._fault("core-disk-stall", [name], for_s)
+        self._record_fault("core-disk-stall", [name], for_s)
 
     def at(self, time: float, action: Callable[[], None]) -> None:
         """Run an action of the scenario at a virtual time, in seconds since the start."""
@@ -223,7 +223,7 @@
             and not process.name.startswith(("operator", "platform"))
         ]
 
-    def _watch_orders(self, sender: SimulatedProcess, call: HttpCall) -> None:
+    def _record_order(self, sender: SimulatedProcess, call: HttpCall) -> None:
         if call.path in ORDER_PATHS:
             token = tuple(json.loads(call.body)["token"])
             order = OrderSent(self.world.now, sender.name, token)
@@ -284,7 +284,7 @@
         for name in names:
             self.world.restart(self.process(name))
 
-    def _fault(self, kind: str, names: list[str], for_s: float) -> None:
+    def _record_fault(self, kind: str, names: list[str], for_s: float) -> None:
         started = self.world.now
         for name in names:
             is_core = name in self.groups[CORES] and not kind.startswith("core")
@@ -300,5 +300,5 @@
         return (figures["core_primary"], figures["core_epoch"])
 
 
-def _unique(places: list[Place]) -> list[Place]:
+def _unique_places(places: list[Place]) -> list[Place]:
     return list({place.ip: place for place in places}.values())
--- a/rooklug_lab/sim/world.py
+++ b/rooklug_lab/sim/world.py
@@ -29,16 +29,16 @@
     def __init__(self, seed: int, region_delay_s: float) -> None:
         self.scheduler = Scheduler()
         self.random = Random(seed)
-        self.network = Network(self.scheduler, self._fork(), region_delay_s)
+        self.network = Network(self.scheduler, self._derive_random(), region_delay_s)
         self.calls = CallTransport(self.scheduler, self.network)
-        self.http = HttpTransport(self.scheduler, self.network, self._fork())
+        self.http = HttpTransport(self.scheduler, self.network, self._derive_random())
         self.processes: dict[str, SimulatedProcess] = {}
-        self._obey_by_type = {
+        self._handlers_by_effect = {
             fx.Call: self.calls.call,
             fx.Answer: self.calls.answer,
             fx.HttpCall: self.http.call,
             fx.CancelHttpCall: lambda process, effect: self.http.cancel(process, effect.call_id),
-            fx.StopProcess: self._stop,
+            fx.StopProcess: self._handle_stop,
             **dict.fromkeys(_HTTP_SERVER_EFFECTS, self.http.serve),
         }
 
@@ -57,7 +57,7 @@
         Its monotonic clock has a random offset and rate, unless ``true_clock``, as stand-ins
         have, makes it the world's own clock.
         """
-        random = self._fork()
+        random = self._derive_random()
         process = SimulatedProcess(
             name=name,
             place=place,
@@ -66,8 +66,8 @@
             build=build,
             scheduler=self.scheduler,
             random=random,
-            obey=self._obey,
-            disk=SimulatedDisk(self.scheduler, self._fork()) if has_disk else None,
+            apply_effect=self._apply_effect,
+            disk=SimulatedDisk(self.scheduler, self._derive_random()) if has_disk else None,
             clock_offset=0.0 if true_clock else random.random() * CLOCK_OFFSET_MAX_S,
             clock_rate=1.0 if true_clock else 1.0 + (random.random() - 0.5) * CLOCK_RATE_SPREAD,
         )
@@ -82,7 +82,7 @@
         """Kill a process; its peers see connection resets if the machine is up."""
         if process.running:
             process.kill()
-            self._connections_end(process)
+            self._close_connections(process)
 
     def restart(self, process: SimulatedProcess) -> None:
         """Bring the machine up and start the process, unless it is running."""
@@ -104,16 +104,16 @@
         """Virtual time since the world was created, in seconds."""
         return self.scheduler.now
 
-    def _fork(self) -> Random:
+    def _derive_random(self) -> Random:
         return Random(self.random.getrandbits(64))
 
-    def _connections_end(self, process: SimulatedProcess) -> None:
+    def _close_connections(self, process: SimulatedProcess) -> None:
         self.calls.process_died(process)
         self.http.process_died(process)
 
-    def _obey(self, process: SimulatedProcess, effect: fx.Effect) -> None:
-        self._obey_by_type[type(effect)](process, effect)
+    def _apply_effect(self, process: SimulatedProcess, effect: fx.Effect) -> None:
+        self._handlers_by_effect[type(effect)](process, effect)
 
-    def _stop(self, process: SimulatedProcess, effect: fx.StopProcess) -> None:
+    def _handle_stop(self, process: SimulatedProcess, effect: fx.StopProcess) -> None:
         self.kill(process)
         process.exit_code = effect.exit_code
--- a/tests/test_sim_scenarios.py
+++ b/tests/test_sim_scenarios.py
@@ -24,7 +24,7 @@
 
 
 class ScenarioTest(unittest.TestCase):
-    def test_every_failure_keeps_every_promise(self) -> None:
+    def test_every_scenario_keeps_every_promise(self) -> None:
         names = [*FAULTS, *PAIRS]
         jobs = [
             Job(name, SEED, ("payroll", "quiz")[number % 2]) for number, name in enumerate(names)
@@ -33,7 +33,7 @@
             with self.subTest(job=finished.job):
                 self.assertEqual((finished.violations, finished.crash), ((), ""))
 
-    def test_every_guard_is_missed(self) -> None:
+    def test_every_disabled_guard_breaks_its_promise(self) -> None:
         missing = dict(MUTATIONS)
         for seed in SEEDS_FOR_A_MUTATION:
             jobs = [
@@ -46,7 +46,7 @@
                     del missing[mutation.name]
         self.assertEqual(list(missing), [])
 
-    def test_same_seed_same_run(self) -> None:
+    def test_same_seed_gives_the_same_report(self) -> None:
         first = run_scenario("kill-zone", 5, "payroll").report.as_json()
         second = run_scenario("kill-zone", 5, "payroll").report.as_json()
         self.assertEqual(first, second)
--- a/tests/test_sim_world.py
+++ b/tests/test_sim_world.py
@@ -31,7 +31,7 @@
     def metrics(self, now: float) -> tuple:
         return ()
 
-    def seen(self, event_type: type) -> list[ev.Event]:
+    def events_of_type(self, event_type: type) -> list[ev.Event]:
         return [event for event in self.events if isinstance(event, event_type)]
 
 
@@ -63,12 +63,14 @@
         self.build([fx.Call(1, "s:2", mark, 1.0)], echo)
         self.start_client()
         self.world.run_for(1.9 * REGION_DELAY_S)
-        self.assertEqual(self.client_reducer.seen(ev.CallAnswered), [])
+        self.assertEqual(self.client_reducer.events_of_type(ev.CallAnswered), [])
         self.world.run_for(1.0)
-        self.assertEqual(self.client_reducer.seen(ev.CallAnswered), [ev.CallAnswered(1, mark)])
-        self.assertEqual(self.client_reducer.seen(ev.CallFailed), [])
+        self.assertEqual(
+            self.client_reducer.events_of_type(ev.CallAnswered), [ev.CallAnswered(1, mark)]
+        )
+        self.assertEqual(self.client_reducer.events_of_type(ev.CallFailed), [])
 
-    def test_call_held_by_a_cut_may_arrive_after_the_caller_gave_up(self) -> None:
+    def test_call_held_by_a_cut_may_arrive_after_the_caller_timed_out(self) -> None:
         arrivals = set()
         for seed in range(20):
             self.build([fx.Call(1, "s:2", VersionMark(1, 2), 1.0)], lambda event: [])
@@ -76,15 +78,15 @@
             self.world.network.cut([HERE], [THERE])
             self.start_client()
             self.world.run_for(2.0)
-            [failure] = self.client_reducer.seen(ev.CallFailed)
+            [failure] = self.client_reducer.events_of_type(ev.CallFailed)
             self.assertTrue(failure.maybe_delivered)
             self.world.network.heal([HERE], [THERE])
             self.world.run_for(2.0)
-            arrivals.add(len(self.server_reducer.seen(ev.CallArrived)))
+            arrivals.add(len(self.server_reducer.events_of_type(ev.CallArrived)))
         self.assertEqual(arrivals, {0, 1})
 
-    def test_broken_stream_is_a_failure_not_an_end(self) -> None:
-        def break_off(event: ev.Event) -> list[fx.Effect]:
+    def test_aborted_stream_is_a_failure_not_a_completed_response(self) -> None:
+        def abort_stream(event: ev.Event) -> list[fx.Effect]:
             if isinstance(event, ev.HttpRequestArrived):
                 request = event.request_id
                 return [
@@ -95,13 +97,13 @@
             return []
 
         call = fx.HttpCall(1, "s:1", "POST", "/x?a=1", b"body", 5.0, streaming=True)
-        self.build([call], break_off)
+        self.build([call], abort_stream)
         self.start_client()
         self.world.run_for(1.0)
-        [failure] = self.client_reducer.seen(ev.HttpFailed)
+        [failure] = self.client_reducer.events_of_type(ev.HttpFailed)
         self.assertEqual(failure.send_state, ev.SendState.RESPONDING)
-        self.assertEqual(self.client_reducer.seen(ev.HttpResponseCompleted), [])
-        [arrived] = self.server_reducer.seen(ev.HttpRequestArrived)
+        self.assertEqual(self.client_reducer.events_of_type(ev.HttpResponseCompleted), [])
+        [arrived] = self.server_reducer.events_of_type(ev.HttpRequestArrived)
         self.assertEqual((arrived.path, arrived.query), ("/x", {"a": "1"}))
 
     def test_a_stream_keeps_its_order_over_a_cut_or_breaks(self) -> None:
@@ -112,25 +114,27 @@
             self.world.network._random = Random(seed)
             self.start_client()
             self.world.run_for(0.2)
-            [arrived] = self.server_reducer.seen(ev.HttpRequestArrived)
-            self.send_pieces(arrived.request_id, ("a", "b"))
+            [arrived] = self.server_reducer.events_of_type(ev.HttpRequestArrived)
+            self.send_chunks(arrived.request_id, ("a", "b"))
             self.world.network.cut([THERE], [HERE])
-            self.send_pieces(arrived.request_id, ("c", "d"))
+            self.send_chunks(arrived.request_id, ("c", "d"))
             self.world.run_for(1.0)
             self.world.network.heal([THERE], [HERE])
-            self.send_pieces(arrived.request_id, ("e", "f"))
+            self.send_chunks(arrived.request_id, ("e", "f"))
             self.world.run_for(3.0)
-            pieces = b"".join(p.data for p in self.client_reducer.seen(ev.HttpBodyChunk))
-            self.assertTrue(b"abcdef".startswith(pieces), pieces)
-            broken = len(self.client_reducer.seen(ev.HttpFailed))
-            self.assertEqual(pieces == b"abcdef", broken == 0)
+            received = b"".join(
+                p.data for p in self.client_reducer.events_of_type(ev.HttpBodyChunk)
+            )
+            self.assertTrue(b"abcdef".startswith(received), received)
+            broken = len(self.client_reducer.events_of_type(ev.HttpFailed))
+            self.assertEqual(received == b"abcdef", broken == 0)
             endings.add(broken)
         self.assertEqual(endings, {0, 1})
 
-    def send_pieces(self, request_id: int, texts: tuple[str, ...]) -> None:
+    def send_chunks(self, request_id: int, texts: tuple[str, ...]) -> None:
         for text in texts:
-            piece = fx.HttpStreamChunk(request_id, text.encode())
-            self.world.http.serve(self.server, piece)
+            chunk = fx.HttpStreamChunk(request_id, text.encode())
+            self.world.http.serve(self.server, chunk)
 
     def test_killed_server_resets_the_connection(self) -> None:
         call = fx.HttpCall(1, "s:1", "POST", "/x", b"", 5.0)
@@ -139,7 +143,7 @@
         self.world.run_for(0.5)
         self.world.kill(self.server)
         self.world.run_for(0.5)
-        [failure] = self.client_reducer.seen(ev.HttpFailed)
+        [failure] = self.client_reducer.events_of_type(ev.HttpFailed)
         self.assertEqual(failure.send_state, ev.SendState.MAYBE_SENT)
 
     def test_only_synced_records_are_sure_to_survive(self) -> None:
@@ -151,19 +155,19 @@
             return []
 
         self.build([], write_one_then_another, has_disk=True)
-        while not self.server_reducer.seen(ev.WriteFinished):
+        while not self.server_reducer.events_of_type(ev.WriteFinished):
             self.world.run_for(0.0005)
         self.world.kill(self.server)
         self.assertIn(self.server.disk.files["log"], ([b"one"], [b"one", b"two"]))
         self.server.disk.lose()
         self.world.restart(self.server)
-        self.assertEqual(self.server_reducer.seen(ev.Started)[-1].disk_problem, "blank")
+        self.assertEqual(self.server_reducer.events_of_type(ev.Started)[-1].disk_problem, "blank")
 
-    def test_frozen_process_takes_its_events_afterwards(self) -> None:
+    def test_frozen_process_handles_queued_events_after_thaw(self) -> None:
         self.build([fx.StartTimer("tick", 1.0)], lambda event: [])
         client = self.start_client()
         client.freeze()
         self.world.run_for(20.0)
-        self.assertEqual(self.client_reducer.seen(ev.TimerFired), [])
+        self.assertEqual(self.client_reducer.events_of_type(ev.TimerFired), [])
         client.thaw()
-        self.assertEqual(self.client_reducer.seen(ev.TimerFired), [ev.TimerFired("tick")])
+        self.assertEqual(self.client_reducer.events_of_type(ev.TimerFired), [ev.TimerFired("tick")])
