--- a/rooklug_lab/sim/mutations.py
+++ b/rooklug_lab/sim/mutations.py
@@ -1,7 +1,8 @@
-"""Guards switched off one by one, to show that the oracles can fail.
+"""Mutations that disable one guard each, to show that the oracles detect its absence.
 
-Each mutation replaces one guard of a daemon (or of the stand-in replica) by nothing while
-its context is open, and names the scenario and the promise that must then be seen broken.
+Each mutation disables one guard of a daemon (or of the stand-in replica) while its context
+manager is active. It names the scenario to run and the promise that the oracles must then
+report as broken.
 """
 
 from collections.abc import Callable, Iterator
@@ -25,7 +26,7 @@
 
 @attrs.frozen
 class Mutation:
-    """A guard that can be switched off, and where that must show."""
+    """A guard that can be disabled, and the scenario and promise that must then fail."""
 
     name: str
     scenario: str
@@ -36,7 +37,7 @@
 
 @contextmanager
 def _acknowledge_before_replication() -> Iterator[None]:
-    """The primary acknowledges what only its own memory holds."""
+    """The primary acknowledges records before any other core has them."""
     with mock.patch.object(
         Replicator, "acknowledged_by_all", lambda self: self._store.last.sequence
     ):
@@ -45,70 +46,70 @@
 
 @contextmanager
 def _take_any_version() -> Iterator[None]:
-    """Fronts take a body whatever its version, here one older by two versions now and then."""
+    """Nodes accept older versions: every fourth configuration is one that is two updates old."""
     store = SubscribedTopics._store
     earlier: dict[int, list] = {}
 
-    def forgetful(self: SubscribedTopics, topic: str, version: VersionMark, body: Any):
+    def store_older_body(self: SubscribedTopics, topic: str, version: VersionMark, body: Any):
         bodies = earlier.setdefault(id(self), [])
         if topic != "configuration":
             return store(self, topic, version, body)
         bodies.append(body)
         return store(self, topic, version, bodies[-3] if len(bodies) % 4 == 0 else body)
 
-    with mock.patch.object(SubscribedTopics, "_store", forgetful):
+    with mock.patch.object(SubscribedTopics, "_store", store_older_body):
         yield
 
 
 @contextmanager
 def _ignore_configuration() -> Iterator[None]:
-    """One front in three never takes a newer configuration."""
+    """About one node in three never accepts a newer configuration."""
     store = SubscribedTopics._store
 
-    def deaf(self: SubscribedTopics, topic: str, version: VersionMark, body: Any):
+    def store_filtered(self: SubscribedTopics, topic: str, version: VersionMark, body: Any):
         if topic == "configuration" and self.body(topic) is not None and id(self) // 16 % 3 == 0:
             return None
         return store(self, topic, version, body)
 
-    with mock.patch.object(SubscribedTopics, "_store", deaf):
+    with mock.patch.object(SubscribedTopics, "_store", store_filtered):
         yield
 
 
 @contextmanager
 def _ignore_zones() -> Iterator[None]:
-    """No node hears of an emptied zone."""
+    """No node learns that a zone was drained."""
     store = SubscribedTopics._store
 
-    def deaf(self: SubscribedTopics, topic: str, version: VersionMark, body: Any):
+    def store_filtered(self: SubscribedTopics, topic: str, version: VersionMark, body: Any):
         return store(self, topic, version, ZonesBody([]) if topic == "zones" else body)
 
-    with mock.patch.object(SubscribedTopics, "_store", deaf):
+    with mock.patch.object(SubscribedTopics, "_store", store_filtered):
         yield
 
 
 @contextmanager
 def _ignore_leaving() -> Iterator[None]:
-    """No node hears that a replica leaves."""
+    """No node learns that a replica is leaving."""
     store = SubscribedTopics._store
 
-    def deaf(self: SubscribedTopics, topic: str, version: VersionMark, body: Any):
+    def store_filtered(self: SubscribedTopics, topic: str, version: VersionMark, body: Any):
         if topic == "replicas":
             for replica in body.replicas:
                 replica.leaving = False
         return store(self, topic, version, body)
 
-    with mock.patch.object(SubscribedTopics, "_store", deaf):
+    with mock.patch.object(SubscribedTopics, "_store", store_filtered):
         yield
 
 
 @contextmanager
 def _no_slow_start() -> Iterator[None]:
-    """Cold replicas and regions get their whole share at once."""
-    whole = lambda *_: 1.0  # noqa: E731
+    """Replicas and regions get their full share of traffic as soon as they return."""
+    full_share = lambda *_: 1.0  # noqa: E731
     with (
-        mock.patch.object(slow_start_tracker.SlowStartTracker, "replica_share", whole),
-        mock.patch.object(slow_start_tracker.SlowStartTracker, "capacity_share", whole),
-        mock.patch.object(slow_start_tracker.SlowStartTracker, "region_share", whole),
+        mock.patch.object(slow_start_tracker.SlowStartTracker, "replica_share", full_share),
+        mock.patch.object(slow_start_tracker.SlowStartTracker, "capacity_share", full_share),
+        mock.patch.object(slow_start_tracker.SlowStartTracker, "region_share", full_share),
         mock.patch.object(slow_start_tracker.SlowStartTracker, "slow_start_since", lambda *_: None),
     ):
         yield
@@ -116,23 +117,23 @@
 
 @contextmanager
 def _forget_homes() -> Iterator[None]:
-    """Fronts serve every route anywhere."""
+    """Fronts ignore the home regions of routes."""
     route = RoutingView.route
 
-    def unbound(self: RoutingView, name: str):
+    def route_without_homes(self: RoutingView, name: str):
         found = route(self, name)
         return attrs.evolve(found, home_regions=()) if found else None
 
-    with mock.patch.object(RoutingView, "route", unbound):
+    with mock.patch.object(RoutingView, "route", route_without_homes):
         yield
 
 
 @contextmanager
 def _trust_streams() -> Iterator[None]:
-    """Fronts pass on what replicas send without a look at ids and indices."""
+    """Fronts forward stream lines even if the check of their ids and indices fails."""
     check = StreamChecker._check
 
-    def blind(self: StreamChecker, line: bytes, texts: list[str]) -> str:
+    def check_ignoring_faults(self: StreamChecker, line: bytes, texts: list[str]) -> str:
         fault = check(self, line, texts)
         if not fault:
             return ""
@@ -140,51 +141,53 @@
             self._end_line = line + b"\n"
         return ""
 
-    with mock.patch.object(StreamChecker, "_check", blind):
+    with mock.patch.object(StreamChecker, "_check", check_ignoring_faults):
         yield
 
 
 @contextmanager
 def _write_again_after_any_failure() -> Iterator[None]:
-    """A once-only request is written again whatever became of the first write."""
-    ended = once_only_component.OnceOnlyComponent._on_backend_finished
+    """A once-only request is sent again after any failure, even if it may have run."""
+    on_backend_finished = once_only_component.OnceOnlyComponent._on_backend_finished
 
-    def careless(self, event, now):
+    def handle_as_not_sent(self, event, now):
         if hasattr(event, "send_state"):
             event = attrs.evolve(event, send_state=SendState.NOT_SENT)
-        return ended(self, event, now)
+        return on_backend_finished(self, event, now)
 
-    with mock.patch.object(once_only_component.OnceOnlyComponent, "_on_backend_finished", careless):
+    with mock.patch.object(
+        once_only_component.OnceOnlyComponent, "_on_backend_finished", handle_as_not_sent
+    ):
         yield
 
 
 @contextmanager
 def _say_not_run_when_unknown() -> Iterator[None]:
-    """A once-only request whose answer was lost is answered "not run"."""
+    """A once-only request whose outcome is unknown is answered "not run"."""
 
-    given_up = answers.failure_answer
+    failure_answer = answers.failure_answer
 
-    def wrong(http_id, head, why, *, not_run):
-        return given_up(http_id, head, why, not_run=True)
+    def always_not_run(http_id, head, why, *, not_run):
+        return failure_answer(http_id, head, why, not_run=True)
 
-    with mock.patch.object(answers, "failure_answer", wrong):
+    with mock.patch.object(answers, "failure_answer", always_not_run):
         yield
 
 
 @contextmanager
 def _orders_without_fencing() -> Iterator[None]:
-    """Controllers act on a grant that is over, and replicas obey any token."""
+    """Controllers act on expired grants, and replicas accept any fencing token."""
     grant = CoreLink.grant
-    last: dict[tuple[int, str], Any] = {}
+    last_grants: dict[tuple[int, str], Any] = {}
 
-    def for_ever(self: CoreLink, role_key: str, now: float):
+    def grant_without_expiry(self: CoreLink, role_key: str, now: float):
         current = grant(self, role_key, now)
         if current is not None:
-            last[(id(self), role_key)] = current
-        return current or last.get((id(self), role_key))
+            last_grants[(id(self), role_key)] = current
+        return current or last_grants.get((id(self), role_key))
 
     with (
-        mock.patch.object(CoreLink, "grant", for_ever),
+        mock.patch.object(CoreLink, "grant", grant_without_expiry),
         mock.patch.object(CoreLink, "grant_until", lambda self, role_key, now: now + 3.0),
         mock.patch.object(LoadedModels, "admit_token", lambda *_: True),
     ):
--- a/rooklug_lab/sim/runner.py
+++ b/rooklug_lab/sim/runner.py
@@ -1,4 +1,4 @@
-"""Runs one scenario under one seed and judges it."""
+"""Runs one scenario with one seed and checks the promises of the system."""
 
 import json
 import time
@@ -28,7 +28,7 @@
 
 @attrs.frozen
 class RunReport:
-    """What one run showed. Times in seconds; ``promises`` counts violations by name."""
+    """The results of one run. Times in seconds; ``promises`` counts violations by promise."""
 
     scenario: str
     seed: int
@@ -48,7 +48,7 @@
     passed: bool
 
     def as_json(self, with_real_time: bool = False) -> str:
-        """Return one JSON object; without the real time it is the same for the same seed."""
+        """Return one JSON object; without ``real_s`` the same seed gives the same text."""
         fields = attrs.asdict(self)
         if not with_real_time:
             del fields["real_s"]
@@ -57,7 +57,7 @@
 
 @attrs.frozen
 class Run:
-    """A finished run: its report, its violations and the site as it ended."""
+    """A finished run: its report, its violations and the final state of the site."""
 
     report: RunReport
     violations: dict[str, list[Violation]]
@@ -65,22 +65,22 @@
 
 
 def scenario_faults(name: str) -> list[FaultAction]:
-    """Return the faults of a scenario: one, or several joined by "+".
+    """Return the faults of a scenario, whose name is one fault or several joined by "+".
 
     Raises
     ------
     KeyError
-        A part of the name is no known fault.
+        A part of the name isn't a known fault.
     """
     return [FAULTS[part] for part in name.split(PAIR_SEPARATOR)]
 
 
 def run_scenario(name: str, seed: int, deployment_name: str) -> Run:
-    """Run a scenario in virtual time and judge it."""
-    began = time.perf_counter()
+    """Run a scenario in virtual time, then check its evidence against every promise."""
+    started_at_s = time.perf_counter()
     deployment = build_deployment(deployment_name)
     site = Site(deployment, seed)
-    site.evidence.homes = _homes(deployment.document)
+    site.evidence.homes = _home_regions(deployment.document)
     site.add_operator(())
     site.add_operator((), region=deployment.regions[-1], watch_interval_s=0.0)
     site.add_callers(TRAFFIC_AT_S, TRAFFIC_S)
@@ -92,7 +92,9 @@
     evidence = site.evidence
     evidence.documents = site.orders.expected_documents(evidence.operators)
     violations = judge(evidence)
-    report = _report(name, seed, deployment_name, site, violations, time.perf_counter() - began)
+    report = _report(
+        name, seed, deployment_name, site, violations, time.perf_counter() - started_at_s
+    )
     return Run(report, violations, site)
 
 
@@ -108,7 +110,7 @@
         fault_at += random.random() * SECOND_FAULT_SPREAD_S
 
 
-def _homes(document: bytes) -> dict[str, tuple[str, ...]]:
+def _home_regions(document: bytes) -> dict[str, tuple[str, ...]]:
     routes = json.loads(document)["routes"]
     return {name: tuple(route.get("home_regions", ())) for name, route in routes.items()}
 
--- a/rooklug_lab/sim/world.py
+++ b/rooklug_lab/sim/world.py
@@ -24,21 +24,21 @@
 
 
 class World:
-    """Runs processes in virtual time. The same seed gives the same run, bit for bit."""
+    """Runs processes in virtual time; the same seed gives exactly the same run."""
 
     def __init__(self, seed: int, region_delay_s: float) -> None:
         self.scheduler = Scheduler()
         self.random = Random(seed)
-        self.network = Network(self.scheduler, self._fork(), region_delay_s)
+        self.network = Network(self.scheduler, self._derive_random(), region_delay_s)
         self.calls = CallTransport(self.scheduler, self.network)
-        self.http = HttpTransport(self.scheduler, self.network, self._fork())
+        self.http = HttpTransport(self.scheduler, self.network, self._derive_random())
         self.processes: dict[str, SimulatedProcess] = {}
-        self._obey_by_type = {
+        self._handlers_by_effect = {
             fx.Call: self.calls.call,
             fx.Answer: self.calls.answer,
             fx.HttpCall: self.http.call,
             fx.CancelHttpCall: lambda process, effect: self.http.cancel(process, effect.call_id),
-            fx.StopProcess: self._stop,
+            fx.StopProcess: self._handle_stop,
             **dict.fromkeys(_HTTP_SERVER_EFFECTS, self.http.serve),
         }
 
@@ -52,8 +52,12 @@
         has_disk: bool = False,
         true_clock: bool = False,
     ) -> SimulatedProcess:
-        """Add a process; it isn't started yet. Stand-ins have the world's clock itself."""
-        random = self._fork()
+        """Add a process without starting it.
+
+        Its monotonic clock has a random offset and rate, unless ``true_clock``, as stand-ins
+        have, makes it the world's own clock.
+        """
+        random = self._derive_random()
         process = SimulatedProcess(
             name=name,
             place=place,
@@ -62,8 +66,8 @@
             build=build,
             scheduler=self.scheduler,
             random=random,
-            obey=self._obey,
-            disk=SimulatedDisk(self.scheduler, self._fork()) if has_disk else None,
+            apply_effect=self._apply_effect,
+            disk=SimulatedDisk(self.scheduler, self._derive_random()) if has_disk else None,
             clock_offset=0.0 if true_clock else random.random() * CLOCK_OFFSET_MAX_S,
             clock_rate=1.0 if true_clock else 1.0 + (random.random() - 0.5) * CLOCK_RATE_SPREAD,
         )
@@ -75,41 +79,41 @@
         return process
 
     def kill(self, process: SimulatedProcess) -> None:
-        """Kill a process; its connections are reset."""
+        """Kill a process; its peers see connection resets if the machine is up."""
         if process.running:
             process.kill()
-            self._connections_end(process)
+            self._close_connections(process)
 
     def restart(self, process: SimulatedProcess) -> None:
-        """Start a process that is down, on a machine that is up."""
+        """Bring the machine up and start the process, unless it is running."""
         process.machine_up = True
         if not process.running:
             process.start()
 
     def machine_fails(self, process: SimulatedProcess) -> None:
-        """The machine under a process goes dark: no resets, no refusals."""
+        """Fail the machine of a process: peers see neither resets nor refusals, only time-outs."""
         process.machine_up = False
         self.kill(process)
 
     def run_for(self, seconds: float) -> None:
-        """Let virtual time pass."""
+        """Advance virtual time, running everything that comes due."""
         self.scheduler.run_until(self.scheduler.now + seconds)
 
     @property
     def now(self) -> float:
-        """Virtual time, in seconds."""
+        """Virtual time since the world was created, in seconds."""
         return self.scheduler.now
 
-    def _fork(self) -> Random:
+    def _derive_random(self) -> Random:
         return Random(self.random.getrandbits(64))
 
-    def _connections_end(self, process: SimulatedProcess) -> None:
+    def _close_connections(self, process: SimulatedProcess) -> None:
         self.calls.process_died(process)
         self.http.process_died(process)
 
-    def _obey(self, process: SimulatedProcess, effect: fx.Effect) -> None:
-        self._obey_by_type[type(effect)](process, effect)
+    def _apply_effect(self, process: SimulatedProcess, effect: fx.Effect) -> None:
+        self._handlers_by_effect[type(effect)](process, effect)
 
-    def _stop(self, process: SimulatedProcess, effect: fx.StopProcess) -> None:
+    def _handle_stop(self, process: SimulatedProcess, effect: fx.StopProcess) -> None:
         self.kill(process)
         process.exit_code = effect.exit_code
--- a/tests/test_sim_scenarios.py
+++ b/tests/test_sim_scenarios.py
@@ -1,4 +1,4 @@
-"""A fixed set of simulated failures; the wide sweep is ``rooklug-lab sim all --seeds A-B``."""
+"""Every scenario with one fixed seed; ``rooklug-lab sim all --seeds A-B`` runs more seeds."""
 
 import os
 import unittest
@@ -17,14 +17,14 @@
 
 
 def run_jobs(jobs: list[Job]) -> list:
-    """Run jobs in worker processes of the fixed hash seed, in their order."""
+    """Run jobs in worker processes; return their results in the order of the jobs."""
     context = get_context("spawn")
     with ProcessPoolExecutor(max_workers=WORKERS, mp_context=context) as pool:
         return list(pool.map(run_job, jobs))
 
 
 class ScenarioTest(unittest.TestCase):
-    def test_every_failure_keeps_every_promise(self) -> None:
+    def test_every_scenario_keeps_every_promise(self) -> None:
         names = [*FAULTS, *PAIRS]
         jobs = [
             Job(name, SEED, ("payroll", "quiz")[number % 2]) for number, name in enumerate(names)
@@ -33,7 +33,7 @@
             with self.subTest(job=finished.job):
                 self.assertEqual((finished.violations, finished.crash), ((), ""))
 
-    def test_every_guard_is_missed(self) -> None:
+    def test_every_disabled_guard_breaks_its_promise(self) -> None:
         missing = dict(MUTATIONS)
         for seed in SEEDS_FOR_A_MUTATION:
             jobs = [
@@ -46,7 +46,7 @@
                     del missing[mutation.name]
         self.assertEqual(list(missing), [])
 
-    def test_same_seed_same_run(self) -> None:
+    def test_same_seed_gives_the_same_report(self) -> None:
         first = run_scenario("kill-zone", 5, "payroll").report.as_json()
         second = run_scenario("kill-zone", 5, "payroll").report.as_json()
         self.assertEqual(first, second)
