--- a/rooklug_lab/policy/arrivals.py
+++ b/rooklug_lab/policy/arrivals.py
@@ -1,4 +1,7 @@
-"""Open-loop arrivals: a wave a zone, clumps, sizes from distributions, shared prompt chains."""
+"""Generates open-loop arrivals: a sinusoidal rate per zone, bursts, log-normal sizes.
+
+Prompts of a kind share prefix blocks, arranged in chains.
+"""
 
 import math
 from bisect import bisect
@@ -12,13 +15,19 @@
 from rooklug_lab.policy.shapes import ChainLevel, PolicySite, RequestKind, Spread, ZoneShape
 
 CLUMP_S = 0.1
-"""Requests of one clump arrive within this time."""
+"""The further requests of a burst arrive within this time after its first one."""
 EVENT_LEAST = 1
+"""Every answer has at least this many events."""
 
 
 @attrs.frozen
 class ClientRequest:
-    """What a client wants: ``size`` compares with the mean of its kind by what it is worth."""
+    """One request of a client. ``at`` is its arrival in seconds since the start of the run.
+
+    ``size`` is the prompt length relative to the mean of its kind, which scales the credit that
+    the request can earn; it is 1 for at-most-once requests. ``events`` is the length of the answer
+    in stream events, ``work_s`` the service time of an at-most-once request.
+    """
 
     number: int
     at: float
@@ -33,7 +42,7 @@
 
 @attrs.define
 class ArrivalPlan:
-    """Draws all arrivals of a run beforehand, so that policies meet the same ones."""
+    """Draws all arrivals before a run starts, so that every policy gets the same ones."""
 
     site: PolicySite
     random: Random
@@ -42,7 +51,7 @@
     _weights: dict[tuple[int, float], list[float]] = attrs.field(factory=dict)
 
     def draw(self, factor: float = 1.0) -> list[ClientRequest]:
-        """Return the arrivals of all zones in the order of their times."""
+        """Return the arrivals of all zones, ordered by time; ``factor`` multiplies every rate."""
         for kind in self.site.kinds:
             self._chains[kind.name] = [self._level(kind, n) for n in range(len(kind.chain))]
         times = [(at, zone) for zone in self.site.zones for at in self._times(zone, factor)]
@@ -87,7 +96,11 @@
         return ClientRequest(number, at, kind, zone, parts, prompt, events, 0.0, prompt / mean)
 
     def _parts(self, number: int, kind: RequestKind) -> tuple[PrefixBlock, ...]:
-        """Return a chain; what stands behind a part belongs to that part alone."""
+        """Return the shared prefix blocks of a prompt, outermost first.
+
+        The choice at the last level determines all outer ones, so that each innermost block
+        always follows the same outer blocks.
+        """
         if not kind.chain:
             return ()
         last = self._pick(kind.chain[-1])
--- a/rooklug_lab/policy/clients.py
+++ b/rooklug_lab/policy/clients.py
@@ -1,4 +1,4 @@
-"""Emulated clients: each request goes to a front of the directory's answer, and may come back."""
+"""Simulated clients: send requests to fronts from the directory, and retry within the deadline."""
 
 from typing import TYPE_CHECKING
 
@@ -17,18 +17,22 @@
     from rooklug_lab.policy.world import PolicyWorld
 
 NEXT_ADDRESS_S = 0.01
+"""Delay until the next address is tried after a refused connection."""
 CONNECT_PATIENCE_S = 1.0
+"""Connect timeout of a client at a front that has lost power."""
 RETRY_WAIT_SHARE = 1 / 3
-"""Clients wait as they are told for at most this part of the time that they have left."""
+"""Clients obey a Retry-After up to this share of the time left until their deadline."""
 REFUSED_FAST_SHARE = 0.25
+"""A refusal counts as fast within this share of the latency objective."""
 DIRECTORY_AGE_S = 2.0
+"""Clients query the directory again when their cached answer is older than this."""
 MOST_ADDRESSES_TRIED = 3
 HOST_SUFFIX = ".example"
 
 
 @attrs.define(eq=False)
 class Attempt:
-    """One attempt at a front."""
+    """One attempt of a request at a front; ``generation`` is the front's at the time of sending."""
 
     outcome: Outcome
     request_id: str
@@ -40,7 +44,7 @@
 
 @attrs.define(eq=False)
 class EmulatedClients:
-    """All clients. An HTTP id names an attempt at all fronts."""
+    """All clients of a run. HTTP ids of attempts are unique across all fronts."""
 
     world: "PolicyWorld"
     outcomes: list[Outcome] = attrs.field(factory=list)
@@ -52,21 +56,21 @@
     _next_id: int = 0
 
     def begin(self, request: ClientRequest) -> None:
-        """Send a request for the first time."""
+        """Send a request for the first time and record its outcome from then on."""
         outcome = Outcome(request)
         self.outcomes.append(outcome)
         self._send(outcome)
 
     def request_of(self, front: "EmulatedFront", effect: fx.HttpCall) -> ClientRequest:
-        """Return what a front's call to a replica is made for."""
+        """Return the client request that a front's call to a replica serves."""
         return self._by_request_id[effect.headers[NAMES.request_id]].outcome.request
 
     def outcome_of(self, request_id: str) -> Outcome:
-        """Return the outcome that an attempt belongs to."""
+        """Return the outcome of the request that an attempt (by its request id) belongs to."""
         return self._by_request_id[request_id].outcome
 
     def answered(self, front: "EmulatedFront", effect: fx.Effect) -> None:
-        """Carry an effect of a front to its client."""
+        """Deliver a front's response effect to its client; closed attempts are ignored."""
         attempt = self._attempts.get(getattr(effect, "request_id", 0))
         if attempt is None:
             return
@@ -74,7 +78,7 @@
         self.world.scheduler.after(delay_s, lambda: self._take(attempt, effect))
 
     def front_ended(self, front: "EmulatedFront", dark: bool) -> None:
-        """Reset what ran at a front; a dark one says nothing."""
+        """Fail the attempts at a stopped front; after a power loss clients get no reset."""
         for http_id, attempt in list(self._attempts.items()):
             if attempt.front is front and not dark:
                 self._later_failed(http_id, attempt)
@@ -138,7 +142,7 @@
         return outcome.request.at + outcome.request.kind.deadline_s
 
     def _leave(self, http_id: int, attempt: Attempt) -> None:
-        """Give up at the deadline."""
+        """Close the attempt at the request's deadline."""
         if self._attempts.pop(http_id, None) is not None:
             attempt.front.deliver(ev.HttpRequestClosed(http_id))
 
@@ -198,7 +202,7 @@
         delay_s = self._delay_s(attempt.outcome.request, attempt.front)
         self.world.scheduler.after(delay_s, lambda: self._failed(attempt))
 
-    # Where to go --------------------------------------------------------------
+    # Directory ----------------------------------------------------------------
 
     def _fronts_for(self, request: ClientRequest) -> list["EmulatedFront"]:
         key = (request.zone.region, request.kind.name)
@@ -209,7 +213,7 @@
         return known[1]
 
     def _ask_directory(self, request: ClientRequest) -> list["EmulatedFront"]:
-        """Ask a near node; without any that runs, the earlier answer holds on."""
+        """Query a node in the client's region; while none is up, keep using the previous answer."""
         region = request.zone.region
         near = [front for front in self.world.fronts.values() if front.zone.region == region]
         known = self._directory.get((region, request.kind.name))
--- a/rooklug_lab/policy/command.py
+++ b/rooklug_lab/policy/command.py
@@ -1,4 +1,4 @@
-"""``rooklug-lab policy``: emulated deployments, by which routing policies are judged."""
+"""``rooklug-lab policy``: evaluates routing policies on simulated deployments."""
 
 import argparse
 import json
@@ -22,7 +22,7 @@
 
 
 def add_policy_command(commands: argparse._SubParsersAction) -> None:
-    """Add the subcommand and its verbs."""
+    """Add the ``policy`` subcommand with its own subcommands."""
     parser = commands.add_parser("policy", help="judge routing policies by emulated engines")
     verbs = parser.add_subparsers(metavar="VERB", required=True)
     run = verbs.add_parser("run", help="play days and print what they earned")
@@ -62,7 +62,7 @@
     days = list(DAYS) if arguments.day == "all" else arguments.day.split(",")
     unknown = [day for day in days if day not in DAYS]
     if unknown:
-        raise SettingError(f"no day {unknown[0]}; there are {', '.join(DAYS)}")
+        raise SettingError(f"unknown day {unknown[0]}; available days: {', '.join(DAYS)}")
     return [
         Case(site, day, seed, arguments.load, settings)
         for site in arguments.site.split(",")
@@ -77,7 +77,9 @@
     if not name:
         return settings
     if name not in MECHANISMS:
-        raise SettingError(f"no mechanism {name}; there are {', '.join(MECHANISMS)}")
+        raise SettingError(
+            f"unknown mechanism {name}; available mechanisms: {', '.join(MECHANISMS)}"
+        )
     return (*settings, *MECHANISMS[name].settings)
 
 
--- a/rooklug_lab/policy/control.py
+++ b/rooklug_lab/policy/control.py
@@ -1,6 +1,6 @@
-"""The control plane as fronts feel it: list, members and plan, each with its lag.
+"""Simulated control plane: publishes the replica list, members and plan, each with its delay.
 
-The plan is made by the real planner; only the way that topics take is shortened to a delay.
+The plan comes from the real planner; distribution of topics to the fronts is reduced to a delay.
 """
 
 from typing import TYPE_CHECKING
@@ -45,18 +45,20 @@
     from rooklug_lab.policy.world import PolicyWorld
 
 DISTRIBUTION_S = 0.1
+"""Delay until a published topic reaches the fronts."""
 SOLVE_S = 0.1
+"""Duration of a planner computation."""
 MEMBERS_STEP_S = 0.1
 LEASE_S = 1.6
-"""A front that was killed is still a member for so long."""
+"""A killed front stays a member for this time, until its lease expires."""
 START_S = 0.6
-"""A front that starts is ready after this time."""
+"""A starting front becomes ready, and so a member, after this time."""
 EPOCH = 1
 
 
 @attrs.define(eq=False)
 class EmulatedControl:
-    """Keeps one view for all fronts."""
+    """Maintains the one view that all fronts receive; ``emptied`` holds the evacuated zones."""
 
     world: "PolicyWorld"
     keeper: GatewayViewBuilder = attrs.field(factory=GatewayViewBuilder)
@@ -71,11 +73,11 @@
 
     @property
     def view(self) -> GatewayView:
-        """The newest snapshot."""
+        """The latest published view, which fronts receive ``DISTRIBUTION_S`` later."""
         return self.keeper.view
 
     def start(self) -> None:
-        """Bring the configuration, members and list at once, then follow what changes."""
+        """Publish the configuration, members and replica list, then start the periodic updates."""
         document = document_of(self.world.site)
         body = ConfigurationBody(1, "", document)
         version = VersionMark(EPOCH, 1)
@@ -92,17 +94,17 @@
         self._every(SOLVE_INTERVAL_S, lambda: self._plan(ev.TimerFired("solve")))
 
     def evacuate(self, zone: str, emptied: bool) -> None:
-        """Empty a zone, or take it back."""
+        """Evacuate a zone, or (``emptied`` false) let it serve again."""
         (self.emptied.add if emptied else self.emptied.discard)(zone)
         body = ZonesBody(sorted(self.emptied))
         self._plan(ZonesCommitted(VersionMark(EPOCH, self._counter + 1), body))
         self._change(ZONES, body)
 
     def note_ended(self, replica: "EmulatedReplica") -> None:
-        """Keep a replica that has ended on the list for a while."""
+        """Keep a stopped replica on the published list for ``ENDED_LISTED_S``."""
         self._ended[replica.replica_id] = (self.world.now, _listed(replica, self.world.now))
 
-    # Inside -------------------------------------------------------------------
+    # Topics -------------------------------------------------------------------
 
     def _every(self, interval_s: float, action) -> None:
         def again() -> None:
--- a/rooklug_lab/policy/credit.py
+++ b/rooklug_lab/policy/credit.py
@@ -1,4 +1,4 @@
-"""What requests earn and what is deducted: the measures that a policy is judged by."""
+"""Scoring of a run: the credit that requests earn, and the prices deducted from it."""
 
 from collections import defaultdict
 
@@ -8,15 +8,23 @@
 from rooklug_lab.policy.shapes import PolicySite
 
 WINDOW_S = 2.0
+"""Length of the windows, by arrival, of which the two worst count."""
 LARGEST_CREDIT = 4.0
+"""Upper bound of the size factor of a request's credit."""
 SIZE_BASE, SIZE_SHARE = 0.3, 0.7
+"""The size factor is linear in the relative prompt size: base plus share times size."""
 _GIGABYTE = 1e9
 _THOUSAND = 1e3
 
 
 @attrs.define(eq=False)
 class Outcome:
-    """How one client's request went, over all of its attempts. Times are since the start."""
+    """The result of one request over all of its attempts.
+
+    ``attempt_at`` (latest attempt) and ``first_at`` (first event) are seconds since the start of
+    the run. ``way_s`` is the time from arrival at the client to the replica, ``waiting_s`` the
+    queue time there, ``reading_s`` the prefill time.
+    """
 
     request: ClientRequest
     attempts: int = 0
@@ -33,7 +41,7 @@
 
     @property
     def owed(self) -> float:
-        """The credit of this request."""
+        """The full credit of this request, earned if it is answered in time."""
         kind = self.request.kind
         if not kind.is_stream:
             return kind.worth
@@ -46,12 +54,15 @@
 
     @property
     def in_time(self) -> bool:
-        """Whether the answer came within its objective and without a long pause."""
+        """Whether the answer met its latency objective and its gap objective."""
         return self.complete and self.first_s <= self.request.kind.objective_s and self._even
 
     @property
     def earned(self) -> float:
-        """The credit that was earned."""
+        """The credit earned: full in time, the late share otherwise, 0 if incomplete.
+
+        After a fast refusal, a retry that meets the objective earns the mean of full and late.
+        """
         if not self.complete:
             return 0.0
         late = self.owed * self.request.kind.late_share
@@ -70,7 +81,7 @@
 
 @attrs.define
 class Usage:
-    """What is priced beside the requests."""
+    """Resource usage of a run; ``_prices`` names what is deducted from the credit."""
 
     tokens_read: int = 0
     tokens_again: int = 0
@@ -85,7 +96,7 @@
 
 @attrs.frozen
 class Verdict:
-    """The figures of a run; ``total`` leaves out what no policy changes."""
+    """The scores of a run; ``total`` is the weighted credit shares minus the prices."""
 
     whole_day: float
     worst_windows: float
@@ -96,7 +107,7 @@
 
 
 def judge(site: PolicySite, outcomes: list[Outcome], usage: Usage) -> Verdict:
-    """Return the figures of a finished run."""
+    """Return the scores of a finished run."""
     owed = sum(outcome.owed for outcome in outcomes)
     whole = _share(outcomes)
     by_kind = {name: _share(found) for name, found in _by_class(outcomes).items()}
@@ -116,7 +127,7 @@
 
 
 def _by_class(outcomes: list[Outcome]) -> dict[str, list[Outcome]]:
-    """Return the outcomes by kind; the largest tenth and the fifth below count as kinds, too."""
+    """Return the outcomes by kind; the largest 10 % and the next 20 % of streams are kinds, too."""
     found: dict[str, list[Outcome]] = defaultdict(list)
     for outcome in outcomes:
         found[outcome.request.kind.name].append(outcome)
--- a/rooklug_lab/policy/decision_cost.py
+++ b/rooklug_lab/policy/decision_cost.py
@@ -1,8 +1,7 @@
-"""What one decision costs a front, in processor time, by the number of replicas.
+"""Measures the processor time of one routing decision by the number of replicas.
 
-A front of a region with steady traffic is asked for one request after the other; each runs for
-``REQUEST_DURATION_S`` and then ends. Only the decision object is
-measured: the choice, and the counts that it keeps of the request.
+A front gets requests at a steady rate; each runs for ``REQUEST_DURATION_S`` and then ends. The
+measurement covers only the decision object: choosing a replica and recording the sent request.
 """
 
 import time
@@ -58,7 +57,7 @@
 
 
 def measure_decision(replicas: int, requests: int = REQUESTS, seed: int = 1) -> DecisionCost:
-    """Measure one deployment size."""
+    """Measure a deployment with this many replicas, over ``requests`` simulated requests."""
     decision = _decision(replicas)
     random = Random(seed)
     running: deque[tuple[float, int, GatewayReplica]] = deque()
--- a/rooklug_lab/policy/document.py
+++ b/rooklug_lab/policy/document.py
@@ -1,4 +1,4 @@
-"""The configuration document of an emulated deployment: a host and a route for each kind."""
+"""Builds a simulated deployment's configuration document: a host and a route for each kind."""
 
 import json
 
@@ -6,7 +6,7 @@
 
 
 def document_of(site: PolicySite) -> bytes:
-    """Return the document that fronts and the planner read."""
+    """Return the JSON document, in the format of the gateway configuration."""
     routes = [_route(kind) for kind in site.kinds]
     services = [_service(service) for service in site.services]
     return json.dumps({"version": 1, "routes": routes, "services": services}).encode()
--- a/rooklug_lab/policy/engine.py
+++ b/rooklug_lab/policy/engine.py
@@ -1,8 +1,9 @@
-"""A serving engine with continuous batching, as replicas describe themselves.
+"""A simulated serving engine with continuous batching and chunked prefill.
 
-Every step gives each running request one token. Prompts are read in pieces within the same steps
-and make them longer. A step's length grows with the batch, with the context that it attends to,
-and with the prompt tokens that it reads. Steps without prompts are merged up to ``MERGED_S``.
+Every step generates one token for each decoding request. Prompts are prefilled in chunks within
+the same steps, which makes these longer. The length of a step grows with the batch, with the
+context that it attends to, and with the prompt tokens that it prefills. Consecutive steps without
+prefill are simulated as one event of up to ``MERGED_S``.
 """
 
 import math
@@ -14,7 +15,7 @@
 from rooklug_lab.policy.shapes import EngineShape
 
 MERGED_S = 0.2
-"""Steps that only go on with answers are taken together up to this time."""
+"""Decode-only steps are merged into one event up to this duration."""
 NEVER = math.inf
 _MILLION = 1e6
 _THOUSAND = 1e3
@@ -22,7 +23,11 @@
 
 @attrs.define(eq=False)
 class Sequence:
-    """One request at an engine: its prompt, its answer, and how far it has got."""
+    """One request at an engine and its progress. Times are virtual seconds.
+
+    ``kept_tokens`` are the prompt tokens found in the prefix cache, ``unread`` those still to be
+    prefilled, ``emitted`` the generated tokens.
+    """
 
     key: str
     priority: int
@@ -42,12 +47,12 @@
 
     @property
     def context(self) -> int:
-        """Tokens that a step attends to."""
+        """Tokens that a step attends to: the prefilled part of the prompt and the answer so far."""
         return self.prompt_tokens - self.unread + self.emitted
 
     @property
     def finished(self) -> bool:
-        """Whether the answer is whole."""
+        """Whether all tokens of the answer are generated."""
         return self.emitted >= self.answer_tokens
 
 
@@ -66,7 +71,10 @@
 
 @attrs.define(eq=False)
 class ServingEngine:
-    """One replica's engine. ``slowness`` multiplies all of its times."""
+    """One replica's engine. ``slowness`` multiplies the length of every step.
+
+    Requests move from ``waiting`` through ``reading`` (prefill) to ``decoding``.
+    """
 
     shape: EngineShape
     slowness: float = 1.0
@@ -79,26 +87,26 @@
     _step: _Step | None = None
 
     def __attrs_post_init__(self) -> None:
-        """Begin with an empty memory."""
+        """Create the empty prefix cache."""
         self.cache = PartCache(self.shape.memory_tokens)
 
     @property
     def running(self) -> int:
-        """Requests that hold a slot."""
+        """Number of requests in prefill or decoding, each of which holds a slot."""
         return len(self.reading) + len(self.decoding)
 
     @property
     def next_at(self) -> float:
-        """When the present step ends; never while idle."""
+        """When the current step ends; ``NEVER`` while idle."""
         return self._step.ends_at if self._step else NEVER
 
     def admits(self, prompt_tokens: int) -> bool:
-        """Return whether one more request would be taken."""
+        """Return whether a request fits into the memory and the queue has room for it."""
         fits = prompt_tokens <= self.shape.memory_tokens
         return fits and len(self.waiting) < self.shape.queue
 
     def submit(self, sequence: Sequence, now: float) -> None:
-        """Take a request; it begins with the next step."""
+        """Queue a request by priority and arrival; it can be admitted when the next step begins."""
         self.waiting.append(sequence)
         self.waiting.sort(key=lambda s: (s.priority, s.arrived_at))
         self._cut_short(now)
@@ -106,7 +114,7 @@
             self._begin_step(now)
 
     def cancel(self, sequence: Sequence) -> None:
-        """Drop a request whose caller has left; the present step still counts it."""
+        """Remove a request whose caller has closed; the current step keeps its length."""
         for held in (self.waiting, self.reading, self.decoding):
             if sequence in held:
                 held.remove(sequence)
@@ -114,7 +122,7 @@
                     self.cache.running_tokens -= self._own_tokens(sequence)
 
     def finish_step(self) -> list[Sequence]:
-        """End the present step; return the requests that made events in it."""
+        """Finish the current step and begin the next; return those that decoded in it."""
         step, self._step = self._step, None
         moved = [sequence for sequence in step.decoding if sequence in self.decoding]
         for sequence in moved:
@@ -137,7 +145,7 @@
         self.reading.remove(sequence)
         self.decoding.append(sequence)
         self.cache.store(sequence.parts)
-        if sequence.emitted:  # it was preempted and goes on
+        if sequence.emitted:  # resumes after a preemption
             return
         sequence.first_at = sequence.last_event_at = now
         sequence.emitted = 1
@@ -161,7 +169,7 @@
         sequence.last_event_at = first_at + more * every * step.length_s
         sequence.next_event_token = due + (more + 1) * every
         if sequence.finished and due + more * every < after:
-            sequence.events += 1  # the last event holds what is left
+            sequence.events += 1  # the last event holds the remaining tokens
             sequence.last_event_at = step.began_at + (after - before) * step.length_s
 
     def _begin_step(self, now: float) -> None:
@@ -213,7 +221,7 @@
             self.reading.append(sequence)
 
     def _preempt(self) -> None:
-        """Put the newest of the least urgent back while the answers outgrow the memory."""
+        """Requeue the newest of the least urgent requests while the answers exceed the memory."""
         while self.cache.running_tokens > self.shape.memory_tokens and len(self.decoding) > 1:
             victim = max(self.decoding, key=lambda s: (s.priority, s.arrived_at))
             self.decoding.remove(victim)
@@ -226,7 +234,7 @@
         return max(sequence.prompt_tokens - shared, 1) + sequence.emitted
 
     def _cut_short(self, now: float) -> None:
-        """End merged steps with the one that runs now."""
+        """Truncate merged steps after the one in progress, so that a new request can join."""
         step = self._step
         if step is not None and step.count > 1:
             passed = max(1, math.ceil((now - step.began_at) / step.length_s))
--- a/rooklug_lab/policy/experiment.py
+++ b/rooklug_lab/policy/experiment.py
@@ -1,4 +1,4 @@
-"""Runs days over many seeds in processes of their own, and compares two variants pair by pair."""
+"""Runs cases in separate processes, and compares two variants over pairs of runs."""
 
 import math
 import statistics
@@ -13,12 +13,12 @@
 from rooklug_lab.policy.world import PolicyWorld
 
 NOISE_ERRORS = 2.0
-"""A difference within so many standard errors of 0 is noise."""
+"""A mean difference within this many standard errors of 0 counts as noise."""
 
 
 @attrs.frozen
 class Case:
-    """One day to be played: site, day, seed, the factor of its load, and changed constants."""
+    """One run: site, day, seed, the factor of every arrival rate, and the changed constants."""
 
     site: str
     day: str
@@ -28,13 +28,13 @@
 
     @property
     def label(self) -> str:
-        """Site, day and seed."""
+        """Site, day and seed, as printed in reports."""
         return f"{self.site} {self.day} {self.seed}"
 
 
 @attrs.frozen
 class Played:
-    """The result of a case."""
+    """The result of a case; ``served`` counts the requests that were answered completely."""
 
     case: Case
     verdict: Verdict
@@ -45,7 +45,7 @@
 
 @attrs.frozen
 class Difference:
-    """The mean difference over pairs, in parts of a day's worth, and its standard error."""
+    """The mean difference of the total score over pairs of runs, and its standard error."""
 
     mean: float
     error: float
@@ -53,14 +53,14 @@
 
     @property
     def verdict(self) -> str:
-        """Say whether it is better, worse, or noise."""
+        """The words "better", "worse", or "noise"; a single pair is always noise."""
         if self.pairs < 2 or abs(self.mean) <= NOISE_ERRORS * self.error:
             return "noise"
         return "better" if self.mean > 0 else "worse"
 
 
 def play(case: Case) -> Played:
-    """Play one case in this process."""
+    """Run one case in this process; its settings stay applied afterwards."""
     for setting in case.settings:
         setting.apply()
     world = PolicyWorld(read_site(case.site), case.day, case.seed, case.load)
@@ -70,12 +70,12 @@
 
 
 def play_all(cases: Iterable[Case], workers: int) -> Iterator[Played]:
-    """Play cases side by side, each in a new process: settings must not outlive their case."""
+    """Run cases in parallel, each in a new process, so that settings don't outlive their case."""
     with get_context("spawn").Pool(workers, maxtasksperchild=1) as pool:
         yield from pool.imap(play, list(cases), chunksize=1)
 
 
 def difference(values: list[float]) -> Difference:
-    """Return the mean of paired differences with its standard error."""
+    """Return the mean of paired differences; the error of a single pair is NaN."""
     error = statistics.stdev(values) / math.sqrt(len(values)) if len(values) > 1 else math.nan
     return Difference(statistics.mean(values), error, len(values))
--- a/rooklug_lab/policy/faults.py
+++ b/rooklug_lab/policy/faults.py
@@ -1,4 +1,7 @@
-"""Days of trouble for emulated deployments; each is a list of faults and their moments."""
+"""Fault scenarios ("days") of simulated deployments; each schedules its faults at fixed times.
+
+A fault with ``dark`` is a power loss: connections time out instead of being reset or refused.
+"""
 
 from collections.abc import Callable
 from random import Random
@@ -11,11 +14,11 @@
 
 
 def calm(world: "PolicyWorld", random: Random) -> None:
-    """Nothing goes wrong."""
+    """No faults."""
 
 
 def replicas_crash(world: "PolicyWorld", random: Random) -> None:
-    """A sixth of the model replicas end, half of them silently, and come back cold."""
+    """A sixth of the model replicas crash, about half without resets, and restart cold."""
     for replica in _sample(world, random, 1 / 6):
         dark = random.random() < 0.5
         at = random.uniform(6.0, 14.0)
@@ -23,20 +26,20 @@
 
 
 def replicas_lie(world: "PolicyWorld", random: Random) -> None:
-    """Some replicas fail half of their requests, some take them and say nothing."""
+    """14 % of the model replicas misbehave: half fail 45 % of their requests, half never answer."""
     for number, replica in enumerate(_sample(world, random, 0.14)):
         conduct = {"hangs": True} if number % 2 else {"failing_share": 0.45}
         world.at(8.0, lambda r=replica, c=conduct: world.misbehave(r.address, 6.5, **c))
 
 
 def region_is_lost(world: "PolicyWorld", random: Random) -> None:
-    """A region's machines and replicas lose power and return together."""
+    """All fronts and replicas of a region lose power and restart together."""
     region = random.choice(sorted({zone.region for zone in world.site.zones}))
     world.at(10.0, lambda: world.region_ends(region, 5.5))
 
 
 def zone_returns_cold(world: "PolicyWorld", random: Random) -> None:
-    """The replicas of a zone are down and come back together, cold; another zone is emptied."""
+    """All replicas of a zone stop and restart together, cold; later another zone is evacuated."""
     zones = [zone.name for zone in world.site.zones]
     first, second = random.sample(zones, 2)
     world.at(8.0, lambda: world.zone_replicas_end(first, 4.0))
@@ -45,19 +48,19 @@
 
 
 def fronts_are_killed(world: "PolicyWorld", random: Random) -> None:
-    """A sixth of the fronts are killed."""
+    """A sixth of the fronts are killed and restart; their connections are reset."""
     names = sorted(world.fronts)
     for name in random.sample(names, max(1, len(names) // 6)):
         world.at(9.0, lambda n=name: world.front_ends(n, False, 3.5))
 
 
 def machines_lose_power(world: "PolicyWorld", random: Random) -> None:
-    """Every front loses power and returns; the replicas run on."""
+    """Every front loses power and restarts; the replicas keep running."""
     world.at(20.0, lambda: world.machines_end(1.5))
 
 
 def all_lose_power(world: "PolicyWorld", random: Random) -> None:
-    """Every front and replica loses power and returns."""
+    """Every front and replica loses power and restarts."""
     world.at(20.0, lambda: world.everything_ends(1.5))
 
 
--- a/rooklug_lab/policy/fronts.py
+++ b/rooklug_lab/policy/fronts.py
@@ -1,4 +1,4 @@
-"""An emulated front: the real executor and decision object, with calls to emulated replicas."""
+"""A simulated front: the real executor and decision object, calling simulated replicas."""
 
 from collections import defaultdict
 from collections.abc import Callable
@@ -29,7 +29,7 @@
 
 @attrs.define(eq=False)
 class OpenCall:
-    """A request on its way to a replica or being answered. ``replica`` None: not connected."""
+    """A call to a replica; ``replica`` is None until the request has arrived there."""
 
     effect: fx.HttpCall
     address: str
@@ -39,7 +39,11 @@
 
 @attrs.define(eq=False)
 class EmulatedFront:
-    """One process of a front. A restart makes its executor anew."""
+    """A front. Each start creates a new executor and increments ``generation``.
+
+    Timers and responses of an earlier generation are dropped. ``demand`` sums requests, prompt
+    tokens and answer tokens by route and service since the last demand report.
+    """
 
     name: str
     address: str
@@ -56,7 +60,7 @@
     _idle: dict[str, int] = attrs.field(factory=lambda: defaultdict(int))
 
     def start(self) -> None:
-        """Begin with nothing known."""
+        """Start the front with empty state and the current view."""
         self.generation += 1
         self.up = True
         self.dark = False
@@ -71,7 +75,7 @@
         self.deliver(ViewChanged(self.world.control.view))
 
     def end(self, dark: bool) -> None:
-        """Stop at once; what ran at replicas is closed."""
+        """Stop at once and cancel the calls at replicas; ``dark`` means a power loss."""
         self.up = False
         self.dark = dark
         for call in list(self._calls.values()):
@@ -79,7 +83,7 @@
         self._calls = {}
 
     def deliver(self, event: ev.Event) -> None:
-        """Give the executor an event and obey it."""
+        """Pass an event to the executor and carry out its effects; ignored while down."""
         if not self.up:
             return
         if isinstance(event, ViewChanged):
@@ -90,7 +94,7 @@
             self._obey(effect)
 
     def forget_connections(self, address: str) -> None:
-        """Drop the idle connections to an address: its process has ended."""
+        """Drop the idle connections to an address whose process has stopped."""
         self._idle.pop(address, None)
 
     def _obey(self, effect: fx.Effect) -> None:
@@ -124,7 +128,7 @@
         return PeerExchange(settings, context, self.executor.decision)
 
     def _exchange_handle(self, event: ev.Event) -> None:
-        """Give the exchange an event; its calls reach peers after the way between them."""
+        """Pass an event to the peer exchange and carry out its timers and calls."""
         for effect in self.exchange.handle(event, self.world.now):
             if isinstance(effect, fx.StartTimer):
                 self._exchange_later(effect.delay_s, ev.TimerFired(effect.name))
@@ -132,7 +136,7 @@
                 self._call_peer(effect)
 
     def _call_peer(self, effect: fx.Call) -> None:
-        """Carry a call to a peer, and its answer back; a peer that is down doesn't answer."""
+        """Deliver a call to a peer and its answer back; if the peer is down, the call times out."""
         peer = self.world.front_at(effect.address)
         delay_s = self.world.network.delay_s(self.zone, peer.zone)
         told = ev.CallArrived(effect.call_id, self.name, effect.request)
@@ -173,7 +177,7 @@
 
         self.world.scheduler.after(delay_s, fire)
 
-    # To a replica -------------------------------------------------------------
+    # Calls to replicas --------------------------------------------------------
 
     def _call(self, effect: fx.HttpCall) -> None:
         request = self.world.clients.request_of(self, effect)
@@ -197,7 +201,7 @@
         self._fail_later(effect.deadline_s, call, ev.SendState.MAYBE_SENT)
 
     def _fail_later(self, delay_s: float, call: OpenCall, state: ev.SendState) -> None:
-        """Fail a call after a time, unless it has ended by then."""
+        """Fail a call after a delay, unless it has completed by then."""
         failed = ev.HttpFailed(call.effect.call_id, "no answer", state)
 
         def fail() -> None:
--- a/rooklug_lab/policy/mechanisms.py
+++ b/rooklug_lab/policy/mechanisms.py
@@ -1,4 +1,4 @@
-"""Mechanisms of routing and how each is switched off, for ablation."""
+"""Mechanisms of the routing policy, and the settings that disable each for ablation."""
 
 import attrs
 
@@ -7,7 +7,7 @@
 
 @attrs.frozen
 class Mechanism:
-    """One mechanism: what it does, and the constants that switch it off."""
+    """One mechanism: a description, and the constants (``MODULE.NAME=VALUE``) that disable it."""
 
     name: str
     text: str
@@ -15,7 +15,7 @@
 
     @property
     def settings(self) -> tuple[Setting, ...]:
-        """The settings of an experiment without it."""
+        """The parsed settings that disable the mechanism."""
         return tuple(read_setting(text) for text in self.off)
 
 
--- a/rooklug_lab/policy/network.py
+++ b/rooklug_lab/policy/network.py
@@ -1,4 +1,4 @@
-"""One-way delays between places, and the bytes that cross zones and regions."""
+"""One-way delays between zones, and the count of bytes that cross zones and regions."""
 
 import attrs
 
@@ -8,7 +8,7 @@
 
 @attrs.frozen
 class PolicyNetwork:
-    """Delays by place; counts bytes into the run's usage."""
+    """Delays by zone and region; adds transferred bytes to the usage of the run."""
 
     delays: DelayShape
     usage: Usage
@@ -22,7 +22,7 @@
         return self.delays.between_regions_s
 
     def carry(self, source: ZoneShape, target: ZoneShape, size: float) -> None:
-        """Count bytes between a front and a replica."""
+        """Count ``size`` bytes sent between zones; traffic within a zone isn't counted."""
         if source.region != target.region:
             self.usage.bytes_between_regions += size
         elif source.name != target.name:
--- a/rooklug_lab/policy/part_cache.py
+++ b/rooklug_lab/policy/part_cache.py
@@ -1,4 +1,4 @@
-"""A replica's KV memory: parts of prompts, the longest unused give way first."""
+"""A replica's KV memory with a prefix cache that evicts the least recently used blocks."""
 
 from collections import OrderedDict
 
@@ -9,7 +9,7 @@
 
 @attrs.define
 class PartCache:
-    """Cached prompt parts beside what running requests occupy, in tokens."""
+    """Cached prefix blocks and the memory of running requests, in tokens."""
 
     memory_tokens: int
     running_tokens: int = 0
@@ -17,7 +17,7 @@
     _parts: OrderedDict[str, int] = attrs.field(factory=OrderedDict)
 
     def kept_tokens(self, parts: tuple[PrefixBlock, ...]) -> int:
-        """Return the tokens of the leading parts that needn't be read again, and touch them."""
+        """Return the tokens of the leading blocks that are cached, and mark these as used."""
         kept = 0
         for part in parts:
             if part.block_id not in self._parts:
@@ -27,21 +27,21 @@
         return kept
 
     def store(self, parts: tuple[PrefixBlock, ...]) -> None:
-        """Keep the parts of a prompt that has been read."""
+        """Cache the blocks of a prefilled prompt."""
         for part in parts:
             self.cached_tokens += part.tokens - self._parts.pop(part.block_id, 0)
             self._parts[part.block_id] = part.tokens
         self.make_room()
 
     def make_room(self) -> None:
-        """Let parts give way while memory is short."""
+        """Evict blocks until the rest fits beside the running requests."""
         room = self.memory_tokens - self.running_tokens
         while self._parts and self.cached_tokens > room:
             _, tokens = self._parts.popitem(last=False)
             self.cached_tokens -= tokens
 
     def clear(self) -> None:
-        """Lose everything."""
+        """Drop all cached blocks and the memory of running requests."""
         self._parts.clear()
         self.cached_tokens = 0
         self.running_tokens = 0
--- a/rooklug_lab/policy/plots.py
+++ b/rooklug_lab/policy/plots.py
@@ -1,4 +1,4 @@
-"""Pictures of one run: worth by second, and times to the first event."""
+"""Plots of one run: earned credit by arrival time, and times to the first event."""
 
 from pathlib import Path
 
@@ -7,7 +7,7 @@
 
 
 def plot_run(outcomes: list[Outcome], path: Path) -> None:
-    """Write a picture of a run; matplotlib is imported here, since only this needs it."""
+    """Write a plot of a run; matplotlib is imported here, since nothing else needs it."""
     import matplotlib
 
     matplotlib.use("Agg")
--- a/rooklug_lab/policy/replicas.py
+++ b/rooklug_lab/policy/replicas.py
@@ -1,4 +1,4 @@
-"""Emulated replicas: model replicas with an engine, application replicas with places."""
+"""Simulated replicas: model replicas with an engine, application replicas with slots."""
 
 from collections import deque
 from collections.abc import Callable
@@ -14,20 +14,21 @@
 from rooklug_lab.sim.scheduler import Scheduler
 
 PIECE_PAUSE_S = 0.2
-"""Events of a stream go on in bundles; only the first one is passed on by itself."""
+"""After the first event, stream events are batched and delivered at this interval at most."""
 COLD_BREAK_FACTOR = 2.5
-"""A cold replica falls over at so many times the rate that it bears."""
+"""A cold replica crashes when it gets more than this multiple of its cold rate in a second."""
 LOAD_HEADER = "rooklug-load"
-"""Running and waiting requests, and places; no policy reads it yet."""
+"""Response header: running requests, waiting requests, slots. No policy reads it yet."""
 
 Deliver = Callable[[ev.Event], None]
 
 
 @attrs.define(eq=False)
 class Job:
-    """A request at a replica; ``deliver`` takes its answer to the front that sent it.
+    """A request at a replica; ``deliver`` sends response events to the calling front.
 
-    ``key`` tells the calls of all fronts apart.
+    ``key`` is unique across the calls of all fronts. ``told_at`` is when the last events were
+    delivered (negative: none yet), ``after_event`` the event that a resumed stream continues from.
     """
 
     key: str
@@ -42,7 +43,7 @@
 
 @attrs.define(eq=False)
 class EmulatedReplica:
-    """One start of a replica. A restart makes a new one under another id."""
+    """One incarnation of a replica; a restart creates a new object with another id."""
 
     replica_id: str
     address: str
@@ -65,12 +66,12 @@
     worst_cold_second: int = 0
 
     def __attrs_post_init__(self) -> None:
-        """Give a model replica its engine."""
+        """Create the engine of a model replica; application replicas have none."""
         if self.service.engine is not None:
             self.engine = ServingEngine(self.service.engine, self.slowness)
 
     def arrive(self, job: Job, draw: float) -> None:
-        """Take a request; ``draw`` in [0, 1) decides about failures that come by chance."""
+        """Receive a request; it fails if ``draw``, in [0, 1), is below ``failing_share``."""
         if not self.up:
             return
         now = self.scheduler.now
@@ -92,7 +93,7 @@
             self._take_prompt(job, now)
 
     def cancel(self, key: str) -> None:
-        """End a request whose caller has closed the connection."""
+        """Drop a request whose caller has closed the connection."""
         job = self.jobs.pop(key, None)
         if job is None:
             return
@@ -102,14 +103,14 @@
             self.queue.remove(job)
 
     def end(self, dark: bool) -> list[Job]:
-        """Stop at once; return what ran, for resets (none when it goes dark)."""
+        """Stop at once; return the jobs to reset, which are none after a power loss (``dark``)."""
         self.up, self.dark = False, dark
         lost = list(self.jobs.values())
         self.jobs.clear()
         return [] if dark else lost
 
     def is_cold(self, now: float) -> bool:
-        """Return whether it bears only its cold rate."""
+        """Return whether it is still cold: it then crashes far above its cold rate."""
         return now < self.cold_until
 
     def _falls_over(self, now: float) -> bool:
--- a/rooklug_lab/policy/settings.py
+++ b/rooklug_lab/policy/settings.py
@@ -1,4 +1,4 @@
-"""Sets constants of the product for one experiment, by the names of their modules.
+"""Overrides module constants of rooklug for one experiment.
 
 An experiment names a constant as ``MODULE.NAME``, with ``rooklug.gateway.`` or
 ``rooklug.routing.`` left out: ``serving_fronts.SERVING_SHARE=0.1``.
@@ -14,7 +14,7 @@
 
 
 class SettingError(ValueError):
-    """A setting that can't be read or names nothing."""
+    """A setting that can't be parsed, or names an unknown module or constant."""
 
 
 @attrs.frozen
@@ -26,7 +26,7 @@
     value: object
 
     def apply(self) -> None:
-        """Give the constant its value in this process."""
+        """Set the constant in this process."""
         setattr(_module(self.module), self.name, self.value)
 
     def __str__(self) -> str:
@@ -34,17 +34,17 @@
 
 
 def read_setting(text: str) -> Setting:
-    """Read ``MODULE.NAME=VALUE``; the value is a Python literal."""
+    """Parse ``MODULE.NAME=VALUE`` with a Python literal; raise ``SettingError`` if invalid."""
     place, equals, literal = text.partition("=")
     module, dot, name = place.strip().rpartition(".")
     if not equals or not dot:
-        raise SettingError(f"{text!r} is not MODULE.NAME=VALUE")
+        raise SettingError(f"{text!r} is not of the form MODULE.NAME=VALUE")
     if not hasattr(_module(module), name):
-        raise SettingError(f"{module} has no {name}")
+        raise SettingError(f"{module} has no constant {name}")
     try:
         value = ast.literal_eval(literal.strip())
     except (ValueError, SyntaxError) as error:
-        raise SettingError(f"{literal!r} is not a literal") from error
+        raise SettingError(f"{literal!r} is not a Python literal") from error
     return Setting(module, name, value)
 
 
--- a/rooklug_lab/policy/shapes.py
+++ b/rooklug_lab/policy/shapes.py
@@ -1,6 +1,6 @@
-"""Typed shapes of emulated deployments, read from the data files beside this module.
+"""Typed descriptions of simulated deployments, read from the TOML files in ``sites``.
 
-Sizes of a file are a deployment's as a whole; times are seconds, rates are requests a second.
+Times are seconds, rates are requests per second.
 """
 
 import tomllib
@@ -14,7 +14,7 @@
 
 @attrs.frozen
 class Spread:
-    """A log-normal size: its mean, the standard deviation of its logarithm, and its bound."""
+    """A log-normal distribution: mean, standard deviation of the logarithm, upper bound."""
 
     mean: float
     spread: float = 0.0
@@ -23,7 +23,7 @@
 
 @attrs.frozen
 class ChainLevel:
-    """One level of shared prompt parts: so many different ones, the popular ones more often."""
+    """One level of shared prefix blocks: ``things`` different ones with Zipf exponent ``skew``."""
 
     tokens: Spread
     things: int
@@ -34,9 +34,9 @@
 class RequestKind:
     """One kind of request.
 
-    ``weight`` is its part of the arrivals; ``worth`` the credit of a request of mean size that is
-    in time, ``late_share`` the part of it that a late one earns. ``events`` is the length of the
-    answer in events of a stream; an at-most-once request has ``work_s`` instead.
+    ``weight`` is its relative share of the arrivals; ``worth`` the credit of a request of mean size
+    that is answered in time, ``late_share`` the share of it that a late one earns. ``events`` is
+    the length of the answer in stream events; an at-most-once request has ``work_s`` instead.
     """
 
     name: str
@@ -60,13 +60,13 @@
 
     @property
     def is_stream(self) -> bool:
-        """Whether it is answered by a model replica, event by event."""
+        """Whether a model replica answers it with an event stream."""
         return self.prompt.mean > 0
 
 
 @attrs.frozen
 class EngineShape:
-    """A model replica's engine: batch, steps, reading, memory."""
+    """A model replica's engine: batch and queue limits, step times, prefill speed, KV memory."""
 
     slots: int
     queue: int
@@ -82,7 +82,7 @@
 
 @attrs.frozen
 class ServiceShape:
-    """A pool of replicas; ``speeds`` are factors of time, by turns."""
+    """A replica pool; ``speeds`` are duration factors assigned to its replicas in rotation."""
 
     name: str
     slots: int
@@ -96,7 +96,7 @@
 
 @attrs.frozen
 class ZoneShape:
-    """A zone: its region, fronts, replicas by service, and its clients' rate."""
+    """A zone: region, number of fronts, replicas by service, and arrival rate of its clients."""
 
     name: str
     region: str
@@ -108,7 +108,7 @@
 
 @attrs.frozen
 class WaveShape:
-    """How the rate of every zone swings, and how arrivals come in clumps."""
+    """Sinusoidal variation of the arrival rates, and the mean burst size (``clump``)."""
 
     swing: float = 0.0
     period_s: float = 30.0
@@ -117,7 +117,7 @@
 
 @attrs.frozen
 class DelayShape:
-    """One-way delays in seconds."""
+    """One-way delays in seconds; ``client_s`` is added between a client and any front."""
 
     in_zone_s: float
     between_zones_s: float
@@ -127,7 +127,11 @@
 
 @attrs.frozen
 class PriceShape:
-    """What is deducted, in the unit of a request's worth."""
+    """Prices deducted from the credit, in the unit of ``RequestKind.worth``.
+
+    Prefilling a shared block again costs ``tokens_again_k`` per thousand tokens if some replica
+    used the block within the last ``again_within_s``.
+    """
 
     tokens_again_k: float = 0.0
     gigabyte_between_zones: float = 0.0
@@ -138,7 +142,7 @@
 
 @attrs.frozen
 class GoalShape:
-    """Weights of the whole day, the two worst windows and the worst kind."""
+    """Weights in the total score of the whole day, the two worst windows and the worst kind."""
 
     whole_day: float
     worst_windows: float
@@ -147,7 +151,7 @@
 
 @attrs.frozen
 class PolicySite:
-    """A whole deployment."""
+    """A simulated deployment; ``length_s`` is the duration of its arrivals."""
 
     name: str
     length_s: float
@@ -164,17 +168,17 @@
     cold_slack: float = 5.0
 
     def service(self, name: str) -> ServiceShape:
-        """Return a service by name."""
+        """Return a service by name; raise ``StopIteration`` if there is none."""
         return next(service for service in self.services if service.name == name)
 
 
 def site_names() -> list[str]:
-    """Return the deployments that there are files for."""
+    """Return the names of the deployments in the ``sites`` folder."""
     return sorted(path.stem for path in FOLDER.glob("*.toml"))
 
 
 def read_site(name: str) -> PolicySite:
-    """Read a deployment; ``name`` is a file's name without its ending, or a path."""
+    """Read a deployment by its name in the ``sites`` folder, or from a path to a TOML file."""
     path = Path(name) if name.endswith(".toml") else FOLDER / f"{name}.toml"
     document = tomllib.loads(path.read_text(encoding="utf-8"))
     converter = cattrs.Converter(forbid_extra_keys=True)
--- a/rooklug_lab/policy/tables.py
+++ b/rooklug_lab/policy/tables.py
@@ -1,4 +1,4 @@
-"""Tables of one run: by kind of request, region and second, and where the time went."""
+"""Tables of one run by request kind, region and arrival time, with latency components."""
 
 from collections import defaultdict
 from collections.abc import Callable, Hashable, Iterable, Iterator
@@ -15,7 +15,11 @@
 
 @attrs.define
 class Row:
-    """Sums over some outcomes. Times are milliseconds."""
+    """Counts and sums over a group of outcomes. Times are milliseconds.
+
+    Each outcome counts as one of ``in_time``, ``paused`` (missed only its gap objective),
+    ``late`` and ``lost`` (incomplete).
+    """
 
     asked: int = 0
     in_time: int = 0
@@ -30,7 +34,7 @@
     first: HdrHistogram = attrs.field(factory=lambda: HdrHistogram(1, MOST_MS, DIGITS))
 
     def add(self, outcome: Outcome) -> None:
-        """Count one outcome."""
+        """Add one outcome to the counts; lost ones don't contribute latencies."""
         self.asked += 1
         self.owed += outcome.owed
         self.earned += outcome.earned
@@ -49,7 +53,7 @@
             self.late += 1
 
     def cells(self) -> Iterator[str]:
-        """Return the row's figures as text."""
+        """Yield the cells in the order of ``HEADINGS``; latency components are means."""
         answered = max(self.asked - self.lost, 1)
         yield from (str(n) for n in (self.asked, self.in_time, self.paused, self.late, self.lost))
         yield f"{self.earned / self.owed if self.owed else 1.0:.3f}"
@@ -66,7 +70,7 @@
 
 
 def table(title: str, rows: dict[str, Row]) -> str:
-    """Return rows as aligned text."""
+    """Return the rows as text in aligned columns."""
     width = max([len(title), *(len(name) for name in rows)])
     lines = [f"{title:{width}}  " + "  ".join(f"{heading:>10}" for heading in HEADINGS)]
     for name, row in rows.items():
@@ -80,12 +84,12 @@
 
 
 def by_region(outcomes: Iterable[Outcome]) -> dict[str, Row]:
-    """Return a row for each region of clients."""
+    """Return a row for each client region."""
     return _rows(outcomes, lambda outcome: outcome.request.zone.region)
 
 
 def by_second(outcomes: Iterable[Outcome], width_s: int = 2) -> dict[str, Row]:
-    """Return a row for every few seconds of arrivals."""
+    """Return a row for each ``width_s`` seconds of arrivals."""
     found = _rows(outcomes, lambda outcome: int(outcome.request.at // width_s) * width_s)
     return {f"from {second} s": row for second, row in found.items()}
 
--- a/rooklug_lab/policy/world.py
+++ b/rooklug_lab/policy/world.py
@@ -1,4 +1,4 @@
-"""An emulated deployment in virtual time: fronts, replicas, clients and control."""
+"""A simulated deployment in virtual time: fronts, replicas, clients and control plane."""
 
 from random import Random
 
@@ -21,11 +21,11 @@
 from rooklug_lab.sim.scheduler import Scheduler
 
 AFTER_S = 6.0
-"""Requests that arrived last are awaited for so long."""
+"""A run continues for this time after the last arrivals, so that they can complete."""
 
 
 class PolicyWorld:
-    """Runs one day. The same site, day and seed give the same run."""
+    """Runs one day. Runs with the same site, day, seed and load are identical."""
 
     def __init__(self, site: PolicySite, day: str, seed: int, load: float = 1.0) -> None:
         self.site = site
@@ -60,7 +60,7 @@
         return self.scheduler.now
 
     def run(self) -> Verdict:
-        """Play the day to its end and judge it."""
+        """Run the day to its end and return its scores."""
         self.scheduler.run_until(self.site.length_s + AFTER_S)
         engines = [r.engine for r in self._replicas.values() if r.engine is not None]
         self.usage.preempted += sum(engine.preempted for engine in engines)
@@ -70,13 +70,13 @@
 
     @property
     def outcomes(self) -> list[Outcome]:
-        """How each request went."""
+        """The outcomes of all requests sent so far, in order of arrival."""
         return self.clients.outcomes
 
-    # What the parts ask -------------------------------------------------------
+    # Queries and counts -------------------------------------------------------
 
     def at_address(self, address: str) -> EmulatedReplica:
-        """Return the replica at an address, running or not."""
+        """Return the latest replica at an address, running or not."""
         return self._replicas[address]
 
     def front_at(self, address: str) -> EmulatedFront:
@@ -84,23 +84,23 @@
         return self._front_at[address]
 
     def running_replicas(self) -> list[EmulatedReplica]:
-        """Return the replicas that run, by address."""
+        """Return the replicas that are up."""
         return [replica for replica in self._replicas.values() if replica.up]
 
     def tokens_per_event(self, kind: RequestKind) -> int:
-        """Return how many tokens an event of a kind's streams holds."""
+        """Return the tokens per stream event of a kind; 0 if its service has no engine."""
         engine = self.site.service(kind.service).engine
         return engine.tokens_per_event if engine else 0
 
     def count_arrival(self, job: Job) -> None:
-        """Count a request that reaches a replica."""
+        """Count a request that reaches a replica, and whether its attempt reached one before."""
         self.usage.arrivals += 1
         request_id = job.call.headers[NAMES.request_id]
         self.usage.repeats += request_id in self._arrived
         self._arrived.add(request_id)
 
     def count_reading(self, job: Job) -> None:
-        """Take a request's times, and what was read though some replica had read it."""
+        """Record a request's latency components and the recently used blocks prefilled again."""
         sequence, now = job.sequence, self.now
         outcome = self.clients.outcome_of(job.call.headers[NAMES.request_id])
         outcome.waiting_s = sequence.began_at - sequence.arrived_at
@@ -116,7 +116,7 @@
             self._used_at[part.block_id] = now
 
     def count_pauses(self, job: Job) -> None:
-        """Take the longest pause of a stream that has ended at its replica."""
+        """Record the longest gap of a stream whose call has completed or failed."""
         if job.sequence is not None:
             outcome = self.clients.outcome_of(job.call.headers[NAMES.request_id])
             outcome.longest_gap_s = max(outcome.longest_gap_s, job.sequence.longest_gap_s)
@@ -124,11 +124,11 @@
     # Faults -------------------------------------------------------------------
 
     def at(self, moment_s: float, action) -> None:
-        """Do something at a moment."""
+        """Schedule a fault, in virtual seconds since the start."""
         self.scheduler.at(moment_s, action)
 
     def replica_ends(self, address: str, dark: bool, for_s: float) -> None:
-        """End a replica; its successor comes to the same address, cold."""
+        """Stop a replica; after ``for_s`` a new cold one starts at the same address."""
         replica = self._replicas[address]
         if not replica.up:
             return
@@ -144,7 +144,7 @@
         self.scheduler.after(for_s, lambda: self._restart_replica(replica))
 
     def misbehave(self, address: str, for_s: float, **conduct: object) -> None:
-        """Let a replica fail or hang for a while."""
+        """Set ``failing_share`` or ``hangs`` of a replica, and reset both after ``for_s``."""
         replica = self._replicas[address]
         for name, value in conduct.items():
             setattr(replica, name, value)
@@ -155,7 +155,7 @@
         self.scheduler.after(for_s, mend)
 
     def front_ends(self, name: str, dark: bool, for_s: float) -> None:
-        """End a front; it starts again."""
+        """Stop a front; it restarts after ``for_s``."""
         front = self.fronts[name]
         if not front.up:
             return
@@ -164,13 +164,13 @@
         self.scheduler.after(for_s, front.start)
 
     def zone_replicas_end(self, zone: str, for_s: float) -> None:
-        """End all replicas of a zone."""
+        """Stop all replicas of a zone; connections to them are reset."""
         for replica in self.running_replicas():
             if replica.zone.name == zone:
                 self.replica_ends(replica.address, False, for_s)
 
     def region_ends(self, region: str, for_s: float) -> None:
-        """Let a region lose power."""
+        """Cut the power of all fronts and replicas of a region."""
         for front in self.fronts.values():
             if front.zone.region == region:
                 self.front_ends(front.name, True, for_s)
@@ -179,12 +179,12 @@
                 self.replica_ends(replica.address, True, for_s)
 
     def machines_end(self, for_s: float) -> None:
-        """Let all fronts lose power; replicas run on."""
+        """Cut the power of all fronts; replicas keep running."""
         for name in list(self.fronts):
             self.front_ends(name, True, for_s)
 
     def everything_ends(self, for_s: float) -> None:
-        """Let everything lose power."""
+        """Cut the power of all fronts and replicas."""
         for region in sorted({zone.region for zone in self.site.zones}):
             self.region_ends(region, for_s)
 
--- a/tests/test_policy_engine.py
+++ b/tests/test_policy_engine.py
@@ -1,4 +1,4 @@
-"""The emulated engine: what replicas publish of their batches, memory and steps."""
+"""The simulated engine: step times, batching, the prefix cache and preemption."""
 
 import unittest
 
--- a/tests/test_policy_lab.py
+++ b/tests/test_policy_lab.py
@@ -1,4 +1,4 @@
-"""Emulated deployments: they repeat, judge by the published measures, and take settings."""
+"""Simulated deployments: determinism, scoring, fault scenarios, settings and the command."""
 
 import contextlib
 import io
