--- a/rooklug_lab/policy/arrivals.py
+++ b/rooklug_lab/policy/arrivals.py
@@ -14,9 +14,9 @@
 from rooklug.gateway.requests import PrefixBlock
 from rooklug_lab.policy.shapes import ChainLevel, PolicySite, RequestKind, Spread, ZoneShape
 
-CLUMP_S = 0.1
+BURST_S = 0.1
 """The further requests of a burst arrive within this time after its first one."""
-EVENT_LEAST = 1
+MIN_EVENTS = 1
 """Every answer has at least this many events."""
 
 
@@ -74,7 +74,7 @@
                 continue
             yield at
             while self.random.random() > 1 / wave.clump:
-                yield min(at + self.random.uniform(0.0, CLUMP_S), self.site.length_s)
+                yield min(at + self.random.uniform(0.0, BURST_S), self.site.length_s)
 
     def _level(self, kind: RequestKind, level: int) -> list[PrefixBlock]:
         shape = kind.chain[level]
@@ -90,7 +90,7 @@
         parts = self._parts(number, kind)
         own = max(1, round(self._size(kind.prompt)))
         parts = (*parts, PrefixBlock(f"own-{number}", own))
-        events = max(EVENT_LEAST, round(self._size(kind.events)))
+        events = max(MIN_EVENTS, round(self._size(kind.events)))
         mean = kind.prompt.mean + sum(level.tokens.mean for level in kind.chain)
         prompt = sum(part.tokens for part in parts)
         return ClientRequest(number, at, kind, zone, parts, prompt, events, 0.0, prompt / mean)
--- a/rooklug_lab/policy/clients.py
+++ b/rooklug_lab/policy/clients.py
@@ -18,7 +18,7 @@
 
 NEXT_ADDRESS_S = 0.01
 """Delay until the next address is tried after a refused connection."""
-CONNECT_PATIENCE_S = 1.0
+CONNECT_TIMEOUT_S = 1.0
 """Connect timeout of a client at a front that has lost power."""
 RETRY_WAIT_SHARE = 1 / 3
 """Clients obey a Retry-After up to this share of the time left until their deadline."""
@@ -39,7 +39,7 @@
     sent_at: float
     front: "EmulatedFront"
     generation: int
-    last_piece_at: float = 0.0
+    last_chunk_at: float = 0.0
 
 
 @attrs.define(eq=False)
@@ -69,19 +69,19 @@
         """Return the outcome of the request that an attempt (by its request id) belongs to."""
         return self._by_request_id[request_id].outcome
 
-    def answered(self, front: "EmulatedFront", effect: fx.Effect) -> None:
+    def handle_effect(self, front: "EmulatedFront", effect: fx.Effect) -> None:
         """Deliver a front's response effect to its client; closed attempts are ignored."""
         attempt = self._attempts.get(getattr(effect, "request_id", 0))
         if attempt is None:
             return
         delay_s = self._delay_s(attempt.outcome.request, front)
-        self.world.scheduler.after(delay_s, lambda: self._take(attempt, effect))
+        self.world.scheduler.after(delay_s, lambda: self._apply_effect(attempt, effect))
 
-    def front_ended(self, front: "EmulatedFront", dark: bool) -> None:
+    def handle_front_stop(self, front: "EmulatedFront", dark: bool) -> None:
         """Fail the attempts at a stopped front; after a power loss clients get no reset."""
         for http_id, attempt in list(self._attempts.items()):
             if attempt.front is front and not dark:
-                self._later_failed(http_id, attempt)
+                self._schedule_failure(http_id, attempt)
 
     # Sending ------------------------------------------------------------------
 
@@ -99,7 +99,7 @@
             return
         front = self.world.random.choice(fronts)
         if not front.up:
-            wait_s = CONNECT_PATIENCE_S if front.dark else NEXT_ADDRESS_S
+            wait_s = CONNECT_TIMEOUT_S if front.dark else NEXT_ADDRESS_S
             self.world.scheduler.after(
                 wait_s, lambda: self._connect(outcome, {*failed, front.name})
             )
@@ -112,13 +112,15 @@
         self._by_request_id[request_id] = attempt
         delay_s = self._delay_s(outcome.request, front)
         self.world.scheduler.after(delay_s, lambda: self._arrive(http_id, attempt))
-        self.world.scheduler.at(self._ends_at(outcome), lambda: self._leave(http_id, attempt))
+        self.world.scheduler.at(
+            self._ends_at(outcome), lambda: self._close_at_deadline(http_id, attempt)
+        )
 
     def _arrive(self, http_id: int, attempt: Attempt) -> None:
         front = attempt.front
         if not front.up or front.generation != attempt.generation:
             if not front.dark:
-                self._later_failed(http_id, attempt)
+                self._schedule_failure(http_id, attempt)
             return
         request = attempt.outcome.request
         left_ms = int((self._ends_at(attempt.outcome) - attempt.sent_at) * 1000)
@@ -141,47 +143,47 @@
     def _ends_at(self, outcome: Outcome) -> float:
         return outcome.request.at + outcome.request.kind.deadline_s
 
-    def _leave(self, http_id: int, attempt: Attempt) -> None:
+    def _close_at_deadline(self, http_id: int, attempt: Attempt) -> None:
         """Close the attempt at the request's deadline."""
         if self._attempts.pop(http_id, None) is not None:
             attempt.front.deliver(ev.HttpRequestClosed(http_id))
 
     # Answers ------------------------------------------------------------------
 
-    def _take(self, attempt: Attempt, effect: fx.Effect) -> None:
+    def _apply_effect(self, attempt: Attempt, effect: fx.Effect) -> None:
         http_id = effect.request_id
         if self._attempts.get(http_id) is not attempt:
             return
         outcome, now = attempt.outcome, self.world.now
         match effect:
             case fx.HttpStreamChunk():
-                self._piece(attempt, now)
+                self._record_chunk(attempt, now)
             case fx.HttpStreamEnd():
                 del self._attempts[http_id]
                 outcome.complete = True
             case fx.HttpStreamAbort():
                 del self._attempts[http_id]
-                self._failed(attempt)
+                self._handle_failure(attempt)
             case fx.HttpRespond():
                 del self._attempts[http_id]
-                self._responded(attempt, effect, now)
+                self._handle_response(attempt, effect, now)
 
-    def _piece(self, attempt: Attempt, now: float) -> None:
-        if not attempt.last_piece_at:
+    def _record_chunk(self, attempt: Attempt, now: float) -> None:
+        if not attempt.last_chunk_at:
             attempt.outcome.first_at = now
-        attempt.last_piece_at = now
+        attempt.last_chunk_at = now
 
-    def _responded(self, attempt: Attempt, effect: fx.HttpRespond, now: float) -> None:
+    def _handle_response(self, attempt: Attempt, effect: fx.HttpRespond, now: float) -> None:
         outcome = attempt.outcome
         if 200 <= effect.status < 300:
             outcome.first_at = now
             outcome.complete = True
         elif effect.status == 503:
-            self._refused(attempt, float(effect.headers.get("retry-after", "0.1")), now)
+            self._handle_refusal(attempt, float(effect.headers.get("retry-after", "0.1")), now)
         else:
-            self._failed(attempt)
+            self._handle_failure(attempt)
 
-    def _refused(self, attempt: Attempt, retry_after_s: float, now: float) -> None:
+    def _handle_refusal(self, attempt: Attempt, retry_after_s: float, now: float) -> None:
         outcome = attempt.outcome
         kind = outcome.request.kind
         outcome.refusals += 1
@@ -191,16 +193,16 @@
             wait_s = min(retry_after_s, left_s * RETRY_WAIT_SHARE)
             self.world.scheduler.after(wait_s, lambda: self._send(outcome))
 
-    def _failed(self, attempt: Attempt) -> None:
+    def _handle_failure(self, attempt: Attempt) -> None:
         outcome = attempt.outcome
         kind = outcome.request.kind
         if kind.resumable and outcome.attempts <= kind.retries:
             self._send(outcome)
 
-    def _later_failed(self, http_id: int, attempt: Attempt) -> None:
+    def _schedule_failure(self, http_id: int, attempt: Attempt) -> None:
         self._attempts.pop(http_id, None)
         delay_s = self._delay_s(attempt.outcome.request, attempt.front)
-        self.world.scheduler.after(delay_s, lambda: self._failed(attempt))
+        self.world.scheduler.after(delay_s, lambda: self._handle_failure(attempt))
 
     # Directory ----------------------------------------------------------------
 
--- a/rooklug_lab/policy/command.py
+++ b/rooklug_lab/policy/command.py
@@ -8,7 +8,7 @@
 import attrs
 
 from rooklug_lab.policy.decision_cost import SIZES, measure_decision
-from rooklug_lab.policy.experiment import Case, Played, difference, play_all
+from rooklug_lab.policy.experiment import Case, CaseResult, difference, run_cases
 from rooklug_lab.policy.faults import DAYS
 from rooklug_lab.policy.mechanisms import MECHANISMS
 from rooklug_lab.policy.plots import plot_run
@@ -90,7 +90,7 @@
         print(error, file=sys.stderr)
         return 2
     totals = []
-    for played in play_all(cases, arguments.workers):
+    for played in run_cases(cases, arguments.workers):
         totals.append(played.verdict.total)
         print(json.dumps(_report(played)) if arguments.json else _line(played), flush=True)
     print(f"mean of {len(totals)} runs: {sum(totals) / len(totals):.4f}")
@@ -104,7 +104,7 @@
     except SettingError as error:
         print(error, file=sys.stderr)
         return 2
-    found = list(play_all([*before, *after], arguments.workers))
+    found = list(run_cases([*before, *after], arguments.workers))
     pairs = list(zip(found[: len(before)], found[len(before) :], strict=True))
     for one, two in pairs:
         print(_pair_line(one, two), flush=True)
@@ -125,19 +125,19 @@
 
 def _ablate(arguments: argparse.Namespace) -> int:
     try:
-        whole = _cases(arguments, ())
+        baseline = _cases(arguments, ())
         variants = {m.name: _cases(arguments, m.settings) for m in MECHANISMS.values()}
     except SettingError as error:
         print(error, file=sys.stderr)
         return 2
-    cases = [*whole, *(case for found in variants.values() for case in found)]
+    cases = [*baseline, *(case for found in variants.values() for case in found)]
     played = []
-    for result in play_all(cases, arguments.workers):
+    for result in run_cases(cases, arguments.workers):
         played.append(result.verdict.total)
         print(f"{len(played)} of {len(cases)} runs", end="\r", file=sys.stderr, flush=True)
-    before, rest = played[: len(whole)], played[len(whole) :]
+    before, rest = played[: len(baseline)], played[len(baseline) :]
     for number, name in enumerate(variants):
-        after = rest[number * len(whole) : (number + 1) * len(whole)]
+        after = rest[number * len(baseline) : (number + 1) * len(baseline)]
         worth = difference([one - two for one, two in zip(before, after, strict=True)])
         print(f"{name:16} {worth.mean:+.4f} {worth.error:.4f} {worth.pairs:3} {worth.verdict}")
     return 0
@@ -161,7 +161,7 @@
     return 0
 
 
-def _line(played: Played) -> str:
+def _line(played: CaseResult) -> str:
     verdict, usage = played.verdict, played.usage
     kinds = " ".join(f"{name} {value:.2f}" for name, value in verdict.by_kind.items())
     prices = " ".join(f"{name} {value:.3f}" for name, value in verdict.prices.items())
@@ -173,20 +173,22 @@
     )
 
 
-def _pair_line(one: Played, two: Played) -> str:
+def _pair_line(one: CaseResult, two: CaseResult) -> str:
     moved = {
         "whole": two.verdict.whole_day - one.verdict.whole_day,
         "windows": two.verdict.worst_windows - one.verdict.worst_windows,
         "kind": two.verdict.worst_kind - one.verdict.worst_kind,
         **{name: price - one.verdict.prices[name] for name, price in two.verdict.prices.items()},
     }
-    told = ", ".join(f"{name} {value:+.3f}" for name, value in moved.items() if abs(value) > 0.002)
+    changes = ", ".join(
+        f"{name} {value:+.3f}" for name, value in moved.items() if abs(value) > 0.002
+    )
     change = two.verdict.total - one.verdict.total
     totals = f"{one.verdict.total:.3f} -> {two.verdict.total:.3f} ({change:+.3f})"
-    return f"{one.case.label:36} {totals}  {told}"
+    return f"{one.case.label:36} {totals}  {changes}"
 
 
-def _report(played: Played) -> dict:
+def _report(played: CaseResult) -> dict:
     return {
         "site": played.case.site,
         "day": played.case.day,
--- a/rooklug_lab/policy/control.py
+++ b/rooklug_lab/policy/control.py
@@ -48,7 +48,7 @@
 """Delay until a published topic reaches the fronts."""
 SOLVE_S = 0.1
 """Duration of a planner computation."""
-MEMBERS_STEP_S = 0.1
+MEMBERS_INTERVAL_S = 0.1
 LEASE_S = 1.6
 """A killed front stays a member for this time, until its lease expires."""
 START_S = 0.6
@@ -58,12 +58,12 @@
 
 @attrs.define(eq=False)
 class EmulatedControl:
-    """Maintains the one view that all fronts receive; ``emptied`` holds the evacuated zones."""
+    """Maintains the one view that all fronts receive; ``evacuated`` holds zone names."""
 
     world: "PolicyWorld"
-    keeper: GatewayViewBuilder = attrs.field(factory=GatewayViewBuilder)
+    view_builder: GatewayViewBuilder = attrs.field(factory=GatewayViewBuilder)
     planner: RegionPlanner = attrs.field(factory=lambda: RegionPlanner(Identifiers()))
-    emptied: set[str] = attrs.field(factory=set)
+    evacuated: set[str] = attrs.field(factory=set)
     _counter: int = 0
     _history: list[tuple[float, list[ListedReplica]]] = attrs.field(factory=list)
     _ended: dict[str, tuple[float, ListedReplica]] = attrs.field(factory=dict)
@@ -74,7 +74,7 @@
     @property
     def view(self) -> GatewayView:
         """The latest published view, which fronts receive ``DISTRIBUTION_S`` later."""
-        return self.keeper.view
+        return self.view_builder.view
 
     def start(self) -> None:
         """Publish the configuration, members and replica list, then start the periodic updates."""
@@ -85,22 +85,22 @@
         self._change(CONFIGURATION, body)
         self._plan(PrimaryStarted(EPOCH))
         self._publish_members()
-        self._note_list()
+        self._record_list()
         self._read_list()
         self._every(READ_INTERVAL_S, self._read_list)
-        self._every(0.1, self._note_list)
-        self._every(MEMBERS_STEP_S, self._publish_members)
+        self._every(0.1, self._record_list)
+        self._every(MEMBERS_INTERVAL_S, self._publish_members)
         self._every(REPORT_INTERVAL_S, self._report_demand)
         self._every(SOLVE_INTERVAL_S, lambda: self._plan(ev.TimerFired("solve")))
 
-    def evacuate(self, zone: str, emptied: bool) -> None:
-        """Evacuate a zone, or (``emptied`` false) let it serve again."""
-        (self.emptied.add if emptied else self.emptied.discard)(zone)
-        body = ZonesBody(sorted(self.emptied))
+    def evacuate(self, zone: str, is_evacuated: bool) -> None:
+        """Evacuate a zone, or (``is_evacuated`` false) let it serve again."""
+        (self.evacuated.add if is_evacuated else self.evacuated.discard)(zone)
+        body = ZonesBody(sorted(self.evacuated))
         self._plan(ZonesCommitted(VersionMark(EPOCH, self._counter + 1), body))
         self._change(ZONES, body)
 
-    def note_ended(self, replica: "EmulatedReplica") -> None:
+    def record_stopped(self, replica: "EmulatedReplica") -> None:
         """Keep a stopped replica on the published list for ``ENDED_LISTED_S``."""
         self._ended[replica.replica_id] = (self.world.now, _listed(replica, self.world.now))
 
@@ -116,11 +116,11 @@
     def _change(self, topic: str, body: object) -> None:
         self._counter += 1
         event = TopicChanged(topic, VersionMark(EPOCH, self._counter), body)
-        self.keeper.handle(event, self.world.now)
-        view = self.keeper.view
-        self.world.scheduler.after(DISTRIBUTION_S, lambda: self._spread(view))
+        self.view_builder.handle(event, self.world.now)
+        view = self.view_builder.view
+        self.world.scheduler.after(DISTRIBUTION_S, lambda: self._distribute(view))
 
-    def _spread(self, view: GatewayView) -> None:
+    def _distribute(self, view: GatewayView) -> None:
         for front in self.world.fronts.values():
             front.deliver(ViewChanged(view))
 
@@ -133,7 +133,7 @@
             elif isinstance(effect, EmitEvent) and isinstance(effect.event, TopicOffered):
                 self._change(PLAN, effect.event.body)
 
-    def _note_list(self) -> None:
+    def _record_list(self) -> None:
         now = self.world.now
         listed = [_listed(replica, now) for replica in self.world.running_replicas()]
         self._ended = {k: v for k, v in self._ended.items() if now - v[0] <= ENDED_LISTED_S}
@@ -221,7 +221,7 @@
         zone=replica.zone.name,
         resource=replica.service.name,
         resource_units=1.0,
-        leaving=replica.leaving,
+        leaving=replica.draining,
         slots=replica.service.slots,
         cold_ms=int(max(replica.cold_until - now, 0.0) * 1000),
     )
--- a/rooklug_lab/policy/credit.py
+++ b/rooklug_lab/policy/credit.py
@@ -22,8 +22,8 @@
     """The result of one request over all of its attempts.
 
     ``attempt_at`` (latest attempt) and ``first_at`` (first event) are seconds since the start of
-    the run. ``way_s`` is the time from arrival at the client to the replica, ``waiting_s`` the
-    queue time there, ``reading_s`` the prefill time.
+    the run. ``transit_s`` is the time from arrival at the client to the replica, ``waiting_s`` the
+    queue time there, ``prefill_s`` the prefill time.
     """
 
     request: ClientRequest
@@ -34,13 +34,13 @@
     first_at: float = 0.0
     longest_gap_s: float = 0.0
     complete: bool = False
-    way_s: float = 0.0
+    transit_s: float = 0.0
     waiting_s: float = 0.0
-    reading_s: float = 0.0
+    prefill_s: float = 0.0
     tokens_again: int = 0
 
     @property
-    def owed(self) -> float:
+    def full_credit(self) -> float:
         """The full credit of this request, earned if it is answered in time."""
         kind = self.request.kind
         if not kind.is_stream:
@@ -55,7 +55,11 @@
     @property
     def in_time(self) -> bool:
         """Whether the answer met its latency objective and its gap objective."""
-        return self.complete and self.first_s <= self.request.kind.objective_s and self._even
+        return (
+            self.complete
+            and self.first_s <= self.request.kind.objective_s
+            and self._meets_gap_objective
+        )
 
     @property
     def earned(self) -> float:
@@ -65,16 +69,20 @@
         """
         if not self.complete:
             return 0.0
-        late = self.owed * self.request.kind.late_share
+        late = self.full_credit * self.request.kind.late_share
         if self.in_time:
-            return self.owed
+            return self.full_credit
         again_s = self.first_at - self.attempt_at
-        if self.refused_fast and self._even and again_s <= self.request.kind.objective_s:
-            return (self.owed + late) / 2
+        if (
+            self.refused_fast
+            and self._meets_gap_objective
+            and again_s <= self.request.kind.objective_s
+        ):
+            return (self.full_credit + late) / 2
         return late
 
     @property
-    def _even(self) -> bool:
+    def _meets_gap_objective(self) -> bool:
         gap_s = self.request.kind.gap_s
         return not gap_s or self.longest_gap_s <= gap_s
 
@@ -108,25 +116,27 @@
 
 def judge(site: PolicySite, outcomes: list[Outcome], usage: Usage) -> Verdict:
     """Return the scores of a finished run."""
-    owed = sum(outcome.owed for outcome in outcomes)
-    whole = _share(outcomes)
-    by_kind = {name: _share(found) for name, found in _by_class(outcomes).items()}
+    full_credit = sum(outcome.full_credit for outcome in outcomes)
+    whole_day = _share(outcomes)
+    by_kind = {name: _share(found) for name, found in _by_kind(outcomes).items()}
     windows = sorted(_share(found) for found in _by_window(outcomes).values())
     worst_windows = sum(windows[:2]) / max(len(windows[:2]), 1)
     worst_kind = min(by_kind.values(), default=0.0)
-    prices = {name: price / owed for name, price in _prices(site, usage).items()}
+    prices = {name: price / full_credit for name, price in _prices(site, usage).items()}
     goal = site.goal
-    credit = goal.whole_day * whole + goal.worst_windows * worst_windows
+    credit = goal.whole_day * whole_day + goal.worst_windows * worst_windows
     credit += goal.worst_kind * worst_kind
-    return Verdict(whole, worst_windows, worst_kind, prices, credit - sum(prices.values()), by_kind)
+    return Verdict(
+        whole_day, worst_windows, worst_kind, prices, credit - sum(prices.values()), by_kind
+    )
 
 
 def _share(outcomes: list[Outcome]) -> float:
-    owed = sum(outcome.owed for outcome in outcomes)
-    return sum(outcome.earned for outcome in outcomes) / owed if owed else 1.0
+    full_credit = sum(outcome.full_credit for outcome in outcomes)
+    return sum(outcome.earned for outcome in outcomes) / full_credit if full_credit else 1.0
 
 
-def _by_class(outcomes: list[Outcome]) -> dict[str, list[Outcome]]:
+def _by_kind(outcomes: list[Outcome]) -> dict[str, list[Outcome]]:
     """Return the outcomes by kind; the largest 10 % and the next 20 % of streams are kinds, too."""
     found: dict[str, list[Outcome]] = defaultdict(list)
     for outcome in outcomes:
--- a/rooklug_lab/policy/engine.py
+++ b/rooklug_lab/policy/engine.py
@@ -25,8 +25,8 @@
 class Sequence:
     """One request at an engine and its progress. Times are virtual seconds.
 
-    ``kept_tokens`` are the prompt tokens found in the prefix cache, ``unread`` those still to be
-    prefilled, ``emitted`` the generated tokens.
+    ``kept_tokens`` are the prompt tokens found in the prefix cache, ``prefill_tokens_left`` those
+    still to be prefilled, ``emitted`` the generated tokens.
     """
 
     key: str
@@ -36,7 +36,7 @@
     answer_tokens: int
     arrived_at: float
     kept_tokens: int = 0
-    unread: int = 0
+    prefill_tokens_left: int = 0
     emitted: int = 0
     began_at: float = 0.0
     first_at: float = 0.0
@@ -48,7 +48,7 @@
     @property
     def context(self) -> int:
         """Tokens that a step attends to: the prefilled part of the prompt and the answer so far."""
-        return self.prompt_tokens - self.unread + self.emitted
+        return self.prompt_tokens - self.prefill_tokens_left + self.emitted
 
     @property
     def finished(self) -> bool:
@@ -61,7 +61,7 @@
     began_at: float
     length_s: float
     count: int
-    reads: list[tuple[Sequence, int]]
+    prefills: list[tuple[Sequence, int]]
     decoding: list[Sequence]
 
     @property
@@ -73,14 +73,14 @@
 class ServingEngine:
     """One replica's engine. ``slowness`` multiplies the length of every step.
 
-    Requests move from ``waiting`` through ``reading`` (prefill) to ``decoding``.
+    Requests move from ``waiting`` through ``prefilling`` to ``decoding``.
     """
 
     shape: EngineShape
     slowness: float = 1.0
     cache: PartCache = attrs.field(default=None)
     waiting: list[Sequence] = attrs.field(factory=list)
-    reading: list[Sequence] = attrs.field(factory=list)
+    prefilling: list[Sequence] = attrs.field(factory=list)
     decoding: list[Sequence] = attrs.field(factory=list)
     preempted: int = 0
     tokens_read: int = 0
@@ -93,7 +93,7 @@
     @property
     def running(self) -> int:
         """Number of requests in prefill or decoding, each of which holds a slot."""
-        return len(self.reading) + len(self.decoding)
+        return len(self.prefilling) + len(self.decoding)
 
     @property
     def next_at(self) -> float:
@@ -109,13 +109,13 @@
         """Queue a request by priority and arrival; it can be admitted when the next step begins."""
         self.waiting.append(sequence)
         self.waiting.sort(key=lambda s: (s.priority, s.arrived_at))
-        self._cut_short(now)
+        self._truncate_merged_steps(now)
         if self._step is None:
             self._begin_step(now)
 
     def cancel(self, sequence: Sequence) -> None:
         """Remove a request whose caller has closed; the current step keeps its length."""
-        for held in (self.waiting, self.reading, self.decoding):
+        for held in (self.waiting, self.prefilling, self.decoding):
             if sequence in held:
                 held.remove(sequence)
                 if held is not self.waiting:
@@ -127,11 +127,11 @@
         moved = [sequence for sequence in step.decoding if sequence in self.decoding]
         for sequence in moved:
             self._decode(sequence, step)
-        for sequence, tokens in step.reads:
-            if sequence in self.reading:
-                sequence.unread -= tokens
+        for sequence, tokens in step.prefills:
+            if sequence in self.prefilling:
+                sequence.prefill_tokens_left -= tokens
                 self.tokens_read += tokens
-                if sequence.unread <= 0:
+                if sequence.prefill_tokens_left <= 0:
                     self._begin_answer(sequence, step.ends_at)
                     moved.append(sequence)
         for sequence in moved:
@@ -142,7 +142,7 @@
         return moved
 
     def _begin_answer(self, sequence: Sequence, now: float) -> None:
-        self.reading.remove(sequence)
+        self.prefilling.remove(sequence)
         self.decoding.append(sequence)
         self.cache.store(sequence.parts)
         if sequence.emitted:  # resumes after a preemption
@@ -174,35 +174,35 @@
 
     def _begin_step(self, now: float) -> None:
         self._admit(now)
-        if not self.reading and not self.decoding:
+        if not self.prefilling and not self.decoding:
             return
-        reads, pairs = self._share_out_reading()
+        prefills, pairs = self._plan_prefill()
         self._preempt()
         shape = self.shape
         context = sum(sequence.context for sequence in self.decoding)
         length_s = shape.step_s + shape.step_s_per_slot * len(self.decoding)
         length_s += shape.step_s_per_context_k * context / _THOUSAND
-        length_s += sum(tokens for _, tokens in reads) / shape.read_tokens_per_s
+        length_s += sum(tokens for _, tokens in prefills) / shape.read_tokens_per_s
         length_s += pairs / _MILLION * shape.pair_s_per_million
         length_s *= self.slowness
-        count = 1 if reads else self._mergeable(length_s)
-        self._step = _Step(now, length_s, count, reads, list(self.decoding))
+        count = 1 if prefills else self._mergeable(length_s)
+        self._step = _Step(now, length_s, count, prefills, list(self.decoding))
 
     def _mergeable(self, length_s: float) -> int:
         least_left = min(s.answer_tokens - s.emitted for s in self.decoding)
         return max(1, min(least_left, int(MERGED_S / length_s)))
 
-    def _share_out_reading(self) -> tuple[list[tuple[Sequence, int]], float]:
+    def _plan_prefill(self) -> tuple[list[tuple[Sequence, int]], float]:
         budget, pairs = self.shape.chunk_tokens, 0.0
-        reads = []
-        for sequence in self.reading:
-            tokens = min(budget, sequence.unread)
+        prefills = []
+        for sequence in self.prefilling:
+            tokens = min(budget, sequence.prefill_tokens_left)
             if tokens <= 0:
                 break
             pairs += tokens * (sequence.context + tokens / 2)
-            reads.append((sequence, tokens))
+            prefills.append((sequence, tokens))
             budget -= tokens
-        return reads, pairs
+        return prefills, pairs
 
     def _admit(self, now: float) -> None:
         while self.waiting and self.running < self.shape.slots:
@@ -215,10 +215,10 @@
                 sequence.began_at = now
             sequence.kept_tokens = self.cache.kept_tokens(sequence.parts)
             kept = min(sequence.kept_tokens, sequence.prompt_tokens - 1)
-            sequence.unread = sequence.prompt_tokens - kept + sequence.emitted
+            sequence.prefill_tokens_left = sequence.prompt_tokens - kept + sequence.emitted
             self.cache.running_tokens += own
-            self.cache.make_room()
-            self.reading.append(sequence)
+            self.cache.evict_to_fit()
+            self.prefilling.append(sequence)
 
     def _preempt(self) -> None:
         """Requeue the newest of the least urgent requests while the answers exceed the memory."""
@@ -233,7 +233,7 @@
         shared = sum(part.tokens for part in sequence.parts[:-1])
         return max(sequence.prompt_tokens - shared, 1) + sequence.emitted
 
-    def _cut_short(self, now: float) -> None:
+    def _truncate_merged_steps(self, now: float) -> None:
         """Truncate merged steps after the one in progress, so that a new request can join."""
         step = self._step
         if step is not None and step.count > 1:
--- a/rooklug_lab/policy/experiment.py
+++ b/rooklug_lab/policy/experiment.py
@@ -33,7 +33,7 @@
 
 
 @attrs.frozen
-class Played:
+class CaseResult:
     """The result of a case; ``served`` counts the requests that were answered completely."""
 
     case: Case
@@ -59,20 +59,20 @@
         return "better" if self.mean > 0 else "worse"
 
 
-def play(case: Case) -> Played:
+def run_case(case: Case) -> CaseResult:
     """Run one case in this process; its settings stay applied afterwards."""
     for setting in case.settings:
         setting.apply()
     world = PolicyWorld(read_site(case.site), case.day, case.seed, case.load)
     verdict = world.run()
     served = sum(outcome.complete for outcome in world.outcomes)
-    return Played(case, verdict, world.usage, len(world.outcomes), served)
+    return CaseResult(case, verdict, world.usage, len(world.outcomes), served)
 
 
-def play_all(cases: Iterable[Case], workers: int) -> Iterator[Played]:
+def run_cases(cases: Iterable[Case], workers: int) -> Iterator[CaseResult]:
     """Run cases in parallel, each in a new process, so that settings don't outlive their case."""
     with get_context("spawn").Pool(workers, maxtasksperchild=1) as pool:
-        yield from pool.imap(play, list(cases), chunksize=1)
+        yield from pool.imap(run_case, list(cases), chunksize=1)
 
 
 def difference(values: list[float]) -> Difference:
--- a/rooklug_lab/policy/faults.py
+++ b/rooklug_lab/policy/faults.py
@@ -22,7 +22,7 @@
     for replica in _sample(world, random, 1 / 6):
         dark = random.random() < 0.5
         at = random.uniform(6.0, 14.0)
-        world.at(at, lambda r=replica, d=dark: world.replica_ends(r.address, d, 4.5))
+        world.at(at, lambda r=replica, d=dark: world.stop_replica(r.address, d, 4.5))
 
 
 def replicas_lie(world: "PolicyWorld", random: Random) -> None:
@@ -35,14 +35,14 @@
 def region_is_lost(world: "PolicyWorld", random: Random) -> None:
     """All fronts and replicas of a region lose power and restart together."""
     region = random.choice(sorted({zone.region for zone in world.site.zones}))
-    world.at(10.0, lambda: world.region_ends(region, 5.5))
+    world.at(10.0, lambda: world.cut_region_power(region, 5.5))
 
 
 def zone_returns_cold(world: "PolicyWorld", random: Random) -> None:
     """All replicas of a zone stop and restart together, cold; later another zone is evacuated."""
     zones = [zone.name for zone in world.site.zones]
     first, second = random.sample(zones, 2)
-    world.at(8.0, lambda: world.zone_replicas_end(first, 4.0))
+    world.at(8.0, lambda: world.stop_zone_replicas(first, 4.0))
     world.at(18.0, lambda: world.control.evacuate(second, True))
     world.at(25.0, lambda: world.control.evacuate(second, False))
 
@@ -51,17 +51,17 @@
     """A sixth of the fronts are killed and restart; their connections are reset."""
     names = sorted(world.fronts)
     for name in random.sample(names, max(1, len(names) // 6)):
-        world.at(9.0, lambda n=name: world.front_ends(n, False, 3.5))
+        world.at(9.0, lambda n=name: world.stop_front(n, False, 3.5))
 
 
 def machines_lose_power(world: "PolicyWorld", random: Random) -> None:
     """Every front loses power and restarts; the replicas keep running."""
-    world.at(20.0, lambda: world.machines_end(1.5))
+    world.at(20.0, lambda: world.cut_front_power(1.5))
 
 
 def all_lose_power(world: "PolicyWorld", random: Random) -> None:
     """Every front and replica loses power and restarts."""
-    world.at(20.0, lambda: world.everything_ends(1.5))
+    world.at(20.0, lambda: world.cut_all_power(1.5))
 
 
 DAYS: dict[str, Day] = {
--- a/rooklug_lab/policy/fronts.py
+++ b/rooklug_lab/policy/fronts.py
@@ -22,7 +22,7 @@
     from rooklug_lab.policy.world import PolicyWorld
 
 HEAD_BYTES = 400
-PIECE_BYTES = 90
+CHUNK_BYTES = 90
 HANDSHAKE_S = 0.001
 _EVENTS_OF_AN_ANSWER = (ev.HttpResponseCompleted, ev.HttpAnswered, ev.HttpFailed)
 
@@ -74,7 +74,7 @@
         self._exchange_handle(ev.Started())
         self.deliver(ViewChanged(self.world.control.view))
 
-    def end(self, dark: bool) -> None:
+    def stop(self, dark: bool) -> None:
         """Stop at once and cancel the calls at replicas; ``dark`` means a power loss."""
         self.up = False
         self.dark = dark
@@ -91,13 +91,13 @@
             self._exchange_handle(event)
             return
         for effect in self.executor.handle(event, self.world.now):
-            self._obey(effect)
+            self._apply_effect(effect)
 
     def forget_connections(self, address: str) -> None:
         """Drop the idle connections to an address whose process has stopped."""
         self._idle.pop(address, None)
 
-    def _obey(self, effect: fx.Effect) -> None:
+    def _apply_effect(self, effect: fx.Effect) -> None:
         match effect:
             case fx.HttpCall():
                 self._call(effect)
@@ -106,11 +106,11 @@
                 if call is not None:
                     self._cancel(call)
             case fx.StartTimer():
-                self._later(effect.delay_s, ev.TimerFired(effect.name))
+                self._deliver_later(effect.delay_s, ev.TimerFired(effect.name))
             case EmitEvent():
                 self._count(effect.event)
             case _:
-                self.world.clients.answered(self, effect)
+                self.world.clients.handle_effect(self, effect)
 
     def _build_exchange(self, identifiers: Identifiers) -> PeerExchange:
         settings = NodeSettings(
@@ -139,14 +139,14 @@
         """Deliver a call to a peer and its answer back; if the peer is down, the call times out."""
         peer = self.world.front_at(effect.address)
         delay_s = self.world.network.delay_s(self.zone, peer.zone)
-        told = ev.CallArrived(effect.call_id, self.name, effect.request)
+        request_event = ev.CallArrived(effect.call_id, self.name, effect.request)
 
         def arrive() -> None:
             if not peer.up:
                 failed = ev.CallFailed(effect.call_id, "no answer", True)
                 self._exchange_later(effect.deadline_s, failed)
                 return
-            for answer in peer.exchange.handle(told, self.world.now):
+            for answer in peer.exchange.handle(request_event, self.world.now):
                 self._exchange_later(delay_s, ev.CallAnswered(effect.call_id, answer.answer))
 
         self.world.scheduler.after(delay_s, arrive)
@@ -168,7 +168,7 @@
         counts[1] += event.request.prompt_tokens
         counts[2] += event.request.answer_tokens
 
-    def _later(self, delay_s: float, event: ev.Event) -> None:
+    def _deliver_later(self, delay_s: float, event: ev.Event) -> None:
         generation = self.generation
 
         def fire() -> None:
@@ -181,7 +181,7 @@
 
     def _call(self, effect: fx.HttpCall) -> None:
         request = self.world.clients.request_of(self, effect)
-        target = self.world.at_address(effect.address)
+        target = self.world.replica_at(effect.address)
         call = OpenCall(effect, effect.address)
         key = f"{self.name}/{effect.call_id}"
         call.job = Job(key, effect, request, lambda event: self._from_replica(call, event))
@@ -206,14 +206,14 @@
 
         def fail() -> None:
             if self._calls.get(call.effect.call_id) is call:
-                self._take(call, failed)
+                self._handle_response_event(call, failed)
 
         self.world.scheduler.after(delay_s, fail)
 
     def _arrive(self, call: OpenCall) -> None:
         if self._calls.get(call.effect.call_id) is not call:
             return
-        target = self.world.at_address(call.address)
+        target = self.world.replica_at(call.address)
         if not target.up:
             if not target.dark:
                 event = ev.HttpFailed(call.effect.call_id, "reset", ev.SendState.MAYBE_SENT)
@@ -226,23 +226,23 @@
         target.arrive(call.job, self.world.random.random())
 
     def _from_replica(self, call: OpenCall, event: ev.Event) -> None:
-        target = call.replica or self.world.at_address(call.address)
+        target = call.replica or self.world.replica_at(call.address)
         if isinstance(event, ev.HttpResponseStarted) and call.job.sequence is not None:
-            self.world.count_reading(call.job)
+            self.world.record_prefill(call.job)
         if isinstance(event, _EVENTS_OF_AN_ANSWER):
-            size = HEAD_BYTES + PIECE_BYTES * call.job.told_events
+            size = HEAD_BYTES + CHUNK_BYTES * call.job.delivered_events
             self.world.network.carry(target.zone, self.zone, size)
-            self.world.count_pauses(call.job)
+            self.world.record_longest_gap(call.job)
         delay_s = self.world.network.delay_s(target.zone, self.zone)
         generation = self.generation
 
         def arrive() -> None:
             if generation == self.generation and self._calls.get(call.effect.call_id) is call:
-                self._take(call, event)
+                self._handle_response_event(call, event)
 
         self.world.scheduler.after(delay_s, arrive)
 
-    def _take(self, call: OpenCall, event: ev.Event) -> None:
+    def _handle_response_event(self, call: OpenCall, event: ev.Event) -> None:
         if isinstance(event, _EVENTS_OF_AN_ANSWER):
             del self._calls[call.effect.call_id]
             if isinstance(event, ev.HttpFailed):
--- a/rooklug_lab/policy/part_cache.py
+++ b/rooklug_lab/policy/part_cache.py
@@ -31,9 +31,9 @@
         for part in parts:
             self.cached_tokens += part.tokens - self._parts.pop(part.block_id, 0)
             self._parts[part.block_id] = part.tokens
-        self.make_room()
+        self.evict_to_fit()
 
-    def make_room(self) -> None:
+    def evict_to_fit(self) -> None:
         """Evict blocks until the rest fits beside the running requests."""
         room = self.memory_tokens - self.running_tokens
         while self._parts and self.cached_tokens > room:
--- a/rooklug_lab/policy/plots.py
+++ b/rooklug_lab/policy/plots.py
@@ -16,7 +16,7 @@
     figure, (left, right) = pyplot.subplots(1, 2, figsize=(12, 4))
     rows = by_second(outcomes)
     seconds = [float(name.split()[1]) for name in rows]
-    left.step(seconds, [row.earned / row.owed for row in rows.values()], where="post")
+    left.step(seconds, [row.earned / row.full_credit for row in rows.values()], where="post")
     left.set(xlabel="arrival, seconds", ylabel="credit earned / owed", ylim=(0, 1.02))
     for name in sorted({outcome.request.kind.name for outcome in outcomes}):
         times = sorted(
--- a/rooklug_lab/policy/replicas.py
+++ b/rooklug_lab/policy/replicas.py
@@ -13,9 +13,9 @@
 from rooklug_lab.policy.shapes import ServiceShape, ZoneShape
 from rooklug_lab.sim.scheduler import Scheduler
 
-PIECE_PAUSE_S = 0.2
+CHUNK_INTERVAL_S = 0.2
 """After the first event, stream events are batched and delivered at this interval at most."""
-COLD_BREAK_FACTOR = 2.5
+COLD_CRASH_FACTOR = 2.5
 """A cold replica crashes when it gets more than this multiple of its cold rate in a second."""
 LOAD_HEADER = "rooklug-load"
 """Response header: running requests, waiting requests, slots. No policy reads it yet."""
@@ -27,8 +27,9 @@
 class Job:
     """A request at a replica; ``deliver`` sends response events to the calling front.
 
-    ``key`` is unique across the calls of all fronts. ``told_at`` is when the last events were
-    delivered (negative: none yet), ``after_event`` the event that a resumed stream continues from.
+    ``key`` is unique across the calls of all fronts. ``last_delivered_at`` is when the last
+    events were delivered (negative: none yet), ``after_event`` the event that a resumed stream
+    continues from.
     """
 
     key: str
@@ -36,8 +37,8 @@
     request: ClientRequest
     deliver: Deliver
     sequence: Sequence | None = None
-    told_at: float = -1.0
-    told_events: int = 0
+    last_delivered_at: float = -1.0
+    delivered_events: int = 0
     after_event: int = 0
 
 
@@ -52,7 +53,7 @@
     slowness: float
     scheduler: Scheduler
     cold_until: float = 0.0
-    leaving: bool = False
+    draining: bool = False
     up: bool = True
     dark: bool = False
     failing_share: float = 0.0
@@ -62,7 +63,7 @@
     queue: deque[Job] = attrs.field(factory=deque)
     running: int = 0
     cold_arrivals: deque[float] = attrs.field(factory=deque)
-    on_fall: Callable[["EmulatedReplica"], None] = lambda replica: None
+    on_crash: Callable[["EmulatedReplica"], None] = lambda replica: None
     worst_cold_second: int = 0
 
     def __attrs_post_init__(self) -> None:
@@ -78,8 +79,8 @@
         if job.call.headers.get(NAMES.expected_replica, self.replica_id) != self.replica_id:
             self._reject(job, 421)
             return
-        if self._falls_over(now):
-            self.on_fall(self)
+        if self._crashes_when_cold(now):
+            self.on_crash(self)
             return
         if self.hangs:
             self.jobs[job.key] = job
@@ -102,7 +103,7 @@
         elif job in self.queue:
             self.queue.remove(job)
 
-    def end(self, dark: bool) -> list[Job]:
+    def stop(self, dark: bool) -> list[Job]:
         """Stop at once; return the jobs to reset, which are none after a power loss (``dark``)."""
         self.up, self.dark = False, dark
         lost = list(self.jobs.values())
@@ -113,7 +114,7 @@
         """Return whether it is still cold: it then crashes far above its cold rate."""
         return now < self.cold_until
 
-    def _falls_over(self, now: float) -> bool:
+    def _crashes_when_cold(self, now: float) -> bool:
         rate = self.service.cold_rate_per_s
         if not rate or not self.is_cold(now):
             return False
@@ -121,7 +122,7 @@
         while self.cold_arrivals[0] <= now - 1.0:
             self.cold_arrivals.popleft()
         self.worst_cold_second = max(self.worst_cold_second, len(self.cold_arrivals))
-        return len(self.cold_arrivals) > COLD_BREAK_FACTOR * rate
+        return len(self.cold_arrivals) > COLD_CRASH_FACTOR * rate
 
     # Model replicas -----------------------------------------------------------
 
@@ -147,28 +148,28 @@
 
     def _schedule(self) -> None:
         at = self.engine.next_at
-        self.scheduler.at(at, lambda: self._step_ends(at))
+        self.scheduler.at(at, lambda: self._on_step_end(at))
 
-    def _step_ends(self, at: float) -> None:
+    def _on_step_end(self, at: float) -> None:
         if not self.up or self.engine.next_at != at:
             return
         for sequence in self.engine.finish_step():
             job = self.jobs.get(sequence.key)
             if job is not None:
-                self._tell(job, at)
+                self._deliver_events(job, at)
         if self.engine.next_at < float("inf"):
             self._schedule()
 
-    def _tell(self, job: Job, now: float) -> None:
+    def _deliver_events(self, job: Job, now: float) -> None:
         sequence = job.sequence
         call_id = job.call.call_id
-        if job.told_at < 0:
+        if job.last_delivered_at < 0:
             job.deliver(ev.HttpResponseStarted(call_id, 200, self._headers(job)))
-        elif not sequence.finished and now - job.told_at < PIECE_PAUSE_S:
+        elif not sequence.finished and now - job.last_delivered_at < CHUNK_INTERVAL_S:
             return
-        if sequence.events > job.told_events:
-            job.told_at = now
-            job.told_events = sequence.events
+        if sequence.events > job.delivered_events:
+            job.last_delivered_at = now
+            job.delivered_events = sequence.events
             number = job.after_event + sequence.events
             job.deliver(ev.HttpBodyChunk(call_id, f"id: {number}\ndata: x\n\n".encode()))
         if sequence.finished:
@@ -186,20 +187,20 @@
             self.queue.append(job)
             return
         self.jobs[job.key] = job
-        self._work(job)
+        self._start_work(job)
 
-    def _work(self, job: Job) -> None:
+    def _start_work(self, job: Job) -> None:
         self.running += 1
-        self.scheduler.after(job.request.work_s * self.slowness, lambda: self._worked(job))
+        self.scheduler.after(job.request.work_s * self.slowness, lambda: self._finish_work(job))
 
-    def _worked(self, job: Job) -> None:
+    def _finish_work(self, job: Job) -> None:
         if not self.up:
             return
         self.running -= 1
         if self.jobs.pop(job.key, None) is not None:
             self._answer(job, 200, self._headers(job), b"done")
         if self.queue:
-            self._work(self.queue.popleft())
+            self._start_work(self.queue.popleft())
 
     # Answers ------------------------------------------------------------------
 
--- a/rooklug_lab/policy/tables.py
+++ b/rooklug_lab/policy/tables.py
@@ -26,25 +26,25 @@
     paused: int = 0
     late: int = 0
     lost: int = 0
-    owed: float = 0.0
+    full_credit: float = 0.0
     earned: float = 0.0
-    way_ms: float = 0.0
+    transit_ms: float = 0.0
     waiting_ms: float = 0.0
-    reading_ms: float = 0.0
+    prefill_ms: float = 0.0
     first: HdrHistogram = attrs.field(factory=lambda: HdrHistogram(1, MOST_MS, DIGITS))
 
     def add(self, outcome: Outcome) -> None:
         """Add one outcome to the counts; lost ones don't contribute latencies."""
         self.asked += 1
-        self.owed += outcome.owed
+        self.full_credit += outcome.full_credit
         self.earned += outcome.earned
         if not outcome.complete:
             self.lost += 1
             return
         self.first.record_value(max(1, min(int(outcome.first_s * _MS), MOST_MS)))
-        self.way_ms += outcome.way_s * _MS
+        self.transit_ms += outcome.transit_s * _MS
         self.waiting_ms += outcome.waiting_s * _MS
-        self.reading_ms += outcome.reading_s * _MS
+        self.prefill_ms += outcome.prefill_s * _MS
         if outcome.in_time:
             self.in_time += 1
         elif outcome.first_s <= outcome.request.kind.objective_s:
@@ -56,10 +56,10 @@
         """Yield the cells in the order of ``HEADINGS``; latency components are means."""
         answered = max(self.asked - self.lost, 1)
         yield from (str(n) for n in (self.asked, self.in_time, self.paused, self.late, self.lost))
-        yield f"{self.earned / self.owed if self.owed else 1.0:.3f}"
+        yield f"{self.earned / self.full_credit if self.full_credit else 1.0:.3f}"
         for share in (50, 90, 99):
             yield f"{self.first.get_value_at_percentile(share):.0f}"
-        for total in (self.way_ms, self.waiting_ms, self.reading_ms):
+        for total in (self.transit_ms, self.waiting_ms, self.prefill_ms):
             yield f"{total / answered:.0f}"
 
 
--- a/rooklug_lab/policy/world.py
+++ b/rooklug_lab/policy/world.py
@@ -20,7 +20,7 @@
 from rooklug_lab.policy.shapes import PolicySite, RequestKind, ServiceShape, ZoneShape
 from rooklug_lab.sim.scheduler import Scheduler
 
-AFTER_S = 6.0
+COMPLETION_WAIT_S = 6.0
 """A run continues for this time after the last arrivals, so that they can complete."""
 
 
@@ -61,11 +61,11 @@
 
     def run(self) -> Verdict:
         """Run the day to its end and return its scores."""
-        self.scheduler.run_until(self.site.length_s + AFTER_S)
+        self.scheduler.run_until(self.site.length_s + COMPLETION_WAIT_S)
         engines = [r.engine for r in self._replicas.values() if r.engine is not None]
         self.usage.preempted += sum(engine.preempted for engine in engines)
         self.usage.tokens_read += sum(engine.tokens_read for engine in engines)
-        self._note_cold(self._replicas.values())
+        self._record_cold_peak(self._replicas.values())
         return judge(self.site, self.clients.outcomes, self.usage)
 
     @property
@@ -75,7 +75,7 @@
 
     # Queries and counts -------------------------------------------------------
 
-    def at_address(self, address: str) -> EmulatedReplica:
+    def replica_at(self, address: str) -> EmulatedReplica:
         """Return the latest replica at an address, running or not."""
         return self._replicas[address]
 
@@ -99,13 +99,13 @@
         self.usage.repeats += request_id in self._arrived
         self._arrived.add(request_id)
 
-    def count_reading(self, job: Job) -> None:
+    def record_prefill(self, job: Job) -> None:
         """Record a request's latency components and the recently used blocks prefilled again."""
         sequence, now = job.sequence, self.now
         outcome = self.clients.outcome_of(job.call.headers[NAMES.request_id])
         outcome.waiting_s = sequence.began_at - sequence.arrived_at
-        outcome.reading_s = sequence.first_at - sequence.began_at
-        outcome.way_s = sequence.arrived_at - outcome.request.at
+        outcome.prefill_s = sequence.first_at - sequence.began_at
+        outcome.transit_s = sequence.arrived_at - outcome.request.at
         kept = sequence.kept_tokens
         for part in sequence.parts[:-1]:
             kept -= part.tokens
@@ -115,7 +115,7 @@
                 outcome.tokens_again += part.tokens
             self._used_at[part.block_id] = now
 
-    def count_pauses(self, job: Job) -> None:
+    def record_longest_gap(self, job: Job) -> None:
         """Record the longest gap of a stream whose call has completed or failed."""
         if job.sequence is not None:
             outcome = self.clients.outcome_of(job.call.headers[NAMES.request_id])
@@ -127,17 +127,19 @@
         """Schedule a fault, in virtual seconds since the start."""
         self.scheduler.at(moment_s, action)
 
-    def replica_ends(self, address: str, dark: bool, for_s: float) -> None:
+    def stop_replica(self, address: str, dark: bool, for_s: float) -> None:
         """Stop a replica; after ``for_s`` a new cold one starts at the same address."""
         replica = self._replicas[address]
         if not replica.up:
             return
-        self.control.note_ended(replica)
-        self._note_cold([replica])
+        self.control.record_stopped(replica)
+        self._record_cold_peak([replica])
         if replica.engine is not None:
             self.usage.tokens_read += replica.engine.tokens_read
-        for job in replica.end(dark):
-            state = ev.SendState.RESPONDING if job.told_at >= 0 else ev.SendState.MAYBE_SENT
+        for job in replica.stop(dark):
+            state = (
+                ev.SendState.RESPONDING if job.last_delivered_at >= 0 else ev.SendState.MAYBE_SENT
+            )
             job.deliver(ev.HttpFailed(job.call.call_id, "reset", state))
         for front in self.fronts.values():
             front.forget_connections(address)
@@ -149,44 +151,44 @@
         for name, value in conduct.items():
             setattr(replica, name, value)
 
-        def mend() -> None:
+        def recover() -> None:
             replica.failing_share, replica.hangs = 0.0, False
 
-        self.scheduler.after(for_s, mend)
+        self.scheduler.after(for_s, recover)
 
-    def front_ends(self, name: str, dark: bool, for_s: float) -> None:
+    def stop_front(self, name: str, dark: bool, for_s: float) -> None:
         """Stop a front; it restarts after ``for_s``."""
         front = self.fronts[name]
         if not front.up:
             return
-        front.end(dark)
-        self.clients.front_ended(front, dark)
+        front.stop(dark)
+        self.clients.handle_front_stop(front, dark)
         self.scheduler.after(for_s, front.start)
 
-    def zone_replicas_end(self, zone: str, for_s: float) -> None:
+    def stop_zone_replicas(self, zone: str, for_s: float) -> None:
         """Stop all replicas of a zone; connections to them are reset."""
         for replica in self.running_replicas():
             if replica.zone.name == zone:
-                self.replica_ends(replica.address, False, for_s)
+                self.stop_replica(replica.address, False, for_s)
 
-    def region_ends(self, region: str, for_s: float) -> None:
+    def cut_region_power(self, region: str, for_s: float) -> None:
         """Cut the power of all fronts and replicas of a region."""
         for front in self.fronts.values():
             if front.zone.region == region:
-                self.front_ends(front.name, True, for_s)
+                self.stop_front(front.name, True, for_s)
         for replica in self.running_replicas():
             if replica.zone.region == region:
-                self.replica_ends(replica.address, True, for_s)
+                self.stop_replica(replica.address, True, for_s)
 
-    def machines_end(self, for_s: float) -> None:
+    def cut_front_power(self, for_s: float) -> None:
         """Cut the power of all fronts; replicas keep running."""
         for name in list(self.fronts):
-            self.front_ends(name, True, for_s)
+            self.stop_front(name, True, for_s)
 
-    def everything_ends(self, for_s: float) -> None:
+    def cut_all_power(self, for_s: float) -> None:
         """Cut the power of all fronts and replicas."""
         for region in sorted({zone.region for zone in self.site.zones}):
-            self.region_ends(region, for_s)
+            self.cut_region_power(region, for_s)
 
     # Building -----------------------------------------------------------------
 
@@ -214,7 +216,7 @@
         self._replicas[address] = EmulatedReplica(
             replica_id, address, service, zone, slowness, self.scheduler, cold_until
         )
-        self._replicas[address].on_fall = lambda r: self.replica_ends(r.address, False, 1.0)
+        self._replicas[address].on_crash = lambda r: self.stop_replica(r.address, False, 1.0)
 
     def _restart_replica(self, ended: EmulatedReplica) -> None:
         cold_until = self.now + ended.service.cold_s
@@ -237,7 +239,7 @@
 
         return build
 
-    def _note_cold(self, replicas) -> None:
+    def _record_cold_peak(self, replicas) -> None:
         for replica in replicas:
             worst = max(self.usage.worst_cold_second, replica.worst_cold_second)
             self.usage.worst_cold_second = worst
