--- a/rooklug_lab/policy/clients.py
+++ b/rooklug_lab/policy/clients.py
@@ -1,4 +1,4 @@
-"""Emulated clients: each request goes to a front of the directory's answer, and may come back."""
+"""Simulated clients: send requests to fronts from the directory, and retry within the deadline."""
 
 from typing import TYPE_CHECKING
 
@@ -17,30 +17,34 @@
     from rooklug_lab.policy.world import PolicyWorld
 
 NEXT_ADDRESS_S = 0.01
-CONNECT_PATIENCE_S = 1.0
+"""Delay until the next address is tried after a refused connection."""
+CONNECT_TIMEOUT_S = 1.0
+"""Connect timeout of a client at a front that has lost power."""
 RETRY_WAIT_SHARE = 1 / 3
-"""Clients wait as they are told for at most this part of the time that they have left."""
+"""Clients obey a Retry-After up to this share of the time left until their deadline."""
 REFUSED_FAST_SHARE = 0.25
+"""A refusal counts as fast within this share of the latency objective."""
 DIRECTORY_AGE_S = 2.0
+"""Clients query the directory again when their cached answer is older than this."""
 MOST_ADDRESSES_TRIED = 3
 HOST_SUFFIX = ".example"
 
 
 @attrs.define(eq=False)
 class Attempt:
-    """One attempt at a front."""
+    """One attempt of a request at a front; ``generation`` is the front's at the time of sending."""
 
     outcome: Outcome
     request_id: str
     sent_at: float
     front: "EmulatedFront"
     generation: int
-    last_piece_at: float = 0.0
+    last_chunk_at: float = 0.0
 
 
 @attrs.define(eq=False)
 class EmulatedClients:
-    """All clients. An HTTP id names an attempt at all fronts."""
+    """All clients of a run. HTTP ids of attempts are unique across all fronts."""
 
     world: "PolicyWorld"
     outcomes: list[Outcome] = attrs.field(factory=list)
@@ -52,32 +56,32 @@
     _next_id: int = 0
 
     def begin(self, request: ClientRequest) -> None:
-        """Send a request for the first time."""
+        """Send a request for the first time and record its outcome from then on."""
         outcome = Outcome(request)
         self.outcomes.append(outcome)
         self._send(outcome)
 
     def request_of(self, front: "EmulatedFront", effect: fx.HttpCall) -> ClientRequest:
-        """Return what a front's call to a replica is made for."""
+        """Return the client request that a front's call to a replica serves."""
         return self._by_request_id[effect.headers[NAMES.request_id]].outcome.request
 
     def outcome_of(self, request_id: str) -> Outcome:
-        """Return the outcome that an attempt belongs to."""
+        """Return the outcome of the request that an attempt (by its request id) belongs to."""
         return self._by_request_id[request_id].outcome
 
-    def answered(self, front: "EmulatedFront", effect: fx.Effect) -> None:
-        """Carry an effect of a front to its client."""
+    def handle_effect(self, front: "EmulatedFront", effect: fx.Effect) -> None:
+        """Deliver a front's response effect to its client; closed attempts are ignored."""
         attempt = self._attempts.get(getattr(effect, "request_id", 0))
         if attempt is None:
             return
         delay_s = self._delay_s(attempt.outcome.request, front)
-        self.world.scheduler.after(delay_s, lambda: self._take(attempt, effect))
+        self.world.scheduler.after(delay_s, lambda: self._apply_effect(attempt, effect))
 
-    def front_ended(self, front: "EmulatedFront", dark: bool) -> None:
-        """Reset what ran at a front; a dark one says nothing."""
+    def handle_front_stop(self, front: "EmulatedFront", dark: bool) -> None:
+        """Fail the attempts at a stopped front; after a power loss clients get no reset."""
         for http_id, attempt in list(self._attempts.items()):
             if attempt.front is front and not dark:
-                self._later_failed(http_id, attempt)
+                self._schedule_failure(http_id, attempt)
 
     # Sending ------------------------------------------------------------------
 
@@ -95,7 +99,7 @@
             return
         front = self.world.random.choice(fronts)
         if not front.up:
-            wait_s = CONNECT_PATIENCE_S if front.dark else NEXT_ADDRESS_S
+            wait_s = CONNECT_TIMEOUT_S if front.dark else NEXT_ADDRESS_S
             self.world.scheduler.after(
                 wait_s, lambda: self._connect(outcome, {*failed, front.name})
             )
@@ -108,13 +112,15 @@
         self._by_request_id[request_id] = attempt
         delay_s = self._delay_s(outcome.request, front)
         self.world.scheduler.after(delay_s, lambda: self._arrive(http_id, attempt))
-        self.world.scheduler.at(self._ends_at(outcome), lambda: self._leave(http_id, attempt))
+        self.world.scheduler.at(
+            self._ends_at(outcome), lambda: self._close_at_deadline(http_id, attempt)
+        )
 
     def _arrive(self, http_id: int, attempt: Attempt) -> None:
         front = attempt.front
         if not front.up or front.generation != attempt.generation:
             if not front.dark:
-                self._later_failed(http_id, attempt)
+                self._schedule_failure(http_id, attempt)
             return
         request = attempt.outcome.request
         left_ms = int((self._ends_at(attempt.outcome) - attempt.sent_at) * 1000)
@@ -137,47 +143,47 @@
     def _ends_at(self, outcome: Outcome) -> float:
         return outcome.request.at + outcome.request.kind.deadline_s
 
-    def _leave(self, http_id: int, attempt: Attempt) -> None:
-        """Give up at the deadline."""
+    def _close_at_deadline(self, http_id: int, attempt: Attempt) -> None:
+        """Close the attempt at the request's deadline."""
         if self._attempts.pop(http_id, None) is not None:
             attempt.front.deliver(ev.HttpRequestClosed(http_id))
 
     # Answers ------------------------------------------------------------------
 
-    def _take(self, attempt: Attempt, effect: fx.Effect) -> None:
+    def _apply_effect(self, attempt: Attempt, effect: fx.Effect) -> None:
         http_id = effect.request_id
         if self._attempts.get(http_id) is not attempt:
             return
         outcome, now = attempt.outcome, self.world.now
         match effect:
             case fx.HttpStreamChunk():
-                self._piece(attempt, now)
+                self._record_chunk(attempt, now)
             case fx.HttpStreamEnd():
                 del self._attempts[http_id]
                 outcome.complete = True
             case fx.HttpStreamAbort():
                 del self._attempts[http_id]
-                self._failed(attempt)
+                self._handle_failure(attempt)
             case fx.HttpRespond():
                 del self._attempts[http_id]
-                self._responded(attempt, effect, now)
+                self._handle_response(attempt, effect, now)
 
-    def _piece(self, attempt: Attempt, now: float) -> None:
-        if not attempt.last_piece_at:
+    def _record_chunk(self, attempt: Attempt, now: float) -> None:
+        if not attempt.last_chunk_at:
             attempt.outcome.first_at = now
-        attempt.last_piece_at = now
+        attempt.last_chunk_at = now
 
-    def _responded(self, attempt: Attempt, effect: fx.HttpRespond, now: float) -> None:
+    def _handle_response(self, attempt: Attempt, effect: fx.HttpRespond, now: float) -> None:
         outcome = attempt.outcome
         if 200 <= effect.status < 300:
             outcome.first_at = now
             outcome.complete = True
         elif effect.status == 503:
-            self._refused(attempt, float(effect.headers.get("retry-after", "0.1")), now)
+            self._handle_refusal(attempt, float(effect.headers.get("retry-after", "0.1")), now)
         else:
-            self._failed(attempt)
+            self._handle_failure(attempt)
 
-    def _refused(self, attempt: Attempt, retry_after_s: float, now: float) -> None:
+    def _handle_refusal(self, attempt: Attempt, retry_after_s: float, now: float) -> None:
         outcome = attempt.outcome
         kind = outcome.request.kind
         outcome.refusals += 1
@@ -187,18 +193,18 @@
             wait_s = min(retry_after_s, left_s * RETRY_WAIT_SHARE)
             self.world.scheduler.after(wait_s, lambda: self._send(outcome))
 
-    def _failed(self, attempt: Attempt) -> None:
+    def _handle_failure(self, attempt: Attempt) -> None:
         outcome = attempt.outcome
         kind = outcome.request.kind
         if kind.resumable and outcome.attempts <= kind.retries:
             self._send(outcome)
 
-    def _later_failed(self, http_id: int, attempt: Attempt) -> None:
+    def _schedule_failure(self, http_id: int, attempt: Attempt) -> None:
         self._attempts.pop(http_id, None)
         delay_s = self._delay_s(attempt.outcome.request, attempt.front)
-        self.world.scheduler.after(delay_s, lambda: self._failed(attempt))
+        self.world.scheduler.after(delay_s, lambda: self._handle_failure(attempt))
 
-    # Where to go --------------------------------------------------------------
+    # Directory ----------------------------------------------------------------
 
     def _fronts_for(self, request: ClientRequest) -> list["EmulatedFront"]:
         key = (request.zone.region, request.kind.name)
@@ -209,7 +215,7 @@
         return known[1]
 
     def _ask_directory(self, request: ClientRequest) -> list["EmulatedFront"]:
-        """Ask a near node; without any that runs, the earlier answer holds on."""
+        """Query a node in the client's region; while none is up, keep using the previous answer."""
         region = request.zone.region
         near = [front for front in self.world.fronts.values() if front.zone.region == region]
         known = self._directory.get((region, request.kind.name))
--- a/rooklug_lab/policy/plots.py
+++ b/rooklug_lab/policy/plots.py
@@ -1,4 +1,4 @@
-"""Pictures of one run: worth by second, and times to the first event."""
+"""Plots of one run: earned credit by arrival time, and times to the first event."""
 
 from pathlib import Path
 
@@ -7,7 +7,7 @@
 
 
 def plot_run(outcomes: list[Outcome], path: Path) -> None:
-    """Write a picture of a run; matplotlib is imported here, since only this needs it."""
+    """Write a plot of a run; matplotlib is imported here, since nothing else needs it."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -16,7 +16,7 @@
     figure, (left, right) = pyplot.subplots(1, 2, figsize=(12, 4))
     rows = by_second(outcomes)
     seconds = [float(name.split()[1]) for name in rows]
-    left.step(seconds, [row.earned / row.owed for row in rows.values()], where="post")
+    left.step(seconds, [row.earned / row.full_credit for row in rows.values()], where="post")
     left.set(xlabel="arrival, seconds", ylabel="credit earned / owed", ylim=(0, 1.02))
     for name in sorted({outcome.request.kind.name for outcome in outcomes}):
         times = sorted(
--- a/rooklug_lab/policy/tables.py
+++ b/rooklug_lab/policy/tables.py
@@ -1,4 +1,4 @@
-"""Tables of one run: by kind of request, region and second, and where the time went."""
+"""Tables of one run by request kind, region and arrival time, with latency components."""
 
 from collections import defaultdict
 from collections.abc import Callable, Hashable, Iterable, Iterator
@@ -15,32 +15,36 @@
 
 @attrs.define
 class Row:
-    """Sums over some outcomes. Times are milliseconds."""
+    """Counts and sums over a group of outcomes. Times are milliseconds.
+
+    Each outcome counts as one of ``in_time``, ``paused`` (missed only its gap objective),
+    ``late`` and ``lost`` (incomplete).
+    """
 
     asked: int = 0
     in_time: int = 0
     paused: int = 0
     late: int = 0
     lost: int = 0
-    owed: float = 0.0
+    full_credit: float = 0.0
     earned: float = 0.0
-    way_ms: float = 0.0
+    transit_ms: float = 0.0
     waiting_ms: float = 0.0
-    reading_ms: float = 0.0
+    prefill_ms: float = 0.0
     first: HdrHistogram = attrs.field(factory=lambda: HdrHistogram(1, MOST_MS, DIGITS))
 
     def add(self, outcome: Outcome) -> None:
-        """Count one outcome."""
+        """Add one outcome to the counts; lost ones don't contribute latencies."""
         self.asked += 1
-        self.owed += outcome.owed
+        self.full_credit += outcome.full_credit
         self.earned += outcome.earned
         if not outcome.complete:
             self.lost += 1
             return
         self.first.record_value(max(1, min(int(outcome.first_s * _MS), MOST_MS)))
-        self.way_ms += outcome.way_s * _MS
+        self.transit_ms += outcome.transit_s * _MS
         self.waiting_ms += outcome.waiting_s * _MS
-        self.reading_ms += outcome.reading_s * _MS
+        self.prefill_ms += outcome.prefill_s * _MS
         if outcome.in_time:
             self.in_time += 1
         elif outcome.first_s <= outcome.request.kind.objective_s:
@@ -49,13 +53,13 @@
             self.late += 1
 
     def cells(self) -> Iterator[str]:
-        """Return the row's figures as text."""
+        """Yield the cells in the order of ``HEADINGS``; latency components are means."""
         answered = max(self.asked - self.lost, 1)
         yield from (str(n) for n in (self.asked, self.in_time, self.paused, self.late, self.lost))
-        yield f"{self.earned / self.owed if self.owed else 1.0:.3f}"
+        yield f"{self.earned / self.full_credit if self.full_credit else 1.0:.3f}"
         for share in (50, 90, 99):
             yield f"{self.first.get_value_at_percentile(share):.0f}"
-        for total in (self.way_ms, self.waiting_ms, self.reading_ms):
+        for total in (self.transit_ms, self.waiting_ms, self.prefill_ms):
             yield f"{total / answered:.0f}"
 
 
@@ -66,7 +70,7 @@
 
 
 def table(title: str, rows: dict[str, Row]) -> str:
-    """Return rows as aligned text."""
+    """Return the rows as text in aligned columns."""
     width = max([len(title), *(len(name) for name in rows)])
     lines = [f"{title:{width}}  " + "  ".join(f"{heading:>10}" for heading in HEADINGS)]
     for name, row in rows.items():
@@ -80,12 +84,12 @@
 
 
 def by_region(outcomes: Iterable[Outcome]) -> dict[str, Row]:
-    """Return a row for each region of clients."""
+    """Return a row for each client region."""
     return _rows(outcomes, lambda outcome: outcome.request.zone.region)
 
 
 def by_second(outcomes: Iterable[Outcome], width_s: int = 2) -> dict[str, Row]:
-    """Return a row for every few seconds of arrivals."""
+    """Return a row for each ``width_s`` seconds of arrivals."""
     found = _rows(outcomes, lambda outcome: int(outcome.request.at // width_s) * width_s)
     return {f"from {second} s": row for second, row in found.items()}
 
