--- a/rooklug_lab/gateway/clients.py
+++ b/rooklug_lab/gateway/clients.py
@@ -1,4 +1,4 @@
-"""Stand-in clients, and the operator."""
+"""Simulated clients and the simulated operator of a gateway deployment."""
 
 import json
 from collections.abc import Iterable
@@ -19,10 +19,10 @@
 
 
 class ClientStandIn:
-    """Clients of one region: ask where to go, send, and come back once when told to.
+    """Clients of one region: resolve front addresses, send requests, obey ``retry-after`` once.
 
-    With ``repeats_at_once`` they don't wait as told: what isn't served they send again at once,
-    so many times.
+    With ``repeats_at_once`` above 0 they ignore ``retry-after``: each first attempt that isn't
+    served is immediately sent again that many times.
     """
 
     head_first_paths: tuple[str, ...] = ()
@@ -51,11 +51,11 @@
         self._count = 0
 
     def metrics(self, now: float) -> Iterable[MetricSample]:
-        """Return no figures."""
+        """Return no samples; stand-ins have no metrics."""
         return ()
 
     def handle(self, event: ev.Event, now: float) -> list[fx.Effect]:
-        """Take one event."""
+        """Advance directory look-ups, request timers and the attempts that are under way."""
         match event:
             case ev.Started():
                 return [*self._ask(), fx.StartTimer(_NEXT_TIMER, 0.5)]
@@ -143,7 +143,7 @@
 
 
 class OperatorStandIn:
-    """Sends each order again, to any core, until it is acknowledged or refused."""
+    """Sends each order to random cores, with retries, until it is acknowledged or refused."""
 
     head_first_paths: tuple[str, ...] = ()
 
@@ -155,26 +155,26 @@
         self._reading = 0
 
     def metrics(self, now: float) -> Iterable[MetricSample]:
-        """Return no figures."""
+        """Return no samples; stand-ins have no metrics."""
         return ()
 
     def change(self, order: Order, base: int, is_patch: bool, now: float) -> list[fx.Effect]:
-        """Send a change on top of ``base``."""
+        """Submit the order's configuration as a change based on version ``base``."""
         query = f"version={order.version}&base={base}&patch={int(is_patch)}"
         return self._begin(_Sending(order, f"{CHANGE_PATH}?{query}", order.document), now)
 
     def zone(self, order: Order, now: float) -> list[fx.Effect]:
-        """Empty a zone, or take it back."""
+        """Send an order that drains a zone ("empty") or ends the drain ("restore")."""
         return self._begin(_Sending(order, f"/zone/{order.zone}/{order.kind}", b""), now)
 
     def read(self) -> list[fx.Effect]:
-        """Read the configuration back, until it comes."""
+        """Read the current configuration; it is asked for again until a core returns it."""
         self._reading = self._context.identifiers.next()
         address = self._context.random.choice(self.cores)
         return [fx.HttpCall(self._reading, address, "GET", CONFIGURATION_PATH, b"", 1.0)]
 
     def handle(self, event: ev.Event, now: float) -> list[fx.Effect]:
-        """Take an answer, or send again."""
+        """Record answers, and retry calls that failed once their retry timer fires."""
         if isinstance(event, ev.TimerFired):
             sending = self._under_way.pop(int(event.name), None)
             return self._send(sending) if sending else self.read()
--- a/rooklug_lab/gateway/command.py
+++ b/rooklug_lab/gateway/command.py
@@ -1,4 +1,4 @@
-"""``rooklug-lab gateway``: the gateway's bad days in virtual time, over many seeds."""
+"""``rooklug-lab gateway``: fault scenarios of the gateway in virtual time, over many seeds."""
 
 import argparse
 import json
@@ -12,7 +12,7 @@
 
 
 def add_gateway_command(commands: argparse._SubParsersAction) -> None:
-    """Add the subcommand."""
+    """Add the subcommand ``gateway`` and its arguments to the parser of ``rooklug-lab``."""
     names = ", ".join(SCENARIOS)
     parser = commands.add_parser(
         "gateway", help="simulate pass-through fronts", description=f"Scenarios: {names}, all."
@@ -25,7 +25,10 @@
 
 
 def run_gateway(arguments: argparse.Namespace) -> int:
-    """Run scenarios; exit 1 if anything is broken, 2 on an unknown name."""
+    """Run each scenario under each seed and print a line per run.
+
+    Returns the exit status: 1 if an oracle failed in any run, 2 for an unknown scenario.
+    """
     names = list(SCENARIOS) if arguments.scenario == "all" else arguments.scenario.split(",")
     unknown = [name for name in names if name not in SCENARIOS]
     if unknown:
--- a/rooklug_lab/gateway/journal.py
+++ b/rooklug_lab/gateway/journal.py
@@ -1,11 +1,11 @@
-"""What clients, replicas, the platform and the operator have seen; oracles read only this."""
+"""Record of what clients, replicas, platform and operator observed; the oracles' only input."""
 
 import attrs
 
 
 @attrs.frozen
 class Run:
-    """A replica has begun to work on a request."""
+    """A replica started to execute a request; ``cold``: during its slow start."""
 
     request_id: str
     replica_id: str
@@ -17,7 +17,7 @@
 
 @attrs.frozen
 class Arrival:
-    """A request has reached a replica, which may yet reject it."""
+    """A request reached a replica, which may still reject it."""
 
     request_id: str
     service: str
@@ -26,7 +26,7 @@
 
 @attrs.define
 class Attempt:
-    """One attempt of a client. ``ended_at`` 0: no end was seen."""
+    """One attempt of a client. ``ended_at`` is 0 until the response has completed or failed."""
 
     request_id: str
     region: str
@@ -41,13 +41,16 @@
 
     @property
     def served(self) -> bool:
-        """Whether it got a whole success."""
+        """Whether a complete response with a 2xx status was received."""
         return self.complete and 200 <= self.status < 300
 
 
 @attrs.define
 class Order:
-    """A change or zone order. ``taken_at`` 0: never acknowledged."""
+    """An operator's order: a configuration change, or "empty" or "restore" for a zone.
+
+    ``taken_at`` is the time of the acknowledgement, 0 if there was none.
+    """
 
     kind: str
     version: int = 0
@@ -60,7 +63,7 @@
 
 @attrs.frozen
 class Leaving:
-    """The platform's list has shown a replica as leaving since ``shown_at``."""
+    """A replica that the platform's listing first showed as leaving at ``shown_at``."""
 
     replica_id: str
     shown_at: float
@@ -68,7 +71,7 @@
 
 @attrs.frozen
 class Disturbance:
-    """A fault: from when to when."""
+    """An injected fault and the interval during which it was active."""
 
     kind: str
     began: float
@@ -77,7 +80,7 @@
 
 @attrs.define
 class Journal:
-    """Everything that was seen in one run. Times are the world's."""
+    """Everything observed in one run. Times are in seconds of the simulated world's clock."""
 
     runs: list[Run] = attrs.field(factory=list)
     arrivals: list[Arrival] = attrs.field(factory=list)
@@ -88,5 +91,5 @@
     read_back: bytes = b""
 
     def is_calm(self, at: float, before_s: float) -> bool:
-        """Return whether nothing disturbed the deployment from ``before_s`` before ``at``."""
+        """Return whether no fault was active in the ``before_s`` seconds up to ``at``."""
         return not any(d.began <= at and at - before_s < d.ended for d in self.disturbances)
--- a/rooklug_lab/gateway/large_days.py
+++ b/rooklug_lab/gateway/large_days.py
@@ -1,7 +1,8 @@
-"""Faults of large deployments, each brought about in a simulated run of two hundred machines.
+"""Fault scenarios for a simulated deployment of two hundred machines.
 
-Each fault strikes more than once or beside another one, and changes are sent meanwhile: what
-was acknowledged must be there at the end, and come into force in time at every front in touch.
+Each fault is injected more than once or together with another one, while configuration changes
+are sent. An acknowledged change must still exist at the end, and must take effect in time at
+every front that can reach the core.
 """
 
 from functools import partial
@@ -13,11 +14,11 @@
 SLOW_SHARE = 0.15
 ADDED_A_ZONE = 6
 LOOK_S = 0.0005
-"""An acknowledgement is looked for so often."""
+"""Interval at which ``power_goes_with_disks`` checks for the acknowledgement."""
 
 
 def machines_turn_slow(site: GatewaySite, random: Random) -> None:
-    """A sixth of the machines turn slow, then others, with the primary's; then replicas leave."""
+    """About a sixth of the fronts and the primary slow down, twice; then eight replicas drain."""
     for begin_s in (1.0, 8.0):
         names = random.sample(site.fronts, int(len(site.fronts) * SLOW_SHARE))
         site.later(begin_s, lambda n=names: site.slow([*n, site.primary()], 5.5))
@@ -27,7 +28,7 @@
 
 
 def machines_are_added(site: GatewaySite, random: Random) -> None:
-    """Every zone gets more machines, while a change spreads and right after the primary's end."""
+    """Machines join every zone while a change propagates and the primary is killed."""
     for place, zone in enumerate(site.shape.zones):
         begin_s = 1.0 + 0.3 * place
         site.later(begin_s, lambda z=zone: site.add_machines(z, ADDED_A_ZONE))
@@ -38,7 +39,7 @@
 
 
 def core_is_replaced(site: GatewaySite, random: Random) -> None:
-    """Cores go for good, the first seed and then the primary; empty ones come elsewhere."""
+    """The first seed, then the primary, is lost for good and replaced at another address."""
     site.later(0.5, lambda: site.change(["first"]))
     site.later(1.0, lambda: site.replace_core(site.cores[0], 1.0))
     site.later(4.0, lambda: site.change(["second"]))
@@ -47,7 +48,7 @@
 
 
 def zone_is_cut(site: GatewaySite, random: Random) -> None:
-    """A zone is partitioned from the others, and then the zone of the primary."""
+    """A random zone is partitioned from the others, and later the primary's zone."""
     zones = list(site.shape.zones)
     site.later(1.0, lambda: site.cut_zone(random.choice(zones), 4.5))
     site.later(2.0, lambda: site.change(["first"]))
@@ -56,7 +57,7 @@
 
 
 def packets_pass_one_way(site: GatewaySite, random: Random) -> None:
-    """Nothing reaches some machines any more, though they are heard: fronts, then the primary."""
+    """Inbound packets are lost, outbound ones pass: at twelve fronts, later at the primary."""
     names = random.sample(site.fronts, 12)
     site.later(1.0, lambda: site.cut(names, 5.0, outbound=False))
     site.later(2.0, lambda: site.change(["first"]))
@@ -65,7 +66,7 @@
 
 
 def core_falls_apart(site: GatewaySite, random: Random) -> None:
-    """Halves of the core don't hear each other; meanwhile machines of one of them end."""
+    """The cores are partitioned into halves, and two machines of one half lose power."""
     half, others = site.core_halves(random)
     site.later(1.0, lambda: site.cut_between(half, others, 4.0))
     site.later(2.0, lambda: site.change(["first"]))
@@ -75,7 +76,7 @@
 
 
 def clients_repeat_at_once(site: GatewaySite, random: Random) -> None:
-    """Clients repeat at once and often, while replicas reject what they get and others end."""
+    """Clients retry immediately, three times, while replicas reject requests or lose power."""
     site.change(["again"])
     site.later(3.5, lambda: site.add_path("/again/1"))
     for region in site.shape.regions:
@@ -89,9 +90,10 @@
 
 
 def power_goes_with_disks(site: GatewaySite, random: Random) -> None:
-    """Right after an acknowledgement all machines lose power, the primary's disk among others.
+    """All machines lose power right after an acknowledgement; tolerated disks are lost, too.
 
-    The other disks stand still when the change is sent: it may not be acknowledged before.
+    The primary's disk is among the lost ones. The other cores' disks stall when the change is
+    sent, so it must not be acknowledged before enough of them have written it.
     """
     for name in site.cores:
         if name != site.primary():
--- a/rooklug_lab/gateway/oracles.py
+++ b/rooklug_lab/gateway/oracles.py
@@ -1,7 +1,9 @@
-"""What must hold of a gateway deployment, judged from what was seen outside it.
+"""Invariants of a gateway deployment, checked against the journal of a finished run.
 
-Bounds are those of the users' brief: four seconds for a leaving replica, five for an emptied
-zone, three for a change, twelve to a quarter of the traffic.
+The bounds are the users' requirements: no new requests reach a leaving replica after 4 s or a
+drained zone after 5 s, a change is in force after 3 s, and a quarter of the traffic is served
+12 s after a fault. An oracle takes the journal and the rate that a cold replica may get, in
+requests per second, and yields one text per violation.
 """
 
 import json
@@ -21,7 +23,7 @@
 REPEATABLE_PREFIX = "/again/"
 REPEATABLE_REPLICAS = 2
 HOME_PREFIX = "/home-"
-"""Of the path of a route that is bound to the region that follows."""
+"""Path prefix of routes bound to one region, whose name follows the prefix."""
 BUDGET = RetryBudgetSettings(ratio=0.2, window_s=10.0, slack=8.0)
 COLD_OVERSHOOT = 1.5
 COLD_SLACK = 5
@@ -31,7 +33,7 @@
 
 
 def runs_once(journal: Journal, cold_rate: float) -> Iterator[str]:
-    """No request runs twice, unless its route allows repeats."""
+    """No request is executed twice, unless its route allows repeats."""
     repeatable = _repeatable(journal)
     for request_id, count in Counter(run.request_id for run in journal.runs).items():
         if count > 1 and request_id not in repeatable:
@@ -39,7 +41,7 @@
 
 
 def repeats_within_limits(journal: Journal, cold_rate: float) -> Iterator[str]:
-    """A repeatable request runs at no more replicas than its route allows."""
+    """A repeatable request is executed no more often than its route's ``max_replicas``."""
     counts = Counter(run.request_id for run in journal.runs)
     for request_id in sorted(_repeatable(journal)):
         if counts[request_id] > REPEATABLE_REPLICAS:
@@ -47,7 +49,7 @@
 
 
 def repeats_within_budget(journal: Journal, cold_rate: float) -> Iterator[str]:
-    """In no window does a service get more repeats than the budget of all fronts."""
+    """In no window does a service get more repeats than the retry budget of all fronts."""
     seen: set[str] = set()
     firsts: dict[str, list[float]] = defaultdict(list)
     repeats: dict[str, list[float]] = defaultdict(list)
@@ -73,7 +75,7 @@
 
 
 def stays_home(journal: Journal, cold_rate: float) -> Iterator[str]:
-    """A request whose route is bound to a region runs there."""
+    """A request whose route is bound to a region is executed only there."""
     homes = {
         attempt.request_id: attempt.path.removeprefix(HOME_PREFIX).split("/")[0]
         for attempt in journal.attempts
@@ -85,7 +87,7 @@
 
 
 def asked_by_a_client(journal: Journal, cold_rate: float) -> Iterator[str]:
-    """Replicas run only what a client has sent."""
+    """Replicas execute only requests that a client has sent."""
     sent = {attempt.request_id for attempt in journal.attempts}
     for run in journal.runs:
         if run.request_id not in sent:
@@ -93,7 +95,7 @@
 
 
 def promises_hold(journal: Journal, cold_rate: float) -> Iterator[str]:
-    """What was answered 503 has not run, and never does."""
+    """A request that was answered 503 is never executed, neither before nor after."""
     ran = {run.request_id for run in journal.runs}
     for attempt in journal.attempts:
         if attempt.status == 503 and attempt.request_id in ran:
@@ -101,7 +103,7 @@
 
 
 def answers_are_whole(journal: Journal, cold_rate: float) -> Iterator[str]:
-    """A success is the whole answer of the replica that ran the request."""
+    """A success is the complete response of a replica that executed the request."""
     ran_at = defaultdict(set)
     for run in journal.runs:
         ran_at[run.request_id].add(run.replica_id)
@@ -118,7 +120,7 @@
 
 
 def leaving_get_nothing(journal: Journal, cold_rate: float) -> Iterator[str]:
-    """Nothing new reaches a replica four seconds after the list shows it as leaving."""
+    """No request starts at a replica more than 4 s after it was listed as leaving."""
     since = {leaving.replica_id: leaving.shown_at for leaving in journal.leaving}
     for run in journal.runs:
         shown_at = since.get(run.replica_id)
@@ -128,7 +130,7 @@
 
 
 def emptied_get_nothing(journal: Journal, cold_rate: float) -> Iterator[str]:
-    """Nothing new reaches a zone five seconds after its emptying was acknowledged."""
+    """No request starts in a zone more than 5 s after its drain was acknowledged."""
     for order in journal.orders:
         if order.kind != "empty" or not order.taken_at:
             continue
@@ -150,7 +152,7 @@
 
 
 def cold_get_a_trickle(journal: Journal, cold_rate: float) -> Iterator[str]:
-    """In no second does a cold replica get more than it bears."""
+    """In no second does a cold replica get more requests than its rate limit allows."""
     bound = cold_rate * COLD_OVERSHOOT + COLD_SLACK
     by_replica: dict[str, list[Run]] = defaultdict(list)
     for run in journal.runs:
@@ -165,7 +167,7 @@
 
 
 def changes_are_in_force(journal: Journal, cold_rate: float) -> Iterator[str]:
-    """Three seconds after a change is acknowledged, its routes are known everywhere."""
+    """3 s after a change is acknowledged, no front answers 404 on its routes."""
     known_since: dict[str, float] = {}
     for order in sorted(journal.orders, key=lambda order: order.taken_at):
         if order.kind == "change" and order.taken_at:
@@ -180,7 +182,7 @@
 
 
 def one_change_a_version(journal: Journal, cold_rate: float) -> Iterator[str]:
-    """Of two changes under one number at most one is acknowledged; no invalid one is."""
+    """At most one change per version is acknowledged, and never an invalid one."""
     taken = defaultdict(list)
     for order in journal.orders:
         if order.kind == "change" and order.taken_at:
@@ -193,7 +195,7 @@
 
 
 def orders_are_acknowledged(journal: Journal, cold_rate: float) -> Iterator[str]:
-    """In calm times an order is answered in time; what was taken is never refused."""
+    """While no fault is active, an order is acknowledged or refused within 5 s."""
     for order in journal.orders:
         answered = order.taken_at or (order.sent_at if order.refused else float("inf"))
         end = order.sent_at + ACKNOWLEDGED_WITHIN_S
@@ -203,7 +205,7 @@
 
 
 def newest_is_read_back(journal: Journal, cold_rate: float) -> Iterator[str]:
-    """At the end the newest acknowledged configuration is read, exactly as it was sent."""
+    """The final read returns the newest acknowledged configuration byte for byte."""
     changes = [order for order in journal.orders if order.kind == "change"]
     newest = max((order.version for order in changes if order.taken_at), default=0)
     if not newest:
@@ -218,7 +220,7 @@
 
 
 def a_quarter_is_served_again(journal: Journal, cold_rate: float) -> Iterator[str]:
-    """Twelve seconds after the last disturbance at least a quarter is served."""
+    """From 12 s after the last fault on, at least a quarter of the requests is served."""
     if not journal.disturbances:
         return
     since = max(disturbance.ended for disturbance in journal.disturbances) + RECOVERY_S
@@ -250,6 +252,6 @@
 
 
 def judge(journal: Journal, cold_rate: float) -> dict[str, list[str]]:
-    """Return what is broken, by oracle."""
+    """Run all oracles and return the violations by oracle name, without oracles that hold."""
     found = {name: list(oracle(journal, cold_rate)) for name, oracle in ORACLES.items()}
     return {name: broken for name, broken in found.items() if broken}
--- a/rooklug_lab/gateway/protocols.py
+++ b/rooklug_lab/gateway/protocols.py
@@ -1,4 +1,4 @@
-"""The edge that the lab's stand-ins speak: rooklug's own names."""
+"""Client and operator protocols of the simulated deployment, with rooklug's default headers."""
 
 import json
 
@@ -26,12 +26,12 @@
 
 
 def client_protocol() -> ClientProtocol:
-    """Return what the simulated fronts speak."""
+    """Return the protocol between the simulated fronts and their clients."""
     return ClientProtocol(NAMES, READY_PATH, _read_resolve_request, _write_addresses)
 
 
 def operator_protocol() -> OperatorProtocol:
-    """Return what the simulated cores speak."""
+    """Return the protocol of the simulated cores towards operators and the platform's listing."""
     return OperatorProtocol(_read_call, bytes, _listing_path, _read_listing)
 
 
--- a/rooklug_lab/gateway/random_day.py
+++ b/rooklug_lab/gateway/random_day.py
@@ -1,9 +1,8 @@
-"""Days drawn at random on deployments drawn at random: how unseen sites are met.
+"""Randomized fault scenarios on randomized deployments.
 
-A day strikes several times, each time with another kind of trouble, some of them twice. What
-it takes away for good stays within what the deployment says it bears: over the whole day no
-more disks are lost than ``SiteShape.tolerance``. Half of the days end with the loss of
-everything that runs.
+A run injects several faults of random kinds at random times; a kind may occur more than once.
+Permanent loss stays within what the deployment tolerates: over the whole run no more disks are
+lost than ``SiteShape.tolerance``. In half of the runs all processes are killed at the end.
 """
 
 from collections.abc import Callable
@@ -24,7 +23,10 @@
 
 @attrs.define
 class RandomDay:
-    """Draws the troubles of one day and strikes with each at its moment."""
+    """Draws the faults of one run and schedules them.
+
+    ``disks_left`` counts the disks that may still be lost, ``changes`` the routes added so far.
+    """
 
     site: GatewaySite
     random: Random
@@ -33,7 +35,7 @@
     replaced: bool = False
 
     def begin(self) -> None:
-        """Draw the day."""
+        """Draw the faults and changes of the run and schedule them."""
         self.disks_left = self.site.shape.tolerance
         homes = [f"home-{region}" for region in self.site.shape.regions]
         order = self.site.change(["again", *homes])
@@ -76,45 +78,45 @@
     # Control -----------------------------------------------------------------
 
     def change(self) -> None:
-        """Bring a further route; clients use it when it is acknowledged."""
+        """Submit a change that adds a route; clients use it once it is acknowledged."""
         self.changes += 1
         name = f"drawn{self.changes}"
         order = self.site.change([name])
         self.site.later(IN_USE_AFTER_S, lambda: self._use(order, f"/{name}/1"))
 
     def rivals(self) -> None:
-        """Two changes on one base, and an invalid one."""
+        """Submit two conflicting changes on one base version, and an invalid one."""
         self.change()
         self.site.rival()
         self.site.invalid()
 
     def kill_primary(self) -> None:
-        """Kill the primary's process, or its machine, or that and its disk."""
+        """Kill the primary's process, or power off its machine, perhaps with loss of its disk."""
         power = self.random.random() < 0.5
         wipe = power and self.disks_left > 0 and self.random.random() < 0.5
         self.disks_left -= wipe
         self.site.kill([self.site.primary()], self._pause(), power=power, wipe=wipe)
 
     def kill_after_change(self) -> None:
-        """Kill the primary a moment after a change was sent."""
+        """Kill the primary at most 0.2 s after a change was sent."""
         self.change()
         self.site.later(self.random.uniform(0.0, 0.2), self.kill_primary)
 
     def kill_all_cores(self) -> None:
-        """Kill every core's process at one moment."""
+        """Kill the processes of all cores simultaneously."""
         self.site.kill(self.site.cores, self._pause())
 
     def cut_core(self) -> None:
-        """Cut one core's machine off, in both directions or in one."""
+        """Partition one core's machine from all others, in both directions or inbound only."""
         core = self.random.choice([self.site.primary(), self.random.choice(self.site.cores)])
         self.site.cut([core], self._pause(), outbound=self.random.random() < 0.6)
 
     def cut_zone(self) -> None:
-        """Cut all cores and fronts of a zone off."""
+        """Partition all cores and fronts of a zone from everything else."""
         self.site.cut(self.site.nodes_in(self._zone()), self._pause())
 
     def cut_region(self) -> None:
-        """Cut all cores and fronts of a region off; a site of one region loses a zone instead."""
+        """Partition a region from everything else, or a zone if there is only one region."""
         if len(self.site.shape.regions) < 2:
             self.cut_zone()
             return
@@ -122,12 +124,12 @@
         self.site.cut(self.site.nodes_in(region), self._pause())
 
     def cut_core_in_halves(self) -> None:
-        """Cut half of the cores off from the other half; everybody else reaches both."""
+        """Partition the cores into halves that all other processes still reach."""
         half, others = self.site.core_halves(self.random)
         self.site.cut_between(half, others, self._pause())
 
     def replace_core(self) -> None:
-        """Take a core away for good; an empty one comes at another address."""
+        """Replace a core by one with an empty disk at another address, once per run at most."""
         if self.disks_left <= 0 or self.replaced:
             return
         self.disks_left -= 1
@@ -135,26 +137,26 @@
         self.site.replace_core(self.random.choice(self.site.cores), self._pause())
 
     def stall_disk(self) -> None:
-        """Let a core's disk stand still."""
+        """Stall the disk of a core, so that its writes don't finish."""
         self.site.stall_disk(self.random.choice(self.site.cores), self._pause())
 
     def jump_clocks(self) -> None:
-        """Move the time of day on all machines."""
+        """Shift the wall clocks of all machines."""
         self.site.jump_clocks(self.random.choice([-30_000, -5_000, 5_000, 30_000]))
 
     def add_machines(self) -> None:
-        """Add machines to a zone."""
+        """Add one to three machines with fronts to a zone."""
         self.site.add_machines(self._zone(), self.random.randint(1, 3))
 
     def slow_machines(self) -> None:
-        """Let a third of the fronts, and perhaps the primary's machine, turn slow."""
+        """Slow down a third of the fronts, and in half of the cases the primary's machine."""
         names = self.random.sample(self.site.fronts, max(len(self.site.fronts) // 3, 1))
         if self.random.random() < 0.5:
             names.append(self.site.primary())
         self.site.slow(names, self._pause())
 
     def impatient_clients(self) -> None:
-        """Let the clients of a region repeat at once what isn't served."""
+        """Let a region's clients retry immediately for 5 s, instead of after ``retry-after``."""
         region = self.random.choice(self.site.shape.regions)
         self.site.set_impatience(region, self.random.randint(1, 4))
         self.site.later(5.0, lambda: self.site.set_impatience(region, 0))
@@ -162,35 +164,35 @@
     # Fronts and replicas ---------------------------------------------------------
 
     def kill_fronts(self) -> None:
-        """Kill a third of the fronts at one moment."""
+        """Kill a third of the fronts simultaneously."""
         count = max(len(self.site.fronts) // 3, 1)
         names = self.random.sample(self.site.fronts, count)
         self.site.kill(names, self._pause(), power=self.random.random() < 0.5)
 
     def cut_front(self) -> None:
-        """Cut one front's machine off."""
+        """Partition one front's machine from everything else."""
         self.site.cut([self.random.choice(self.site.fronts)], self._pause())
 
     def crash_replica(self) -> None:
-        """End a replica or its machine; it comes back cold."""
+        """Kill a replica or power off its machine; it restarts cold."""
         entry = self._replica()
         self.site.crash_replica(entry, self._pause(), dark=self.random.random() < 0.5)
 
     def replica_lies(self) -> None:
-        """Let a replica fail, reject or say nothing while it is listed as sound."""
+        """Let a replica fail, reject or not answer requests while it is listed as healthy."""
         conduct = self.random.choice([Conduct.FAILS, Conduct.REJECTS, Conduct.SILENT])
         self.site.misbehave(self._replica(), conduct, self._pause())
 
     def replica_leaves(self) -> None:
-        """Announce that a replica leaves, in time or at short notice."""
+        """Drain a replica, and stop it 1 s or 6 s after the announcement."""
         self.site.drain(self._replica(), after_s=self.random.choice([1.0, 6.0]))
 
     def replicas_turn_cold(self) -> None:
-        """Let the replicas of a zone turn cold without a word."""
+        """Let the replicas of a zone become cold without a restart."""
         self.site.turn_cold(self._zone())
 
     def evacuate(self) -> None:
-        """Empty a zone and take it back, its replicas cold by then or not."""
+        """Drain a zone and restore it, in half of the cases with cold replicas."""
         zone = self._zone()
         back_s = self.random.uniform(2.0, 8.0)
         self.site.order_zone(zone, "empty")
@@ -199,20 +201,20 @@
         self.site.later(back_s, lambda: self.site.order_zone(zone, "restore"))
 
     def burst(self) -> None:
-        """Multiply the traffic of a region for a while."""
+        """Multiply the request rate of a region by two to three for 4 s."""
         region = self.random.choice(self.site.shape.regions)
         self.site.set_rate(region, self.random.uniform(2.0, 3.0))
         self.site.later(4.0, lambda: self.site.set_rate(region, 1.0))
 
     def lose_everything(self) -> None:
-        """End all processes, or the machines, at one moment."""
+        """Kill all cores and fronts, or power off their machines, simultaneously."""
         power = self.random.random() < 0.5
         self.site.kill([*self.site.cores, *self.site.fronts], 1.0, power=power)
 
-    # Inside ------------------------------------------------------------------------
+    # Internals ---------------------------------------------------------------------
 
     def _use(self, order: Order, path: str) -> None:
-        """Let clients use a route once its change is acknowledged."""
+        """Let clients use a route once its change is acknowledged; check again until then."""
         if order.taken_at:
             self.site.add_path(path)
         elif not order.refused:
@@ -229,5 +231,5 @@
 
 
 def random_day(site: GatewaySite, random: Random) -> None:
-    """Several troubles of any kind at any moment, on a deployment that nobody has seen."""
+    """Several faults of random kinds at random times, on a randomized deployment."""
     RandomDay(site, random).begin()
--- a/rooklug_lab/gateway/replicas.py
+++ b/rooklug_lab/gateway/replicas.py
@@ -1,4 +1,4 @@
-"""Stand-in replicas and the platform that lists them."""
+"""Simulated replicas, and the simulated platform that lists them."""
 
 import json
 from collections.abc import Callable, Iterable
@@ -14,7 +14,7 @@
 from rooklug_lab.sim.process import SimulatedProcess
 
 ENDED_LISTED_S = 3.0
-"""A replica that has ended stays on the list for so long, also beside its successor."""
+"""How long a stopped replica stays listed, even beside its successor."""
 LIST_LAG_S = 0.8
 EVENTS = 12
 FIRST_EVENT_S = 0.15
@@ -23,7 +23,7 @@
 
 
 class Conduct(Enum):
-    """How a replica treats requests, whatever it says of its health."""
+    """How a replica treats requests, regardless of the health it reports."""
 
     SOUND = "answers"
     FAILS = "runs a request and answers with a failure"
@@ -33,7 +33,7 @@
 
 @attrs.define(eq=False)
 class ReplicaEntry:
-    """One replica as the platform knows it; ``cold_s``: how long a start leaves it cold."""
+    """One replica as the platform knows it; ``cold_s`` is the length of its slow start."""
 
     name: str
     address: str
@@ -49,16 +49,16 @@
 
     @property
     def replica_id(self) -> str:
-        """The id of this start of the process."""
+        """The replica's id, which changes with each restart of its process."""
         return f"{self.name}-{self.process.generation}"
 
     def turn_cold(self, now: float) -> None:
-        """Begin a slow start."""
+        """Begin a slow start of ``cold_s`` seconds."""
         self.cold_until = now + self.cold_s
 
 
 class ReplicaStandIn:
-    """Runs a request a slot: a short answer, or a stream of numbered events."""
+    """Executes one request per slot: with a short response, or a stream of numbered events."""
 
     head_first_paths: tuple[str, ...] = ()
 
@@ -69,11 +69,11 @@
         self._running: dict[str, tuple[int, int, str]] = {}
 
     def metrics(self, now: float) -> Iterable[MetricSample]:
-        """Return no figures."""
+        """Return no samples; stand-ins have no metrics."""
         return ()
 
     def handle(self, event: ev.Event, now: float) -> list[fx.Effect]:
-        """Take a request, or go on with one."""
+        """Accept or reject a new request, or send the next part of a response."""
         if isinstance(event, ev.HttpRequestArrived):
             return self._arrived(event, now)
         if isinstance(event, ev.HttpRequestClosed):
@@ -138,7 +138,7 @@
 
 
 class PlatformStandIn:
-    """Answers with the list as it was a moment ago; notes when it first shows a leaving one."""
+    """Lists replicas as they were ``LIST_LAG_S`` ago; records when one is first shown leaving."""
 
     head_first_paths: tuple[str, ...] = ()
 
@@ -153,11 +153,11 @@
         self.calls = 0
 
     def metrics(self, now: float) -> Iterable[MetricSample]:
-        """Return no figures."""
+        """Return no samples; stand-ins have no metrics."""
         return ()
 
     def handle(self, event: ev.Event, now: float) -> list[fx.Effect]:
-        """Note the present, or answer a reader."""
+        """Record the present replicas every 0.1 s, and answer listing calls."""
         if isinstance(event, ev.Started):
             return self._note(now)
         if isinstance(event, ev.TimerFired):
@@ -179,7 +179,7 @@
         return [fx.StartTimer("note", 0.1)]
 
     def _present(self, now: float) -> list[dict]:
-        """Return the replicas that run, and those that have ended a moment ago."""
+        """Return the running replicas and those that stopped within ``ENDED_LISTED_S``."""
         for entry in self._entries():
             if entry.process.running:
                 self._alive_at[entry.replica_id] = (now, _listed(entry, now))
--- a/rooklug_lab/gateway/scenarios.py
+++ b/rooklug_lab/gateway/scenarios.py
@@ -1,7 +1,8 @@
-"""The brief's five kinds of bad days, each brought about in a simulated run.
+"""Fault scenarios of a gateway deployment, and the function that runs and judges one.
 
-A scenario is called once the site serves; it may use the site's seeded generator for its
-moments. Everything is over ``SETTLE_S`` before the run is judged.
+A scenario is called after the warm-up and schedules its faults; the seeded generator that it
+gets draws their times and targets. A run has ``TROUBLE_S`` for the faults and ``SETTLE_S`` for
+recovery before the oracles judge it.
 """
 
 from collections.abc import Callable
@@ -32,7 +33,7 @@
 
 
 def replicas_fail(site: GatewaySite, random: Random) -> None:
-    """Replicas crash, go dark, leave one by one, come back cold; a zone is emptied."""
+    """Replicas crash, lose power and drain; a zone is drained and restored cold."""
     models = [entry for entry in site.replicas if entry.service == "model"]
     random.shuffle(models)
     crash, dark, leaving, second = models[:4]
@@ -47,7 +48,7 @@
 
 
 def control_is_killed(site: GatewaySite, random: Random) -> None:
-    """The primary dies right after an acknowledgement, with its disk; then all cores at once."""
+    """The primary loses power right after a change, perhaps its disk too; later all cores die."""
     site.change(["first"])
     site.world.run_for(random.uniform(0.005, 0.3))
     wiped = random.random() < 0.5
@@ -59,7 +60,7 @@
 
 
 def everything_is_killed(site: GatewaySite, random: Random) -> None:
-    """Every process ends at once, right after a change was sent."""
+    """All cores and fronts are killed simultaneously, right after a change was sent."""
     site.change(["first"])
     site.world.run_for(random.uniform(0.0, 0.3))
     power = random.random() < 0.5
@@ -67,7 +68,7 @@
 
 
 def machines_are_cut_off(site: GatewaySite, random: Random) -> None:
-    """Disks stall, clocks jump, the primary is cut off, then another core, one way."""
+    """Clocks jump, the primary is partitioned, a disk stalls, a core is partitioned."""
     site.jump_clocks(random.choice([-20_000, 20_000]))
     primary = site.primary()
     site.cut([primary], random.uniform(3.0, 5.0))
@@ -82,7 +83,7 @@
 
 
 def configurations_storm(site: GatewaySite, random: Random) -> None:
-    """Changes in quick succession, races, invalid ones, and many routes at once."""
+    """Changes in quick succession, conflicting and invalid ones, and one of 300 routes."""
     for number in range(12):
         delay_s = 0.4 * number
         site.later(delay_s, lambda n=number: site.change([f"storm{n}"]))
@@ -97,7 +98,7 @@
 
 
 def traffic_moves(site: GatewaySite, random: Random) -> None:
-    """A burst in one region while the other's replicas turn cold, then the other way round."""
+    """A traffic burst in one region, then the other, while replicas there become cold."""
     site.set_rate("south", 3.0)
     site.turn_cold("south-a")
     site.later(5.0, lambda: site.set_rate("south", 0.5))
@@ -108,7 +109,7 @@
 
 
 def zone_returns_cold(site: GatewaySite, random: Random) -> None:
-    """A zone is taken back in a burst, a moment after its replicas have turned cold."""
+    """A drained zone is restored during a burst, 0.05 s after its replicas became cold."""
     zone = "south-a"
     site.order_zone(zone, "empty")
     site.later(5.0, lambda: site.set_rate("south", 4.0))
@@ -119,9 +120,9 @@
 
 
 def region_is_lost(site: GatewaySite, random: Random) -> None:
-    """A whole region loses power under load and returns, all of its replicas cold and renamed.
+    """A whole region loses power under load and returns with cold replicas under new ids.
 
-    It strikes twice: the second time beside a control node that is cut off.
+    This happens twice, the second time while the primary is partitioned.
     """
     region = random.choice(site.shape.regions)
     for other in site.shape.regions:
@@ -134,7 +135,7 @@
 
 
 def control_falls_apart(site: GatewaySite, random: Random) -> None:
-    """The core is cut into halves and then a region is cut off, while zones are taken back cold."""
+    """The cores are partitioned into halves, then a region is, while cold zones are restored."""
     for region in site.shape.regions:
         site.set_rate(region, 3.0)
     first, second = random.sample(list(site.shape.zones), 2)
@@ -154,9 +155,9 @@
 
 
 def replicas_lie(site: GatewaySite, random: Random) -> None:
-    """Replicas that are listed as sound fail, reject and say nothing, by turns.
+    """Replicas that are listed as healthy fail, reject or don't answer requests.
 
-    Some requests may be repeated, and some are bound to a region.
+    Some routes allow repeats, and some are bound to a region.
     """
     homes = [f"home-{region}" for region in site.shape.regions]
     site.change(["again", *homes])
@@ -193,16 +194,16 @@
 }
 
 RANDOM_SCENARIOS = frozenset({random_day.__name__})
-"""Scenarios whose deployment is drawn, too."""
+"""Scenarios whose deployment is randomized as well."""
 WIDE = frozenset({region_is_lost.__name__, control_falls_apart.__name__})
-"""Scenarios that need a deployment which bears the loss of a region."""
+"""Scenarios that need a deployment which tolerates the loss of a region."""
 LARGE = frozenset(day.__name__ for day in LARGE_DAYS)
-"""Scenarios of a deployment of two hundred machines."""
+"""Scenarios that run on a deployment of two hundred machines."""
 
 
 @attrs.frozen
 class GatewayRun:
-    """A finished run: what was seen, what is broken, and the share that was served."""
+    """A finished run: its journal, violations by oracle, and the share of served requests."""
 
     journal: Journal
     broken: dict[str, list[str]]
@@ -210,7 +211,7 @@
 
 
 def run_gateway_scenario(name: str, seed: int) -> GatewayRun:
-    """Run one scenario under one seed, and judge it."""
+    """Run one scenario with one seed and check the oracles on its journal."""
     site = GatewaySite(seed, _shape_for(name, seed))
     site.start()
     site.world.run_for(WARM_UP_S)
--- a/rooklug_lab/gateway/shape.py
+++ b/rooklug_lab/gateway/shape.py
@@ -1,4 +1,4 @@
-"""What a simulated gateway deployment consists of: a fixed one, or one drawn at random."""
+"""Sizes of simulated gateway deployments: three fixed ones, and randomized ones."""
 
 from random import Random
 
@@ -13,9 +13,9 @@
     """Sizes and bounds of a deployment.
 
     ``zones`` maps each zone to its region, and ``core_zones`` names the zone of each core, the
-    three seeds first. ``client_rate_per_s`` counts for each region, ``cold_rate_per_s`` for
-    each replica of a model. ``min_in_sync_replicas``: disks that must hold a change before it is
-    acknowledged; one less may be lost at once.
+    three seeds first. ``client_rate_per_s`` applies to each region, ``cold_rate_per_s`` to each
+    replica of a model. ``min_in_sync_replicas`` is the number of disks that must hold a change
+    before it is acknowledged; one fewer may be lost at once.
     """
 
     zones: dict[str, str]
@@ -29,23 +29,23 @@
 
     @property
     def regions(self) -> list[str]:
-        """Return the regions by name."""
+        """The names of the regions, sorted."""
         return sorted(set(self.zones.values()))
 
     @property
     def tolerance(self) -> int:
-        """Return how many disks may be lost at once."""
+        """How many disks may be lost at once without loss of an acknowledged change."""
         return self.min_in_sync_replicas - 1
 
 
 def zones_of(regions: tuple[str, ...], letters: str) -> dict[str, str]:
-    """Return as many zones for each region as there are letters; regions take turns."""
+    """Return one zone per region and letter, mapped to its region, with regions alternating."""
     return {f"{region}-{letter}": region for letter in letters for region in regions}
 
 
 FIXED_ZONES = {"north-a": "north", "north-b": "north", "south-a": "south"}
 FIXED_SHAPE = SiteShape(zones=FIXED_ZONES, core_zones=tuple(FIXED_ZONES))
-"""Three cores, nine fronts, two regions: what most scenarios run on."""
+"""Three cores, nine fronts, two regions: the deployment of most scenarios."""
 
 WIDE_ZONES = zones_of(("north", "south", "west"), "ab")
 WIDE_SHAPE = SiteShape(
@@ -75,7 +75,7 @@
 
 
 def drawn_shape(random: Random) -> SiteShape:
-    """Return a deployment that nobody has seen: one to three regions, three to seven cores."""
+    """Return a randomized deployment of one to three regions and three to seven cores."""
     zones = _drawn_zones(random)
     core_zones = _drawn_core_zones(random, list(zones))
     models = random.randint(1, 3)
@@ -103,6 +103,6 @@
 
 
 def _drawn_core_zones(random: Random, zones: list[str]) -> tuple[str, ...]:
-    """Return each core's zone: zones take turns, so that the seeds are spread."""
+    """Return each core's zone, assigned round-robin so that the seeds are spread over zones."""
     count = random.choice([3, 3, 5, 6, MOST_CORES])
     return tuple(zones[number % len(zones)] for number in range(count))
--- a/rooklug_lab/gateway/site.py
+++ b/rooklug_lab/gateway/site.py
@@ -1,4 +1,4 @@
-"""A small gateway deployment in the simulated world, and the faults that may strike it."""
+"""A gateway deployment in the simulated world, and the faults that can be injected into it."""
 
 import json
 from collections.abc import Callable, Iterable
@@ -23,15 +23,19 @@
 from rooklug_lab.sim.world import World
 
 SEEDS = 3
-"""The first view is formed of so many cores; the others join it."""
+"""Number of cores that form the first membership view; the others join it."""
 MODEL_COLD_S = 3.0
 SLOW_EVENT_S = 0.004
-"""On a slow machine: about ten times what an event costs a front."""
+"""Time per event on a slow machine: about ten times what an event costs a front."""
 LIST_ADDRESS = "10.200.0.1:80"
 
 
 class GatewaySite:
-    """Cores, fronts, replicas of two services, clients of each region, an operator."""
+    """A deployment of cores, fronts and replicas, with clients per region and an operator.
+
+    The replicas serve two services, "model" and "ledger". Methods that inject a fault for
+    ``for_s`` seconds schedule its end themselves.
+    """
 
     def __init__(
         self,
@@ -61,7 +65,7 @@
         self._add_stand_ins()
 
     def start(self) -> None:
-        """Start everything, and bring the first configuration."""
+        """Start all processes and submit the first configuration."""
         for process in self.world.processes.values():
             process.start()
         self.world.run_for(0.6)
@@ -69,13 +73,13 @@
         self.change(["s", "once"])
 
     def later(self, delay_s: float, action: Callable[[], object]) -> None:
-        """Do something after a while."""
+        """Schedule an action ``delay_s`` seconds from now in virtual time."""
         self.world.scheduler.after(delay_s, action)
 
     # Orders ---------------------------------------------------------------
 
     def change(self, routes: Iterable[str] = (), version_step: int = 1) -> Order:
-        """Send a configuration with further routes, as a whole document."""
+        """Submit a complete configuration that adds routes to the present ones."""
         self._routes = sorted({*self._routes, *routes})
         self._forget_refused()
         base, self._version = self._version, self._version + version_step
@@ -84,7 +88,7 @@
         return order
 
     def rival(self) -> Order:
-        """Send another change under the number and on the base of the newest one."""
+        """Submit a conflicting change with the version and the base of the newest one."""
         document = self._document(self._version, [*self._routes, "rival"])
         order = Order("change", self._version, document=document)
         base = self._version - 1
@@ -92,7 +96,7 @@
         return order
 
     def invalid(self) -> Order:
-        """Send a change that names an unknown service."""
+        """Submit a change that names an unknown service and so must be refused."""
         document = json.loads(self._document(self._version + 1, self._routes))
         document["routes"][0]["service"] = "nobody"
         order = Order("change", self._version + 1, document=json.dumps(document).encode())
@@ -100,20 +104,20 @@
         return order
 
     def order_zone(self, zone: str, kind: str) -> Order:
-        """Send "empty" or "restore"."""
+        """Order that a zone be drained (``kind`` "empty") or restored ("restore")."""
         order = Order(kind, zone=zone)
         self._operate(lambda operator, now: operator.zone(order, now))
         return order
 
     def read_back(self) -> None:
-        """Let the operator read the configuration."""
+        """Let the operator read the configuration, and run 6 s for the answer to arrive."""
         self._operate(lambda operator, now: operator.read())
         self.world.run_for(6.0)
 
     # Faults ---------------------------------------------------------------
 
     def primary(self) -> str:
-        """Return the core that serves as the primary, or the first."""
+        """Return the core that reports itself as primary, or the first core if none does."""
 
         def serves(name: str) -> bool:
             process = self.process(name)
@@ -132,12 +136,15 @@
         return [name for name in nodes if self._is_in(place, self.process(name).place)]
 
     def core_halves(self, random: Random) -> tuple[list[str], list[str]]:
-        """Component the cores by lot; the second half is the larger one of an odd number."""
+        """Split the cores at random; of an odd number the second half gets one more."""
         half = random.sample(self.cores, len(self.cores) // 2)
         return half, [name for name in self.cores if name not in half]
 
     def kill(self, names: Iterable[str], for_s: float, power: bool = False, wipe: bool = False):
-        """Kill processes; they come back after ``for_s``, with ``wipe`` on empty disks."""
+        """Kill processes, or their machines with ``power``; they restart after ``for_s``.
+
+        With ``wipe`` their disks are lost, and they restart on empty ones.
+        """
         names = list(names)
         for name in names:
             process = self.process(name)
@@ -148,35 +155,35 @@
         self.later(for_s, lambda: [self._restart(name) for name in names])
 
     def lose_region(self, region: str, for_s: float) -> None:
-        """Let all machines and replicas of a region lose power; they come back together."""
+        """Power off all machines and replicas of a region; they restart after ``for_s``."""
         self.kill(self.nodes_in(region), for_s, power=True)
         for entry in self.replicas:
             if entry.region == region:
                 self.crash_replica(entry, for_s, dark=True)
 
     def crash_replica(self, entry: ReplicaEntry, for_s: float, dark: bool = False) -> None:
-        """End a replica; it comes back cold under a new id."""
+        """Kill a replica, or with ``dark`` its machine; it restarts cold under a new id."""
         (self.world.machine_fails if dark else self.world.kill)(entry.process)
         self.later(for_s, lambda: self._restart_replica(entry))
 
     def misbehave(self, entry: ReplicaEntry, conduct: Conduct, for_s: float) -> None:
-        """Let a replica lie for a while: it is listed as sound and doesn't serve."""
+        """Let a replica stay listed as healthy while it treats requests as ``conduct`` says."""
         entry.conduct = conduct
         self.later(for_s, lambda: setattr(entry, "conduct", Conduct.SOUND))
 
     def drain(self, entry: ReplicaEntry, after_s: float = 6.0, for_s: float = 1.0) -> None:
-        """Announce that a replica leaves, then end it."""
+        """Mark a replica as leaving, and kill it after ``after_s``; it restarts cold."""
         entry.leaving = True
         self.later(after_s, lambda: self.crash_replica(entry, for_s))
 
     def turn_cold(self, zone: str) -> None:
-        """Let the replicas of a zone turn cold without a restart."""
+        """Let the replicas of a zone become cold without a restart."""
         for entry in self.replicas:
             if entry.zone == zone:
                 entry.turn_cold(self.world.now)
 
     def cut(self, names: Iterable[str], for_s: float, outbound: bool = True) -> None:
-        """Cut the machines of processes off from everything else, or only what reaches them."""
+        """Partition machines from all others; without ``outbound``, drop only inbound packets."""
         inside = [self.process(name).place for name in names]
         ips = {place.ip for place in inside}
         outside = [p.place for p in self.world.processes.values() if p.place.ip not in ips]
@@ -189,13 +196,13 @@
         self._disturb("cut", for_s)
 
     def cut_zone(self, zone: str, for_s: float) -> None:
-        """Partition a zone's cores, fronts and replicas from all others; clients reach them."""
+        """Partition a zone's cores, fronts and replicas from others; clients still reach them."""
         names = [*self.cores, *self.fronts, *(entry.name for entry in self.replicas)]
         inside = [name for name in names if self._is_in(zone, self.process(name).place)]
         self.cut_between(inside, [name for name in names if name not in inside], for_s)
 
     def cut_between(self, some: Iterable[str], others: Iterable[str], for_s: float) -> None:
-        """Cut processes off from other ones; everybody else reaches both."""
+        """Partition two sets of processes from each other; all others still reach both."""
         one = [self.process(name).place for name in some]
         two = [self.process(name).place for name in others]
         network = self.world.network
@@ -213,7 +220,7 @@
         self._disturb("slow", for_s)
 
     def add_machines(self, zone: str, count: int) -> list[str]:
-        """Add machines to a zone and start their fronts."""
+        """Add machines to a zone, start their fronts, and return the names of these fronts."""
         number, region = self._zone_numbers[zone], self.shape.zones[zone]
         present = [n for n in self.fronts if self.process(n).place.zone == zone]
         names = []
@@ -224,7 +231,10 @@
         return names
 
     def replace_core(self, name: str, after_s: float) -> str:
-        """Take a core's machine away for good; an empty one comes at another address."""
+        """Remove a core for good; its successor has an empty disk and another address.
+
+        Returns the name of the successor, which starts after ``after_s``.
+        """
         place = self.cores.index(name)
         self.world.machine_fails(self.process(name))
         self._disturb("replace", after_s)
@@ -239,30 +249,30 @@
         return successor
 
     def stall_disk(self, name: str, for_s: float) -> None:
-        """Let no write of a disk finish for a while."""
+        """Stall a process's disk: no write finishes for ``for_s`` seconds."""
         self.process(name).disk.stalled_until = self.world.now + for_s
         self._disturb("stall", for_s)
 
     def jump_clocks(self, by_ms: int) -> None:
-        """Let the time of day jump on every machine."""
+        """Shift the wall clock of every process by ``by_ms`` milliseconds."""
         for process in self.world.processes.values():
             process.wall_offset_ms += by_ms
 
     def set_rate(self, region: str, factor: float) -> None:
-        """Multiply the traffic of a region."""
+        """Set a region's request rate to a multiple of the deployment's usual rate."""
         reducer = self.process(f"client-{region}").reducer
         reducer.rate_per_s = self.shape.client_rate_per_s * factor
 
     def set_impatience(self, region: str, repeats: int) -> None:
-        """Let the clients of a region repeat at once what isn't served, so many times."""
+        """Let a region's clients immediately retry what isn't served, ``repeats`` times."""
         self.process(f"client-{region}").reducer.repeats_at_once = repeats
 
     def add_path(self, path: str) -> None:
-        """Let clients use a further route."""
+        """Let the clients of all regions use a further path."""
         for region in self.shape.regions:
             self.process(f"client-{region}").reducer.paths.append(path)
 
-    # Inside ---------------------------------------------------------------
+    # Internals ------------------------------------------------------------
 
     @staticmethod
     def _is_in(place: str, where: Place) -> bool:
@@ -302,7 +312,7 @@
         return f"10.{self._zone_numbers[zone]}.0.{earlier + 1}"
 
     def _seeds(self) -> tuple[str, ...]:
-        """Return the first cores' internal addresses, as they are now."""
+        """Return the present internal addresses of the first ``SEEDS`` cores."""
         return tuple(f"{self._core_ip(place)}:7000" for place in range(SEEDS))
 
     def _add_core(self, place: int, zone: str) -> None:
@@ -407,7 +417,7 @@
 
 
 def _core_names(shape: SiteShape) -> list[str]:
-    """Return a name for each core: by its zone, and a number after the first of a zone."""
+    """Return each core's name: its zone, and a number from the second core of a zone on."""
     names = []
     for place, zone in enumerate(shape.core_zones):
         earlier = shape.core_zones[:place].count(zone)
--- a/rooklug_lab/gateway/site_document.py
+++ b/rooklug_lab/gateway/site_document.py
@@ -1,4 +1,4 @@
-"""The configuration of a simulated deployment, as an operator would send it."""
+"""The configuration document of a simulated deployment, as an operator submits it."""
 
 import json
 
@@ -7,7 +7,7 @@
 
 
 def _route(name: str) -> dict:
-    """Return a route: "s" streams, "again" may be repeated, "home-R" is bound to region R."""
+    """Return a route: "s" streams, "again" allows repeats, "home-R" is bound to region R."""
     execution = {"s": "event_stream", "again": "repeatable"}.get(name, "at_most_once")
     home = name.removeprefix("home-") if name.startswith("home-") else ""
     return {
@@ -26,7 +26,7 @@
 
 
 def site_document(version: int, routes: list[str], cold_rate_per_s: float) -> bytes:
-    """Return a whole configuration with these routes, named as in ``_route``."""
+    """Return a complete configuration in JSON with these routes, named as in ``_route``."""
     items = [_route(name) for name in routes]
     services = [
         {
