--- a/rooklug_lab/gateway/clients.py
+++ b/rooklug_lab/gateway/clients.py
@@ -9,19 +9,19 @@
 from rooklug.engine import events as ev
 from rooklug.engine.reducer import MetricSample, ProcessContext
 from rooklug_lab.gateway.journal import Attempt, Journal, Order
-from rooklug_lab.gateway.protocols import CHANGE_PATH, CONFIGURATION_PATH, NAMES, WHERE_PATH
+from rooklug_lab.gateway.protocols import CHANGE_PATH, CONFIGURATION_PATH, NAMES, RESOLVE_PATH
 
 HOST = "desk.example"
-ASK_TIMEOUT_S = 1.0
-DEADLINE_S = 4.0
-_ASK_TIMER = "ask"
-_NEXT_TIMER = "next"
+RESOLVE_TIMEOUT_S = 1.0
+REQUEST_DEADLINE_S = 4.0
+_RESOLVE_TIMER = "ask"
+_NEXT_REQUEST_TIMER = "next"
 
 
 class ClientStandIn:
     """Clients of one region: resolve front addresses, send requests, obey ``retry-after`` once.
 
-    With ``repeats_at_once`` above 0 they ignore ``retry-after``: each first attempt that isn't
+    With ``immediate_retries`` above 0 they ignore ``retry-after``: each first attempt that isn't
     served is immediately sent again that many times.
     """
 
@@ -38,17 +38,17 @@
     ) -> None:
         self.rate_per_s = rate_per_s
         self.paths = ["/s/1", "/once/1"]
-        self.repeats_at_once = 0
+        self.immediate_retries = 0
         self._region = region
         self._zone = zone
         self._directories = directories
         self._context = context
         self._journal = journal
         self._addresses: list[str] = []
-        self._asking = 0
-        self._under_way: dict[int, Attempt] = {}
-        self._retries: dict[str, str] = {}
-        self._count = 0
+        self._resolve_call_id = 0
+        self._in_flight: dict[int, Attempt] = {}
+        self._retry_after: dict[str, str] = {}
+        self._sent_count = 0
 
     def metrics(self, now: float) -> Iterable[MetricSample]:
         """Return no samples; stand-ins have no metrics."""
@@ -58,85 +58,92 @@
         """Advance directory look-ups, request timers and the attempts that are under way."""
         match event:
             case ev.Started():
-                return [*self._ask(), fx.StartTimer(_NEXT_TIMER, 0.5)]
+                return [*self._resolve_addresses(), fx.StartTimer(_NEXT_REQUEST_TIMER, 0.5)]
             case ev.TimerFired():
-                return self._timer(event.name, now)
-            case ev.HttpAnswered() if event.call_id == self._asking:
-                return self._directory_answered(event)
-            case ev.HttpFailed() if event.call_id == self._asking:
-                return [fx.StartTimer(_ASK_TIMER, 0.1)]
+                return self._on_timer(event.name, now)
+            case ev.HttpAnswered() if event.call_id == self._resolve_call_id:
+                return self._on_directory_answered(event)
+            case ev.HttpFailed() if event.call_id == self._resolve_call_id:
+                return [fx.StartTimer(_RESOLVE_TIMER, 0.1)]
             case ev.HttpResponseStarted():
-                attempt = self._under_way[event.call_id]
+                attempt = self._in_flight[event.call_id]
                 attempt.status = event.status
                 attempt.signature = event.headers.get(NAMES.signature, "")
-                self._retries[attempt.request_id] = event.headers.get("retry-after", "")
+                self._retry_after[attempt.request_id] = event.headers.get("retry-after", "")
             case ev.HttpBodyChunk():
-                self._under_way[event.call_id].body += event.data
+                self._in_flight[event.call_id].body += event.data
             case ev.HttpResponseCompleted():
-                return self._ended(self._under_way.pop(event.call_id), True, now)
+                return self._on_attempt_ended(self._in_flight.pop(event.call_id), True, now)
             case ev.HttpFailed():
-                return self._ended(self._under_way.pop(event.call_id), False, now)
+                return self._on_attempt_ended(self._in_flight.pop(event.call_id), False, now)
         return []
 
-    def _ask(self) -> list[fx.Effect]:
-        self._asking = self._context.identifiers.next()
+    def _resolve_addresses(self) -> list[fx.Effect]:
+        self._resolve_call_id = self._context.identifiers.next()
         address = self._context.random.choice(self._directories)
-        path = f"{WHERE_PATH}?host={HOST}&region={self._region}&zone={self._zone}"
-        call = fx.HttpCall(self._asking, address, "GET", path, b"", ASK_TIMEOUT_S)
+        path = f"{RESOLVE_PATH}?host={HOST}&region={self._region}&zone={self._zone}"
+        call = fx.HttpCall(self._resolve_call_id, address, "GET", path, b"", RESOLVE_TIMEOUT_S)
         return [call]
 
-    def _directory_answered(self, event: ev.HttpAnswered) -> list[fx.Effect]:
+    def _on_directory_answered(self, event: ev.HttpAnswered) -> list[fx.Effect]:
         if event.status != 200:
-            return [fx.StartTimer(_ASK_TIMER, 0.1)]
+            return [fx.StartTimer(_RESOLVE_TIMER, 0.1)]
         answer = json.loads(event.body)
         self._addresses = answer["addresses"]
-        return [fx.StartTimer(_ASK_TIMER, answer["ttl_s"])]
+        return [fx.StartTimer(_RESOLVE_TIMER, answer["ttl_s"])]
 
-    def _timer(self, name: str, now: float) -> list[fx.Effect]:
-        if name == _ASK_TIMER:
-            return self._ask()
-        if name != _NEXT_TIMER:
+    def _on_timer(self, name: str, now: float) -> list[fx.Effect]:
+        if name == _RESOLVE_TIMER:
+            return self._resolve_addresses()
+        if name != _NEXT_REQUEST_TIMER:
             return self._send(name, now)
         pause_s = self._context.random.expovariate(self.rate_per_s)
         path = self._context.random.choice(self.paths)
-        return [fx.StartTimer(_NEXT_TIMER, pause_s), *self._send(path, now)]
+        return [fx.StartTimer(_NEXT_REQUEST_TIMER, pause_s), *self._send(path, now)]
 
     def _send(self, path: str, now: float) -> list[fx.Effect]:
         if not self._addresses:
             return []
-        self._count += 1
-        request_id = f"{self._region}-{self._count}"
+        self._sent_count += 1
+        request_id = f"{self._region}-{self._sent_count}"
         call_id = self._context.identifiers.next()
         attempt = Attempt(request_id, self._region, path, path.startswith("/s/"), now)
-        self._under_way[call_id] = attempt
+        self._in_flight[call_id] = attempt
         self._journal.attempts.append(attempt)
         headers = {
             "host": HOST,
             NAMES.request_id: request_id,
-            NAMES.deadline_ms: str(int(DEADLINE_S * 1000)),
+            NAMES.deadline_ms: str(int(REQUEST_DEADLINE_S * 1000)),
         }
         if attempt.is_stream:
-            headers[NAMES.prompt_parts] = f"system:2000,doc{self._count % 20}:3000,own:50"
+            headers[NAMES.prompt_parts] = f"system:2000,doc{self._sent_count % 20}:3000,own:50"
         address = self._context.random.choice(self._addresses)
         call = fx.HttpCall(
-            call_id, address, "POST", path, b"body", DEADLINE_S, headers=headers, streaming=True
+            call_id,
+            address,
+            "POST",
+            path,
+            b"body",
+            REQUEST_DEADLINE_S,
+            headers=headers,
+            streaming=True,
         )
         return [call]
 
-    def _ended(self, attempt: Attempt, complete: bool, now: float) -> list[fx.Effect]:
+    def _on_attempt_ended(self, attempt: Attempt, complete: bool, now: float) -> list[fx.Effect]:
         attempt.complete = complete
         attempt.ended_at = now
-        retry_after = self._retries.pop(attempt.request_id, "")
-        if self.repeats_at_once and not attempt.served and "?" not in attempt.path:
-            again = f"{attempt.path}?again={attempt.request_id}"
-            return [e for _ in range(self.repeats_at_once) for e in self._send(again, now)]
+        retry_after = self._retry_after.pop(attempt.request_id, "")
+        if self.immediate_retries and not attempt.served and "?" not in attempt.path:
+            retry_path = f"{attempt.path}?again={attempt.request_id}"
+            return [e for _ in range(self.immediate_retries) for e in self._send(retry_path, now)]
         if attempt.status == 503 and retry_after and "?" not in attempt.path:
             return [fx.StartTimer(f"{attempt.path}?again={attempt.request_id}", float(retry_after))]
         return []
 
 
 @attrs.define
-class _Sending:
+class _PendingOrder:
     order: Order
     target: str
     body: bytes
@@ -151,8 +158,8 @@
         self.cores = cores
         self._context = context
         self._journal = journal
-        self._under_way: dict[int, _Sending] = {}
-        self._reading = 0
+        self._in_flight: dict[int, _PendingOrder] = {}
+        self._read_call_id = 0
 
     def metrics(self, now: float) -> Iterable[MetricSample]:
         """Return no samples; stand-ins have no metrics."""
@@ -161,51 +168,54 @@
     def change(self, order: Order, base: int, is_patch: bool, now: float) -> list[fx.Effect]:
         """Submit the order's configuration as a change based on version ``base``."""
         query = f"version={order.version}&base={base}&patch={int(is_patch)}"
-        return self._begin(_Sending(order, f"{CHANGE_PATH}?{query}", order.document), now)
+        return self._submit(_PendingOrder(order, f"{CHANGE_PATH}?{query}", order.document), now)
 
-    def zone(self, order: Order, now: float) -> list[fx.Effect]:
+    def order_zone(self, order: Order, now: float) -> list[fx.Effect]:
         """Send an order that drains a zone ("empty") or ends the drain ("restore")."""
-        return self._begin(_Sending(order, f"/zone/{order.zone}/{order.kind}", b""), now)
+        return self._submit(_PendingOrder(order, f"/zone/{order.zone}/{order.kind}", b""), now)
 
     def read(self) -> list[fx.Effect]:
         """Read the current configuration; it is asked for again until a core returns it."""
-        self._reading = self._context.identifiers.next()
+        self._read_call_id = self._context.identifiers.next()
         address = self._context.random.choice(self.cores)
-        return [fx.HttpCall(self._reading, address, "GET", CONFIGURATION_PATH, b"", 1.0)]
+        return [fx.HttpCall(self._read_call_id, address, "GET", CONFIGURATION_PATH, b"", 1.0)]
 
     def handle(self, event: ev.Event, now: float) -> list[fx.Effect]:
         """Record answers, and retry calls that failed once their retry timer fires."""
         if isinstance(event, ev.TimerFired):
-            sending = self._under_way.pop(int(event.name), None)
-            return self._send(sending) if sending else self.read()
-        if isinstance(event, ev.HttpAnswered | ev.HttpFailed) and event.call_id == self._reading:
+            pending = self._in_flight.pop(int(event.name), None)
+            return self._send(pending) if pending else self.read()
+        if (
+            isinstance(event, ev.HttpAnswered | ev.HttpFailed)
+            and event.call_id == self._read_call_id
+        ):
             if isinstance(event, ev.HttpAnswered) and event.status == 200:
                 self._journal.read_back = event.body
                 return []
             return [fx.StartTimer("0", 0.3)]
         if isinstance(event, ev.HttpAnswered):
-            return self._answered(event, now)
+            return self._on_order_answered(event, now)
         if isinstance(event, ev.HttpFailed):
             return [fx.StartTimer(str(event.call_id), 0.2)]
         return []
 
-    def _begin(self, sending: _Sending, now: float) -> list[fx.Effect]:
-        sending.order.sent_at = now
-        self._journal.orders.append(sending.order)
-        return self._send(sending)
+    def _submit(self, pending: _PendingOrder, now: float) -> list[fx.Effect]:
+        pending.order.sent_at = now
+        self._journal.orders.append(pending.order)
+        return self._send(pending)
 
-    def _send(self, sending: _Sending) -> list[fx.Effect]:
+    def _send(self, pending: _PendingOrder) -> list[fx.Effect]:
         call_id = self._context.identifiers.next()
-        self._under_way[call_id] = sending
+        self._in_flight[call_id] = pending
         address = self._context.random.choice(self.cores)
-        return [fx.HttpCall(call_id, address, "POST", sending.target, sending.body, 1.0)]
+        return [fx.HttpCall(call_id, address, "POST", pending.target, pending.body, 1.0)]
 
-    def _answered(self, event: ev.HttpAnswered, now: float) -> list[fx.Effect]:
+    def _on_order_answered(self, event: ev.HttpAnswered, now: float) -> list[fx.Effect]:
         if event.status >= 500:
             return [fx.StartTimer(str(event.call_id), 0.2)]
-        order = self._under_way.pop(event.call_id).order
+        order = self._in_flight.pop(event.call_id).order
         if event.status == 200:
-            order.taken_at = now
+            order.acknowledged_at = now
         else:
             order.refused = True
         return []
--- a/rooklug_lab/gateway/journal.py
+++ b/rooklug_lab/gateway/journal.py
@@ -10,7 +10,7 @@
     request_id: str
     replica_id: str
     zone: str
-    at: float
+    started_at: float
     cold: bool
     region: str = ""
 
@@ -49,7 +49,7 @@
 class Order:
     """An operator's order: a configuration change, or "empty" or "restore" for a zone.
 
-    ``taken_at`` is the time of the acknowledgement, 0 if there was none.
+    ``acknowledged_at`` is the time of the acknowledgement, 0 if there was none.
     """
 
     kind: str
@@ -57,12 +57,12 @@
     zone: str = ""
     document: bytes = b""
     sent_at: float = 0.0
-    taken_at: float = 0.0
+    acknowledged_at: float = 0.0
     refused: bool = False
 
 
 @attrs.frozen
-class Leaving:
+class LeavingReplica:
     """A replica that the platform's listing first showed as leaving at ``shown_at``."""
 
     replica_id: str
@@ -74,8 +74,8 @@
     """An injected fault and the interval during which it was active."""
 
     kind: str
-    began: float
-    ended: float
+    started_at: float
+    ended_at: float
 
 
 @attrs.define
@@ -86,10 +86,10 @@
     arrivals: list[Arrival] = attrs.field(factory=list)
     attempts: list[Attempt] = attrs.field(factory=list)
     orders: list[Order] = attrs.field(factory=list)
-    leaving: list[Leaving] = attrs.field(factory=list)
+    leaving: list[LeavingReplica] = attrs.field(factory=list)
     disturbances: list[Disturbance] = attrs.field(factory=list)
     read_back: bytes = b""
 
-    def is_calm(self, at: float, before_s: float) -> bool:
+    def is_fault_free(self, at: float, before_s: float) -> bool:
         """Return whether no fault was active in the ``before_s`` seconds up to ``at``."""
-        return not any(d.began <= at and at - before_s < d.ended for d in self.disturbances)
+        return not any(d.started_at <= at and at - before_s < d.ended_at for d in self.disturbances)
--- a/rooklug_lab/gateway/large_days.py
+++ b/rooklug_lab/gateway/large_days.py
@@ -12,8 +12,8 @@
 from rooklug_lab.gateway.site import GatewaySite
 
 SLOW_SHARE = 0.15
-ADDED_A_ZONE = 6
-LOOK_S = 0.0005
+ADDED_PER_ZONE = 6
+POLL_INTERVAL_S = 0.0005
 """Interval at which ``power_goes_with_disks`` checks for the acknowledgement."""
 
 
@@ -31,7 +31,7 @@
     """Machines join every zone while a change propagates and the primary is killed."""
     for place, zone in enumerate(site.shape.zones):
         begin_s = 1.0 + 0.3 * place
-        site.later(begin_s, lambda z=zone: site.add_machines(z, ADDED_A_ZONE))
+        site.later(begin_s, lambda z=zone: site.add_machines(z, ADDED_PER_ZONE))
     site.later(1.5, lambda: site.change(["added"]))
     site.later(2.0 + random.random(), lambda: site.kill([site.primary()], 1.5))
     site.later(6.0, lambda: site.order_zone("south-b", "empty"))
@@ -50,25 +50,25 @@
 def zone_is_cut(site: GatewaySite, random: Random) -> None:
     """A random zone is partitioned from the others, and later the primary's zone."""
     zones = list(site.shape.zones)
-    site.later(1.0, lambda: site.cut_zone(random.choice(zones), 4.5))
+    site.later(1.0, lambda: site.isolate_zone(random.choice(zones), 4.5))
     site.later(2.0, lambda: site.change(["first"]))
-    site.later(9.0, lambda: site.cut_zone(site.process(site.primary()).place.zone, 3.5))
+    site.later(9.0, lambda: site.isolate_zone(site.process(site.primary()).place.zone, 3.5))
     site.later(10.0, lambda: site.change(["second"]))
 
 
 def packets_pass_one_way(site: GatewaySite, random: Random) -> None:
     """Inbound packets are lost, outbound ones pass: at twelve fronts, later at the primary."""
     names = random.sample(site.fronts, 12)
-    site.later(1.0, lambda: site.cut(names, 5.0, outbound=False))
+    site.later(1.0, lambda: site.isolate(names, 5.0, outbound=False))
     site.later(2.0, lambda: site.change(["first"]))
-    site.later(8.0, lambda: site.cut([site.primary()], 4.0, outbound=False))
+    site.later(8.0, lambda: site.isolate([site.primary()], 4.0, outbound=False))
     site.later(9.0, lambda: site.change(["second"]))
 
 
 def core_falls_apart(site: GatewaySite, random: Random) -> None:
     """The cores are partitioned into halves, and two machines of one half lose power."""
     half, others = site.core_halves(random)
-    site.later(1.0, lambda: site.cut_between(half, others, 4.0))
+    site.later(1.0, lambda: site.partition(half, others, 4.0))
     site.later(2.0, lambda: site.change(["first"]))
     site.later(3.0, lambda: site.kill(half[:2], 3.0, power=True))
     site.later(5.5, lambda: site.turn_cold("north-a"))
@@ -80,7 +80,7 @@
     site.change(["again"])
     site.later(3.5, lambda: site.add_path("/again/1"))
     for region in site.shape.regions:
-        site.set_impatience(region, 3)
+        site.set_immediate_retries(region, 3)
     ledgers = [entry for entry in site.replicas if entry.service == "ledger"]
     for entry in random.sample(ledgers, len(ledgers) * 2 // 3):
         site.later(4.0 + random.random(), partial(site.misbehave, entry, Conduct.REJECTS, 8.0))
@@ -100,7 +100,7 @@
             site.stall_disk(name, 0.4)
     order = site.change(["last"])
 
-    def strike() -> None:
+    def power_off_all() -> None:
         lost = [site.primary()]
         rest = [name for name in site.cores if name not in lost]
         lost += random.sample(rest, site.shape.tolerance - 1)
@@ -108,13 +108,13 @@
         site.kill(lost, 1.0, power=True, wipe=True)
         site.kill(others, 1.0, power=True)
 
-    def look() -> None:
-        if order.taken_at:
-            strike()
+    def poll_acknowledgement() -> None:
+        if order.acknowledged_at:
+            power_off_all()
         else:
-            site.later(LOOK_S, look)
+            site.later(POLL_INTERVAL_S, poll_acknowledgement)
 
-    site.later(LOOK_S, look)
+    site.later(POLL_INTERVAL_S, poll_acknowledgement)
 
 
 LARGE_DAYS = (
--- a/rooklug_lab/gateway/protocols.py
+++ b/rooklug_lab/gateway/protocols.py
@@ -18,7 +18,7 @@
 from rooklug.wire.generated.control.ttypes import ListedReplica
 
 NAMES = HeaderNames()
-WHERE_PATH = "/where"
+RESOLVE_PATH = "/where"
 READY_PATH = "/ready"
 CHANGE_PATH = "/change"
 CONFIGURATION_PATH = "/configuration"
@@ -36,7 +36,7 @@
 
 
 def _read_resolve_request(event: HttpRequestArrived) -> ResolveRequest | None:
-    if event.path != WHERE_PATH:
+    if event.path != RESOLVE_PATH:
         return None
     query = event.query
     return ResolveRequest(query.get("host", ""), query.get("region", ""), query.get("zone", ""))
--- a/rooklug_lab/gateway/replicas.py
+++ b/rooklug_lab/gateway/replicas.py
@@ -9,17 +9,17 @@
 from rooklug.engine import effects as fx
 from rooklug.engine import events as ev
 from rooklug.engine.reducer import MetricSample, ProcessContext
-from rooklug_lab.gateway.journal import Arrival, Journal, Leaving, Run
+from rooklug_lab.gateway.journal import Arrival, Journal, LeavingReplica, Run
 from rooklug_lab.gateway.protocols import NAMES
 from rooklug_lab.sim.process import SimulatedProcess
 
 ENDED_LISTED_S = 3.0
 """How long a stopped replica stays listed, even beside its successor."""
 LIST_LAG_S = 0.8
-EVENTS = 12
+EVENT_COUNT = 12
 FIRST_EVENT_S = 0.15
-EVENT_S = 0.1
-ONCE_S = 0.03
+EVENT_INTERVAL_S = 0.1
+RESPONSE_S = 0.03
 
 
 class Conduct(Enum):
@@ -75,14 +75,14 @@
     def handle(self, event: ev.Event, now: float) -> list[fx.Effect]:
         """Accept or reject a new request, or send the next part of a response."""
         if isinstance(event, ev.HttpRequestArrived):
-            return self._arrived(event, now)
+            return self._on_request_arrived(event, now)
         if isinstance(event, ev.HttpRequestClosed):
             self._running = {k: v for k, v in self._running.items() if v[0] != event.request_id}
         if isinstance(event, ev.TimerFired):
-            return self._go_on(event.name)
+            return self._continue_response(event.name)
         return []
 
-    def _arrived(self, event: ev.HttpRequestArrived, now: float) -> list[fx.Effect]:
+    def _on_request_arrived(self, event: ev.HttpRequestArrived, now: float) -> list[fx.Effect]:
         request_id = event.headers[NAMES.request_id]
         headers = {NAMES.request_id: request_id}
         self._journal.arrivals.append(Arrival(request_id, self._entry.service, now))
@@ -103,9 +103,9 @@
         is_stream = event.path.startswith("/s/")
         after = int(event.headers.get(NAMES.resume_after, "0") or "0")
         self._running[request_id] = (event.request_id, after, "stream" if is_stream else "once")
-        return [fx.StartTimer(request_id, FIRST_EVENT_S if is_stream else ONCE_S)]
+        return [fx.StartTimer(request_id, FIRST_EVENT_S if is_stream else RESPONSE_S)]
 
-    def _go_on(self, request_id: str) -> list[fx.Effect]:
+    def _continue_response(self, request_id: str) -> list[fx.Effect]:
         known = self._running.get(request_id)
         if known is None:
             return []
@@ -120,11 +120,11 @@
             effects.append(fx.HttpStreamStart(http_id, 200, headers))
         number = sent + 1
         effects.append(fx.HttpStreamChunk(http_id, stream_event(request_id, number)))
-        if number == EVENTS:
+        if number == EVENT_COUNT:
             del self._running[request_id]
             return [*effects, fx.HttpStreamEnd(http_id)]
         self._running[request_id] = (http_id, number, "started")
-        return [*effects, fx.StartTimer(request_id, EVENT_S)]
+        return [*effects, fx.StartTimer(request_id, EVENT_INTERVAL_S)]
 
 
 def stream_event(request_id: str, number: int) -> bytes:
@@ -132,9 +132,9 @@
     return f"id: {number}\ndata: {request_id}/{number}\n\n".encode()
 
 
-def whole_stream(request_id: str) -> bytes:
+def complete_stream(request_id: str) -> bytes:
     """Return all events of a request's stream."""
-    return b"".join(stream_event(request_id, number) for number in range(1, EVENTS + 1))
+    return b"".join(stream_event(request_id, number) for number in range(1, EVENT_COUNT + 1))
 
 
 class PlatformStandIn:
@@ -148,8 +148,8 @@
         self._entries = entries
         self._journal = journal
         self._history: list[tuple[float, list[dict]]] = []
-        self._alive_at: dict[str, tuple[float, dict]] = {}
-        self._shown: set[str] = set()
+        self._last_seen: dict[str, tuple[float, dict]] = {}
+        self._shown_leaving: set[str] = set()
         self.calls = 0
 
     def metrics(self, now: float) -> Iterable[MetricSample]:
@@ -159,36 +159,36 @@
     def handle(self, event: ev.Event, now: float) -> list[fx.Effect]:
         """Record the present replicas every 0.1 s, and answer listing calls."""
         if isinstance(event, ev.Started):
-            return self._note(now)
+            return self._record_listing(now)
         if isinstance(event, ev.TimerFired):
-            return self._note(now)
+            return self._record_listing(now)
         if isinstance(event, ev.HttpRequestArrived):
             self.calls += 1
             return [fx.HttpRespond(event.request_id, 200, self._answer(now))]
         return []
 
-    def _note(self, now: float) -> list[fx.Effect]:
-        self._history.append((now, self._present(now)))
+    def _record_listing(self, now: float) -> list[fx.Effect]:
+        self._history.append((now, self._listed_replicas(now)))
         old = now - LIST_LAG_S
         while len(self._history) > 1 and self._history[1][0] <= old:
             self._history.pop(0)
         for listed in self._history[0][1]:
-            if listed["leaving"] and listed["replica_id"] not in self._shown:
-                self._shown.add(listed["replica_id"])
-                self._journal.leaving.append(Leaving(listed["replica_id"], now))
+            if listed["leaving"] and listed["replica_id"] not in self._shown_leaving:
+                self._shown_leaving.add(listed["replica_id"])
+                self._journal.leaving.append(LeavingReplica(listed["replica_id"], now))
         return [fx.StartTimer("note", 0.1)]
 
-    def _present(self, now: float) -> list[dict]:
+    def _listed_replicas(self, now: float) -> list[dict]:
         """Return the running replicas and those that stopped within ``ENDED_LISTED_S``."""
         for entry in self._entries():
             if entry.process.running:
-                self._alive_at[entry.replica_id] = (now, _listed(entry, now))
-        self._alive_at = {
+                self._last_seen[entry.replica_id] = (now, _listed(entry, now))
+        self._last_seen = {
             replica_id: (at, listed)
-            for replica_id, (at, listed) in self._alive_at.items()
+            for replica_id, (at, listed) in self._last_seen.items()
             if now - at <= ENDED_LISTED_S
         }
-        return [listed for _, listed in self._alive_at.values()]
+        return [listed for _, listed in self._last_seen.values()]
 
     def _answer(self, now: float) -> bytes:
         return json.dumps({"replicas": self._history[0][1]}).encode()
--- a/rooklug_lab/gateway/scenarios.py
+++ b/rooklug_lab/gateway/scenarios.py
@@ -1,7 +1,7 @@
 """Fault scenarios of a gateway deployment, and the function that runs and judges one.
 
 A scenario is called after the warm-up and schedules its faults; the seeded generator that it
-gets draws their times and targets. A run has ``TROUBLE_S`` for the faults and ``SETTLE_S`` for
+gets draws their times and targets. A run has ``FAULTS_S`` for the faults and ``SETTLE_S`` for
 recovery before the oracles judge it.
 """
 
@@ -20,7 +20,7 @@
 from rooklug_lab.gateway.site import GatewaySite
 
 WARM_UP_S = 6.0
-TROUBLE_S = 16.0
+FAULTS_S = 16.0
 SETTLE_S = 14.0
 
 Scenario = Callable[[GatewaySite, Random], None]
@@ -37,10 +37,10 @@
     models = [entry for entry in site.replicas if entry.service == "model"]
     random.shuffle(models)
     crash, dark, leaving, second = models[:4]
-    _at(site, random, lambda: site.crash_replica(crash, 2.0))
-    _at(site, random, lambda: site.crash_replica(dark, 3.0, dark=True))
-    _at(site, random, lambda: site.drain(leaving))
-    _at(site, random, lambda: site.drain(second))
+    _at_random_time(site, random, lambda: site.crash_replica(crash, 2.0))
+    _at_random_time(site, random, lambda: site.crash_replica(dark, 3.0, dark=True))
+    _at_random_time(site, random, lambda: site.drain(leaving))
+    _at_random_time(site, random, lambda: site.drain(second))
     zone = random.choice(list(site.shape.zones))
     site.order_zone(zone, "empty")
     site.later(9.0, lambda: site.turn_cold(zone))
@@ -71,7 +71,7 @@
     """Clocks jump, the primary is partitioned, a disk stalls, a core is partitioned."""
     site.jump_clocks(random.choice([-20_000, 20_000]))
     primary = site.primary()
-    site.cut([primary], random.uniform(3.0, 5.0))
+    site.isolate([primary], random.uniform(3.0, 5.0))
     site.later(1.0, lambda: site.change(["first"]))
     site.later(1.2, lambda: site.order_zone("north-b", "empty"))
     site.later(6.0, lambda: site.order_zone("north-b", "restore"))
@@ -79,7 +79,7 @@
     site.later(9.5, lambda: site.stall_disk(other, 3.0))
     site.later(10.0, lambda: site.change(["second"]))
     outbound = random.random() < 0.5
-    site.later(11.0, lambda: site.cut([random.choice(site.cores)], 3.0, outbound=outbound))
+    site.later(11.0, lambda: site.isolate([random.choice(site.cores)], 3.0, outbound=outbound))
 
 
 def configurations_storm(site: GatewaySite, random: Random) -> None:
@@ -113,9 +113,9 @@
     zone = "south-a"
     site.order_zone(zone, "empty")
     site.later(5.0, lambda: site.set_rate("south", 4.0))
-    moment_s = random.uniform(7.0, 9.0)
-    site.later(moment_s, lambda: site.turn_cold(zone))
-    site.later(moment_s + 0.05, lambda: site.order_zone(zone, "restore"))
+    cold_at_s = random.uniform(7.0, 9.0)
+    site.later(cold_at_s, lambda: site.turn_cold(zone))
+    site.later(cold_at_s + 0.05, lambda: site.order_zone(zone, "restore"))
     site.later(14.0, lambda: site.set_rate("south", 1.0))
 
 
@@ -128,7 +128,7 @@
     for other in site.shape.regions:
         site.set_rate(other, 4.0)
     site.later(1.0, lambda: site.lose_region(region, random.uniform(1.5, 5.5)))
-    site.later(9.0, lambda: site.cut([site.primary()], 3.0))
+    site.later(9.0, lambda: site.isolate([site.primary()], 3.0))
     site.later(9.5, lambda: site.lose_region(region, random.uniform(1.5, 3.5)))
     for other in site.shape.regions:
         site.later(15.0, lambda place=other: site.set_rate(place, 1.0))
@@ -142,16 +142,16 @@
     half, others = site.core_halves(random)
     site.order_zone(first, "empty")
     site.order_zone(second, "empty")
-    site.later(1.0, lambda: site.cut_between(half, others, random.uniform(2.0, 4.0)))
-    moment_s = random.uniform(1.5, 4.5)
-    site.later(moment_s, lambda: site.turn_cold(first))
-    site.later(moment_s + 0.05, lambda: site.order_zone(first, "restore"))
+    site.later(1.0, lambda: site.partition(half, others, random.uniform(2.0, 4.0)))
+    cold_at_s = random.uniform(1.5, 4.5)
+    site.later(cold_at_s, lambda: site.turn_cold(first))
+    site.later(cold_at_s + 0.05, lambda: site.order_zone(first, "restore"))
     region = random.choice(site.shape.regions)
     inside = site.nodes_in(region)
-    site.later(6.0, lambda: site.cut(inside, random.uniform(2.0, 4.0)))
-    moment_s = random.uniform(6.5, 9.5)
-    site.later(moment_s, lambda: site.turn_cold(second))
-    site.later(moment_s + 0.05, lambda: site.order_zone(second, "restore"))
+    site.later(6.0, lambda: site.isolate(inside, random.uniform(2.0, 4.0)))
+    cold_at_s = random.uniform(6.5, 9.5)
+    site.later(cold_at_s, lambda: site.turn_cold(second))
+    site.later(cold_at_s + 0.05, lambda: site.order_zone(second, "restore"))
 
 
 def replicas_lie(site: GatewaySite, random: Random) -> None:
@@ -165,8 +165,8 @@
         site.later(3.5, lambda path=f"/{name}/1": site.add_path(path))
     models = [entry for entry in site.replicas if entry.service == "model"]
     ledgers = [entry for entry in site.replicas if entry.service == "ledger"]
-    liars = [*random.sample(models, 2), *random.sample(ledgers, 2)]
-    for entry in liars:
+    misbehaving = [*random.sample(models, 2), *random.sample(ledgers, 2)]
+    for entry in misbehaving:
         for begin_s in (4.0, 8.0, 12.0):
             conduct = random.choice([Conduct.FAILS, Conduct.REJECTS, Conduct.SILENT])
             begin_s += random.uniform(0.0, 1.5)
@@ -216,7 +216,7 @@
     site.start()
     site.world.run_for(WARM_UP_S)
     SCENARIOS[name](site, Random(seed))
-    site.world.run_for(TROUBLE_S)
+    site.world.run_for(FAULTS_S)
     site.world.run_for(SETTLE_S)
     site.read_back()
     attempts = [a for a in site.journal.attempts if a.ended_at]
@@ -232,8 +232,8 @@
     return WIDE_SHAPE if name in WIDE else FIXED_SHAPE
 
 
-def _at(site: GatewaySite, random: Random, action: Callable[[], None]) -> None:
-    site.later(random.uniform(0.5, TROUBLE_S / 2), action)
+def _at_random_time(site: GatewaySite, random: Random, action: Callable[[], None]) -> None:
+    site.later(random.uniform(0.5, FAULTS_S / 2), action)
 
 
 def _kill_all_cores(site: GatewaySite) -> None:
--- a/rooklug_lab/gateway/shape.py
+++ b/rooklug_lab/gateway/shape.py
@@ -4,8 +4,8 @@
 
 import attrs
 
-LEAST_REPLICAS = 3
-MOST_CORES = 7
+MIN_REPLICAS = 3
+MAX_CORES = 7
 
 
 @attrs.frozen
@@ -21,8 +21,8 @@
     zones: dict[str, str]
     core_zones: tuple[str, ...]
     min_in_sync_replicas: int = 2
-    fronts_a_zone: int = 3
-    models_a_zone: int = 2
+    fronts_per_zone: int = 3
+    models_per_zone: int = 2
     region_delay_s: float = 0.02
     client_rate_per_s: float = 12.0
     cold_rate_per_s: float = 6.0
@@ -52,8 +52,8 @@
     zones=WIDE_ZONES,
     core_zones=tuple(WIDE_ZONES),
     min_in_sync_replicas=3,
-    fronts_a_zone=5,
-    models_a_zone=4,
+    fronts_per_zone=5,
+    models_per_zone=4,
     region_delay_s=0.055,
     client_rate_per_s=30.0,
 )
@@ -65,8 +65,8 @@
     zones=LARGE_ZONES,
     core_zones=tuple(LARGE_ZONES),
     min_in_sync_replicas=3,
-    fronts_a_zone=33,
-    models_a_zone=10,
+    fronts_per_zone=33,
+    models_per_zone=10,
     region_delay_s=0.02,
     client_rate_per_s=60.0,
     cold_rate_per_s=9.0,
@@ -79,14 +79,14 @@
     zones = _drawn_zones(random)
     core_zones = _drawn_core_zones(random, list(zones))
     models = random.randint(1, 3)
-    if models * len(zones) < LEAST_REPLICAS:
-        models = LEAST_REPLICAS
+    if models * len(zones) < MIN_REPLICAS:
+        models = MIN_REPLICAS
     return SiteShape(
         zones=zones,
         core_zones=core_zones,
         min_in_sync_replicas=2 if len(core_zones) < 5 else random.choice([2, 3]),
-        fronts_a_zone=random.randint(2, 4),
-        models_a_zone=models,
+        fronts_per_zone=random.randint(2, 4),
+        models_per_zone=models,
         region_delay_s=random.uniform(0.005, 0.05),
         client_rate_per_s=random.uniform(6.0, 12.0),
         cold_rate_per_s=random.uniform(5.0, 12.0),
@@ -104,5 +104,5 @@
 
 def _drawn_core_zones(random: Random, zones: list[str]) -> tuple[str, ...]:
     """Return each core's zone, assigned round-robin so that the seeds are spread over zones."""
-    count = random.choice([3, 3, 5, 6, MOST_CORES])
+    count = random.choice([3, 3, 5, 6, MAX_CORES])
     return tuple(zones[number % len(zones)] for number in range(count))
--- a/rooklug_lab/gateway/site.py
+++ b/rooklug_lab/gateway/site.py
@@ -10,9 +10,9 @@
 from rooklug_lab.gateway.clients import ClientStandIn, OperatorStandIn
 from rooklug_lab.gateway.journal import Disturbance, Journal, Order
 from rooklug_lab.gateway.oracles import (
-    BUDGET,
     COLD_OVERSHOOT,
     COLD_SLACK,
+    RETRY_BUDGET,
 )
 from rooklug_lab.gateway.protocols import client_protocol, operator_protocol
 from rooklug_lab.gateway.replicas import Conduct, PlatformStandIn, ReplicaEntry, ReplicaStandIn
@@ -51,7 +51,7 @@
         self._core_ips: dict[int, str] = {}
         self.fronts: list[str] = []
         self._limits = limits or GatewayLimits(
-            slow_start_bound=SlowStartBound(COLD_OVERSHOOT, COLD_SLACK), retry_budget=BUDGET
+            slow_start_bound=SlowStartBound(COLD_OVERSHOOT, COLD_SLACK), retry_budget=RETRY_BUDGET
         )
         self._first_start = True
         self._version = 0
@@ -81,10 +81,10 @@
     def change(self, routes: Iterable[str] = (), version_step: int = 1) -> Order:
         """Submit a complete configuration that adds routes to the present ones."""
         self._routes = sorted({*self._routes, *routes})
-        self._forget_refused()
+        self._skip_refused_versions()
         base, self._version = self._version, self._version + version_step
         order = Order("change", self._version, document=self._document(self._version, self._routes))
-        self._operate(lambda operator, now: operator.change(order, base, False, now))
+        self._act_as_operator(lambda operator, now: operator.change(order, base, False, now))
         return order
 
     def rival(self) -> Order:
@@ -92,7 +92,7 @@
         document = self._document(self._version, [*self._routes, "rival"])
         order = Order("change", self._version, document=document)
         base = self._version - 1
-        self._operate(lambda operator, now: operator.change(order, base, False, now))
+        self._act_as_operator(lambda operator, now: operator.change(order, base, False, now))
         return order
 
     def invalid(self) -> Order:
@@ -100,18 +100,20 @@
         document = json.loads(self._document(self._version + 1, self._routes))
         document["routes"][0]["service"] = "nobody"
         order = Order("change", self._version + 1, document=json.dumps(document).encode())
-        self._operate(lambda operator, now: operator.change(order, self._version, False, now))
+        self._act_as_operator(
+            lambda operator, now: operator.change(order, self._version, False, now)
+        )
         return order
 
     def order_zone(self, zone: str, kind: str) -> Order:
         """Order that a zone be drained (``kind`` "empty") or restored ("restore")."""
         order = Order(kind, zone=zone)
-        self._operate(lambda operator, now: operator.zone(order, now))
+        self._act_as_operator(lambda operator, now: operator.order_zone(order, now))
         return order
 
     def read_back(self) -> None:
         """Let the operator read the configuration, and run 6 s for the answer to arrive."""
-        self._operate(lambda operator, now: operator.read())
+        self._act_as_operator(lambda operator, now: operator.read())
         self.world.run_for(6.0)
 
     # Faults ---------------------------------------------------------------
@@ -151,7 +153,7 @@
             (self.world.machine_fails if power else self.world.kill)(process)
             if wipe and process.disk is not None:
                 process.disk.lose()
-        self._disturb("kill", for_s)
+        self._record_fault("kill", for_s)
         self.later(for_s, lambda: [self._restart(name) for name in names])
 
     def lose_region(self, region: str, for_s: float) -> None:
@@ -182,7 +184,7 @@
             if entry.zone == zone:
                 entry.turn_cold(self.world.now)
 
-    def cut(self, names: Iterable[str], for_s: float, outbound: bool = True) -> None:
+    def isolate(self, names: Iterable[str], for_s: float, outbound: bool = True) -> None:
         """Partition machines from all others; without ``outbound``, drop only inbound packets."""
         inside = [self.process(name).place for name in names]
         ips = {place.ip for place in inside}
@@ -193,23 +195,23 @@
         if outbound:
             network.cut(inside, outside)
             self.later(for_s, lambda: network.heal(inside, outside))
-        self._disturb("cut", for_s)
+        self._record_fault("cut", for_s)
 
-    def cut_zone(self, zone: str, for_s: float) -> None:
+    def isolate_zone(self, zone: str, for_s: float) -> None:
         """Partition a zone's cores, fronts and replicas from others; clients still reach them."""
         names = [*self.cores, *self.fronts, *(entry.name for entry in self.replicas)]
         inside = [name for name in names if self._is_in(zone, self.process(name).place)]
-        self.cut_between(inside, [name for name in names if name not in inside], for_s)
+        self.partition(inside, [name for name in names if name not in inside], for_s)
 
-    def cut_between(self, some: Iterable[str], others: Iterable[str], for_s: float) -> None:
+    def partition(self, some: Iterable[str], others: Iterable[str], for_s: float) -> None:
         """Partition two sets of processes from each other; all others still reach both."""
-        one = [self.process(name).place for name in some]
-        two = [self.process(name).place for name in others]
+        side = [self.process(name).place for name in some]
+        other_side = [self.process(name).place for name in others]
         network = self.world.network
-        for source, target in ((one, two), (two, one)):
+        for source, target in ((side, other_side), (other_side, side)):
             network.cut(source, target)
             self.later(for_s, lambda s=source, t=target: network.heal(s, t))
-        self._disturb("cut", for_s)
+        self._record_fault("cut", for_s)
 
     def slow(self, names: Iterable[str], for_s: float) -> None:
         """Let machines take ``SLOW_EVENT_S`` for each event of their processes."""
@@ -217,7 +219,7 @@
         for process in slowed:
             process.event_s = SLOW_EVENT_S
         self.later(for_s, lambda: [setattr(process, "event_s", 0.0) for process in slowed])
-        self._disturb("slow", for_s)
+        self._record_fault("slow", for_s)
 
     def add_machines(self, zone: str, count: int) -> list[str]:
         """Add machines to a zone, start their fronts, and return the names of these fronts."""
@@ -237,7 +239,7 @@
         """
         place = self.cores.index(name)
         self.world.machine_fails(self.process(name))
-        self._disturb("replace", after_s)
+        self._record_fault("replace", after_s)
         successor = f"{name}-new"
         self.cores[place] = successor
         self._core_ips[place] = (
@@ -251,7 +253,7 @@
     def stall_disk(self, name: str, for_s: float) -> None:
         """Stall a process's disk: no write finishes for ``for_s`` seconds."""
         self.process(name).disk.stalled_until = self.world.now + for_s
-        self._disturb("stall", for_s)
+        self._record_fault("stall", for_s)
 
     def jump_clocks(self, by_ms: int) -> None:
         """Shift the wall clock of every process by ``by_ms`` milliseconds."""
@@ -263,9 +265,9 @@
         reducer = self.process(f"client-{region}").reducer
         reducer.rate_per_s = self.shape.client_rate_per_s * factor
 
-    def set_impatience(self, region: str, repeats: int) -> None:
+    def set_immediate_retries(self, region: str, repeats: int) -> None:
         """Let a region's clients immediately retry what isn't served, ``repeats`` times."""
-        self.process(f"client-{region}").reducer.repeats_at_once = repeats
+        self.process(f"client-{region}").reducer.immediate_retries = repeats
 
     def add_path(self, path: str) -> None:
         """Let the clients of all regions use a further path."""
@@ -278,7 +280,7 @@
     def _is_in(place: str, where: Place) -> bool:
         return place in (where.zone, where.region)
 
-    def _disturb(self, kind: str, for_s: float) -> None:
+    def _record_fault(self, kind: str, for_s: float) -> None:
         now = self.world.now
         self.journal.disturbances.append(Disturbance(kind, now, now + for_s))
 
@@ -290,7 +292,7 @@
         entry.turn_cold(self.world.now)
         self.world.restart(entry.process)
 
-    def _forget_refused(self) -> None:
+    def _skip_refused_versions(self) -> None:
         """Build on the newest version that was not refused, as an operator would."""
         changes = [order for order in self.journal.orders if order.kind == "change"]
         standing = {order.version for order in changes if not order.refused}
@@ -300,7 +302,7 @@
     def _document(self, version: int, routes: list[str]) -> bytes:
         return site_document(version, routes, self.shape.cold_rate_per_s)
 
-    def _operate(self, action: Callable[[OperatorStandIn, float], list]) -> None:
+    def _act_as_operator(self, action: Callable[[OperatorStandIn, float], list]) -> None:
         self.process("operator").act(action)
 
     def _core_ip(self, place: int) -> str:
@@ -343,7 +345,7 @@
 
     def _add_fronts(self, zone: str) -> None:
         number, region = self._zone_numbers[zone], self.shape.zones[zone]
-        for machine in range(1, self.shape.fronts_a_zone + 1):
+        for machine in range(1, self.shape.fronts_per_zone + 1):
             ip = f"10.{number}.0.{machine}"
             self._add_front(f"front-{zone}-{machine}", ip, zone, region, self._seeds())
 
@@ -366,7 +368,7 @@
 
     def _add_replicas(self, zone: str) -> None:
         number = self._zone_numbers[zone]
-        for place in range(1, self.shape.models_a_zone + 1):
+        for place in range(1, self.shape.models_per_zone + 1):
             self._add_replica(f"model-{zone}-{place}", f"10.{number}.9.{place}", "model", zone, 40)
         self._add_replica(f"ledger-{zone}", f"10.{number}.8.1", "ledger", zone, 6)
 
--- a/tests/test_gateway_large.py
+++ b/tests/test_gateway_large.py
@@ -76,7 +76,7 @@
         self.assertLessEqual(LARGE, tests)
 
     def test_the_deployment_is_large(self) -> None:
-        fronts = LARGE_SHAPE.fronts_a_zone * len(LARGE_SHAPE.zones)
+        fronts = LARGE_SHAPE.fronts_per_zone * len(LARGE_SHAPE.zones)
         self.assertGreaterEqual(fronts + len(LARGE_SHAPE.core_zones), MACHINES)
         self.assertEqual(8, len(LARGE_DAYS))
 
--- a/tests/test_gateway_shape.py
+++ b/tests/test_gateway_shape.py
@@ -62,7 +62,7 @@
         site.world.run_for(3.0)
         rival = site.rival()
         site.world.run_for(3.0)
-        self.assertTrue(rival.refused and first.taken_at)
+        self.assertTrue(rival.refused and first.acknowledged_at)
         refused = site.change(["b"], version_step=1)
         refused.refused = True
         self.assertEqual(site.change(["c"]).version, first.version + 1)
--- a/tests/test_gateway_site.py
+++ b/tests/test_gateway_site.py
@@ -235,7 +235,9 @@
 
     def test_a_lost_change(self) -> None:
         old, new = (
-            Order("change", v, document=json.dumps({"version": v}).encode(), taken_at=1.0 + v)
+            Order(
+                "change", v, document=json.dumps({"version": v}).encode(), acknowledged_at=1.0 + v
+            )
             for v in (1, 2)
         )
         old.document = new.document = b'{"version": 1, "routes": []}'
