--- a/rooklug_lab/gateway/journal.py
+++ b/rooklug_lab/gateway/journal.py
@@ -1,23 +1,23 @@
-"""What clients, replicas, the platform and the operator have seen; oracles read only this."""
+"""Record of what clients, replicas, platform and operator observed; the oracles' only input."""
 
 import attrs
 
 
 @attrs.frozen
 class Run:
-    """A replica has begun to work on a request."""
+    """A replica started to execute a request; ``cold``: during its slow start."""
 
     request_id: str
     replica_id: str
     zone: str
-    at: float
+    started_at: float
     cold: bool
     region: str = ""
 
 
 @attrs.frozen
 class Arrival:
-    """A request has reached a replica, which may yet reject it."""
+    """A request reached a replica, which may still reject it."""
 
     request_id: str
     service: str
@@ -26,7 +26,7 @@
 
 @attrs.define
 class Attempt:
-    """One attempt of a client. ``ended_at`` 0: no end was seen."""
+    """One attempt of a client. ``ended_at`` is 0 until the response has completed or failed."""
 
     request_id: str
     region: str
@@ -41,26 +41,29 @@
 
     @property
     def served(self) -> bool:
-        """Whether it got a whole success."""
+        """Whether a complete response with a 2xx status was received."""
         return self.complete and 200 <= self.status < 300
 
 
 @attrs.define
 class Order:
-    """A change or zone order. ``taken_at`` 0: never acknowledged."""
+    """An operator's order: a configuration change, or "empty" or "restore" for a zone.
+
+    ``acknowledged_at`` is the time of the acknowledgement, 0 if there was none.
+    """
 
     kind: str
     version: int = 0
     zone: str = ""
     document: bytes = b""
     sent_at: float = 0.0
-    taken_at: float = 0.0
+    acknowledged_at: float = 0.0
     refused: bool = False
 
 
 @attrs.frozen
-class Leaving:
-    """The platform's list has shown a replica as leaving since ``shown_at``."""
+class LeavingReplica:
+    """A replica that the platform's listing first showed as leaving at ``shown_at``."""
 
     replica_id: str
     shown_at: float
@@ -68,25 +71,25 @@
 
 @attrs.frozen
 class Disturbance:
-    """A fault: from when to when."""
+    """An injected fault and the interval during which it was active."""
 
     kind: str
-    began: float
-    ended: float
+    started_at: float
+    ended_at: float
 
 
 @attrs.define
 class Journal:
-    """Everything that was seen in one run. Times are the world's."""
+    """Everything observed in one run. Times are in seconds of the simulated world's clock."""
 
     runs: list[Run] = attrs.field(factory=list)
     arrivals: list[Arrival] = attrs.field(factory=list)
     attempts: list[Attempt] = attrs.field(factory=list)
     orders: list[Order] = attrs.field(factory=list)
-    leaving: list[Leaving] = attrs.field(factory=list)
+    leaving: list[LeavingReplica] = attrs.field(factory=list)
     disturbances: list[Disturbance] = attrs.field(factory=list)
     read_back: bytes = b""
 
-    def is_calm(self, at: float, before_s: float) -> bool:
-        """Return whether nothing disturbed the deployment from ``before_s`` before ``at``."""
-        return not any(d.began <= at and at - before_s < d.ended for d in self.disturbances)
+    def is_fault_free(self, at: float, before_s: float) -> bool:
+        """Return whether no fault was active in the ``before_s`` seconds up to ``at``."""
+        return not any(d.started_at <= at and at - before_s < d.ended_at for d in self.disturbances)
