--- a/tests/core_storm.py
+++ b/tests/core_storm.py
@@ -40,9 +40,8 @@
 """Below the ephemeral ports of Linux (from 32768): a port among those may be given to an outgoing
 connection of any process between the check that it is free and the bind."""
 
-_next_ports = cycle(range(FIRST_PORT, LAST_PORT))
-for _ in range(random.randrange(LAST_PORT - FIRST_PORT)):
-    next(_next_ports)
+_start_port = random.randrange(FIRST_PORT, LAST_PORT)
+_next_ports = cycle([*range(_start_port, LAST_PORT), *range(FIRST_PORT, _start_port)])
 
 
 def free_port() -> int:
--- a/tests/platform_site.py
+++ b/tests/platform_site.py
@@ -11,7 +11,7 @@
 from tornado.httpserver import HTTPServer
 
 from rooklug.runtime.host import Host
-from tests.core_storm import free_address, free_port
+from tests.core_storm import HOST_IP, free_address, free_port
 
 ROOT = Path(__file__).resolve().parent.parent
 if str(ROOT / "platform") not in sys.path:
@@ -20,7 +20,6 @@
 from adapter import main, settings  # noqa: E402
 
 HOST = "h.example"
-HOST_IP = "127.0.0.1"
 SERVED_WITHIN_S = 20.0
 ANSWERED_WITHIN_S = 10.0
 REPLICA_ID = "i-1"
